--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -59,7 +59,7 @@
 // unless its output goes elsewhere already.
 func launch(t *testing.T, cmd *exec.Cmd, cfg []byte, env ...string) *process {
 	t.Helper()
-	p := &process{cmd: cmd, file: testkit.WriteFile(t, cfg)}
+	p := &process{cmd: cmd, file: testkit.WriteTempFile(t, cfg)}
 	cmd.Env = append(append(os.Environ(), "NODE_CONFIG="+p.file), env...)
 	if cmd.Stderr == nil {
 		cmd.Stderr, cmd.Stdout = p, p
@@ -117,30 +117,30 @@
 	d := testkit.NewDiscovery(t, n.Entry())
 	p, addr := serve(t, testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, testkit.Settings(nil),
 		map[string]any{"log_level": "info", "hand_over_ms": 300}))
-	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Within: 10 * time.Second}
-	if got := testkit.AskHTTP(context.Background(), addr, q); got.Kind != "served" || !got.Whole {
+	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Timeout: 10 * time.Second}
+	if got := testkit.QueryHTTP(context.Background(), addr, q); got.Outcome != "served" || !got.Complete {
 		t.Fatalf("got %+v", got)
 	}
 	open := make(chan struct{})
-	n.Work(func(testkit.Call) string { <-open; return testkit.Done })
-	before := len(n.Calls())
+	n.SetResponder(func(testkit.Part) string { <-open; return testkit.Done })
+	before := len(n.Parts())
 	taken := make(chan testkit.Reply, 1)
 	go func() {
 		q := q
 		q.ID = "b"
-		taken <- testkit.AskHTTP(context.Background(), addr, q)
+		taken <- testkit.QueryHTTP(context.Background(), addr, q)
 	}()
-	n.Wait(t, "the second query", func() bool { return len(n.Calls()) > before })
+	n.WaitFor(t, "the second query", func() bool { return len(n.Parts()) > before })
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, "it drains", func() bool { return strings.Contains(p.text(), `"event":"draining"`) })
 	close(open)
 	q.ID = "c" // comes after the signal, inside the window
-	if got := testkit.AskHTTP(context.Background(), addr, q); got.Kind != "served" {
+	if got := testkit.QueryHTTP(context.Background(), addr, q); got.Outcome != "served" {
 		t.Errorf("in the hand-over window: got %+v", got)
 	}
-	if got := <-taken; got.Kind != "served" {
+	if got := <-taken; got.Outcome != "served" {
 		t.Errorf("taken before the signal: got %+v", got)
 	}
 	if err := p.cmd.Wait(); err != nil || !strings.Contains(p.text(), `"event":"stopped"`) {
@@ -173,8 +173,8 @@
 	}
 	ask := func(id string) {
 		t.Helper()
-		q := testkit.Query{Class: "screen", ID: id, Shards: []int{1, 2, 3, 4}, Within: 10 * time.Second}
-		if got := testkit.AskHTTP(context.Background(), addr, q); got.Kind != "served" {
+		q := testkit.Query{Class: "screen", ID: id, Shards: []int{1, 2, 3, 4}, Timeout: 10 * time.Second}
+		if got := testkit.QueryHTTP(context.Background(), addr, q); got.Outcome != "served" {
 			t.Errorf("%s: got %+v", id, got)
 		}
 	}
@@ -183,14 +183,14 @@
 	ask("b")
 	reload(config(d1.Addr), `"moved":false`)
 	reload(config(d2.Addr), `"moved":true`)
-	testkit.Eventually(t, "the new address is watched", func() bool { return len(d2.Calls()) > 1 })
-	before := len(d1.Calls())
+	testkit.Eventually(t, "the new address is watched", func() bool { return len(d2.Requests()) > 1 })
+	before := len(d1.Requests())
 	n1.Stop() // only the new list names another
 	testkit.Eventually(t, "a node of the new list serves", func() bool {
-		q := testkit.Query{Class: "screen", ID: fmt.Sprintf("c%d", time.Now().UnixNano()), Shards: []int{1}, Within: 10 * time.Second}
-		return testkit.AskHTTP(context.Background(), addr, q).Kind == "served" && len(n2.Calls()) > 0
+		q := testkit.Query{Class: "screen", ID: fmt.Sprintf("c%d", time.Now().UnixNano()), Shards: []int{1}, Timeout: 10 * time.Second}
+		return testkit.QueryHTTP(context.Background(), addr, q).Outcome == "served" && len(n2.Parts()) > 0
 	})
-	if len(d1.Calls()) != before {
+	if len(d1.Requests()) != before {
 		t.Error("the old address is still asked")
 	}
 	for range 50 {
@@ -211,8 +211,8 @@
 }
 
 func TestCommands(t *testing.T) {
-	good := testkit.WriteFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), nil))
-	bad := testkit.WriteFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), map[string]any{"listen": "x"}))
+	good := testkit.WriteTempFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), nil))
+	bad := testkit.WriteTempFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), map[string]any{"listen": "x"}))
 	for _, c := range []struct {
 		args []string
 		code int
@@ -281,7 +281,7 @@
 	if code != 0 || !strings.Contains(out, `"leader": "n`) {
 		t.Errorf("status: exit %d, %s%s", code, out, errs)
 	}
-	if got := testkit.AskFlight(context.Background(), at(0), testkit.Query{Class: "screen", ID: "f", Shards: []int{3}, Within: 5 * time.Second}); got.Kind != "served" {
+	if got := testkit.QueryFlight(context.Background(), at(0), testkit.Query{Class: "screen", ID: "f", Shards: []int{3}, Timeout: 5 * time.Second}); got.Outcome != "served" {
 		t.Errorf("got %+v", got)
 	}
 	for _, p := range all {
--- a/cli/kill_test.go
+++ b/cli/kill_test.go
@@ -50,7 +50,7 @@
 		t.Run(fmt.Sprint(c.deadline, c.before), func(t *testing.T) {
 			t.Parallel()
 			n := testkit.NewNode(t, "s-1", false)
-			n.Always(testkit.Silent)
+			n.SetResponse(testkit.NeverAnswer)
 			d := testkit.NewDiscovery(t, n.Entry())
 			listen := freeAddr(t)
 			p := start(t, testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, withDeadline(c.deadline), map[string]any{"hand_over_ms": 550}), listen)
--- a/cli/operate_test.go
+++ b/cli/operate_test.go
@@ -212,7 +212,7 @@
 		return c.answered(t, time.Now().Add(4*time.Second)).StatusCode
 	}
 	arrived, release := make(chan bool, 8), make(chan bool)
-	n.Work(func(testkit.Call) string {
+	n.SetResponder(func(testkit.Part) string {
 		arrived <- true
 		<-release
 		return testkit.Done
@@ -237,15 +237,15 @@
 			t.Errorf("%s: %d, want %d", name, got[name], want)
 		}
 	}
-	n.Always(testkit.Fail)
-	before := len(n.Calls())
+	n.SetResponse(testkit.Failed)
+	before := len(n.Parts())
 	if got := ask("bulk", "fails"); got == http.StatusOK {
 		t.Errorf("a failing node serves")
 	}
-	if calls := len(n.Calls()) - before; calls > 2 {
+	if calls := len(n.Parts()) - before; calls > 2 {
 		t.Errorf("%d attempts for two parts, one each allowed", calls)
 	}
-	n.Always(testkit.Done)
+	n.SetResponse(testkit.Done)
 	whole := file(settings(3, "screen", "quote"))
 	without := func(key string) []byte {
 		s := settings(3, "screen")
@@ -365,7 +365,7 @@
 		t.Errorf("%d served, %d lost: %v", served, len(lost), lost)
 	}
 	seen := map[string]bool{}
-	for _, call := range n.Calls() { // nothing failed: each part is sent once
+	for _, call := range n.Parts() { // nothing failed: each part is sent once
 		if seen[call.ID] {
 			t.Errorf("part %s was sent twice", call.ID)
 		}
--- a/cli/soak_test.go
+++ b/cli/soak_test.go
@@ -54,7 +54,7 @@
 
 // soakCall is a part that came to a node.
 type soakCall struct {
-	testkit.Call
+	testkit.Part
 	node *testkit.Node
 	end  string
 }
@@ -104,7 +104,7 @@
 	var list []testkit.Entry
 	for i := range soakNodes {
 		n := testkit.NewNode(s.t, fmt.Sprintf("s-%d", i), false)
-		n.Work(s.work(n, s.rng.Uint64(), 0.05))
+		n.SetResponder(s.work(n, s.rng.Uint64(), 0.05))
 		nodes, list = append(nodes, n), append(list, n.Entry())
 	}
 	discoveries := []*testkit.Discovery{testkit.NewDiscovery(s.t, list...), testkit.NewDiscovery(s.t, list...)}
@@ -151,19 +151,19 @@
 		signal(syscall.SIGHUP)
 	}
 	if s.rng.IntN(3) == 0 { // the watches fall silent
-		discoveries[0].Hush()
-		discoveries[1].Hush()
+		discoveries[0].StallWatches()
+		discoveries[1].StallWatches()
 	}
 	drained := nodes[s.rng.IntN(len(nodes))]
 	e := drained.Entry()
 	e.State = "terminating"
-	versions := []int{discoveries[0].Change(e), discoveries[1].Change(e)}
+	versions := []int{discoveries[0].Update(e), discoveries[1].Update(e)}
 	told := time.Now()
 	time.Sleep(time.Duration(200+s.rng.IntN(800)) * time.Millisecond)
 	if hangs { // through the whole of the stop
 		for range 2 {
 			n := nodes[s.rng.IntN(len(nodes))]
-			n.Work(s.work(n, 0, 1))
+			n.SetResponder(s.work(n, 0, 1))
 		}
 	}
 	s.mu.Lock()
@@ -192,7 +192,7 @@
 	close(over)
 	clients.Wait()
 	for i, d := range discoveries { // by the one that it follows: 4 s after a move at the latest
-		if at := d.Told(versions[i]); at.After(told) {
+		if at := d.SentAt(versions[i]); at.After(told) {
 			told = at
 		}
 	}
@@ -226,22 +226,22 @@
 		case <-over:
 			return
 		case <-time.After(time.Duration(rng.IntN(400)) * time.Millisecond):
-			nodes[rng.IntN(len(nodes))].Cut()
+			nodes[rng.IntN(len(nodes))].ResetConnections()
 		}
 	}
 }
 
 // work ends a node's parts in some way or other; bad is the share of each of the bad ways,
 // from 1 on all hang.
-func (s *soak) work(n *testkit.Node, seed uint64, bad float64) func(testkit.Call) string {
+func (s *soak) work(n *testkit.Node, seed uint64, bad float64) func(testkit.Part) string {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 1))
-	return func(call testkit.Call) string {
+	return func(call testkit.Part) string {
 		mu.Lock()
 		x, wait := rng.Float64(), time.Duration(rng.IntN(20))*time.Millisecond
 		mu.Unlock()
 		end := testkit.Done
-		for i, way := range []string{testkit.Silent, testkit.Fail, testkit.Full, testkit.Break} {
+		for i, way := range []string{testkit.NeverAnswer, testkit.Failed, testkit.Full, testkit.Disconnect} {
 			if x < bad*float64(i+1) {
 				end = way
 				break
@@ -344,7 +344,7 @@
 			s.t.Errorf("%s: forwarded, and its connection ended with no answer, %v after SIGTERM: %v", r.id, r.sent.Sub(s.term), r.err)
 		}
 	}
-	slices.SortFunc(calls, func(a, b soakCall) int { return a.At.Compare(b.At) })
+	slices.SortFunc(calls, func(a, b soakCall) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
 	ran, times := map[string]time.Time{}, map[string]int{} // ran: the first that may have
 	for _, call := range calls {
 		name, _, _ := strings.Cut(call.ID, ".")
@@ -352,22 +352,22 @@
 		if r == nil {
 			continue // its client had no time to note it
 		}
-		if first, ok := ran[call.ID]; ok && r.keyed && call.At.Sub(first) > soakWindow+s.held {
-			s.t.Errorf("%s: repeated %v after its first attempt that may have run", call.ID, call.At.Sub(first))
+		if first, ok := ran[call.ID]; ok && r.keyed && call.ReceivedAt.Sub(first) > soakWindow+s.held {
+			s.t.Errorf("%s: repeated %v after its first attempt that may have run", call.ID, call.ReceivedAt.Sub(first))
 		} else if !ok && call.end != testkit.Full {
-			ran[call.ID] = call.At
+			ran[call.ID] = call.ReceivedAt
 		}
 		if times[call.ID]++; times[call.ID] > 3 {
 			s.t.Errorf("%s: %d attempts", call.ID, times[call.ID])
 		}
-		if !r.left.IsZero() && call.At.Sub(r.left) > 100*time.Millisecond+s.held {
-			s.t.Errorf("%s: begins %v after its client left", call.ID, call.At.Sub(r.left))
+		if !r.left.IsZero() && call.ReceivedAt.Sub(r.left) > 100*time.Millisecond+s.held {
+			s.t.Errorf("%s: begins %v after its client left", call.ID, call.ReceivedAt.Sub(r.left))
 		}
-		if left := r.within - call.At.Sub(r.sent); call.Wait > left+150*time.Millisecond+s.held {
-			s.t.Errorf("%s: told %v, its client has %v left", call.ID, call.Wait, left)
+		if left := r.within - call.ReceivedAt.Sub(r.sent); call.Timeout > left+150*time.Millisecond+s.held {
+			s.t.Errorf("%s: told %v, its client has %v left", call.ID, call.Timeout, left)
 		}
-		if call.node == drained && call.At.Sub(told) > drainGrace+s.held {
-			s.t.Errorf("%s: begins at %s %v after its drain was told", call.ID, call.node.ID, call.At.Sub(told))
+		if call.node == drained && call.ReceivedAt.Sub(told) > drainGrace+s.held {
+			s.t.Errorf("%s: begins at %s %v after its drain was told", call.ID, call.node.ID, call.ReceivedAt.Sub(told))
 		}
 	}
 	if len(s.all) < 6 { // some wait for 4 s each
--- a/cli/start_test.go
+++ b/cli/start_test.go
@@ -41,11 +41,11 @@
 	for i := range 100 { // each is a line of the core's
 		e := n.Entry()
 		e.Weight = float64(i)
-		version := d.Change(e)
-		testkit.Eventually(t, "the change is told", func() bool { return !d.Told(version).IsZero() })
+		version := d.Update(e)
+		testkit.Eventually(t, "the change is told", func() bool { return !d.SentAt(version).IsZero() })
 	}
-	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Within: 10 * time.Second}
-	if got := testkit.AskHTTP(context.Background(), listen, q); got.Kind != "served" || !got.Whole {
+	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Timeout: 10 * time.Second}
+	if got := testkit.QueryHTTP(context.Background(), listen, q); got.Outcome != "served" || !got.Complete {
 		t.Errorf("got %+v", got)
 	}
 	p.stop(t)
@@ -73,13 +73,13 @@
 	t.Helper()
 	var got testkit.Reply
 	for try, over := 0, time.Now().Add(20*time.Second); time.Now().Before(over); try++ {
-		q := testkit.Query{Class: "screen", ID: fmt.Sprintf("%s-%d", id, try), Shards: shards, Within: 10 * time.Second}
-		if got = testkit.AskHTTP(context.Background(), addr, q); got.Kind != "refused" || got.RetryAfter <= 0 {
+		q := testkit.Query{Class: "screen", ID: fmt.Sprintf("%s-%d", id, try), Shards: shards, Timeout: 10 * time.Second}
+		if got = testkit.QueryHTTP(context.Background(), addr, q); got.Outcome != "refused" || got.RetryAfter <= 0 {
 			break
 		}
 		time.Sleep(got.RetryAfter)
 	}
-	if got.Kind != "served" || !got.Whole || len(got.Values) != len(shards) {
+	if got.Outcome != "served" || !got.Complete || len(got.Values) != len(shards) {
 		t.Errorf("%s: got %+v", id, got)
 	}
 }
@@ -127,7 +127,7 @@
 	}
 	load("a")
 	version := d.Replace(young)
-	testkit.Eventually(t, "the list is told", func() bool { return !d.Told(version).IsZero() })
+	testkit.Eventually(t, "the list is told", func() bool { return !d.SentAt(version).IsZero() })
 	for _, n := range real[:4] {
 		n.Stop()
 	}
@@ -275,7 +275,7 @@
 // costs none that was taken: after it clients find a closed door at worst.
 func TestSignalsUnderLoad(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
-	n.Work(func(testkit.Call) string { time.Sleep(5 * time.Millisecond); return testkit.Done })
+	n.SetResponder(func(testkit.Part) string { time.Sleep(5 * time.Millisecond); return testkit.Done })
 	entry := n.Entry()
 	entry.Started = 1
 	files := make([][]byte, 2)
@@ -300,11 +300,11 @@
 				default:
 				}
 				after := told.Load()
-				q := testkit.Query{Class: "screen", ID: fmt.Sprintf("c%d-%d", c, i), Shards: []int{1, 2, 3}, Within: 10 * time.Second}
-				switch got := testkit.AskHTTP(context.Background(), listen, q); {
-				case got.Kind == "served" && got.Whole:
+				q := testkit.Query{Class: "screen", ID: fmt.Sprintf("c%d-%d", c, i), Shards: []int{1, 2, 3}, Timeout: 10 * time.Second}
+				switch got := testkit.QueryHTTP(context.Background(), listen, q); {
+				case got.Outcome == "served" && got.Complete:
 					served.Add(1)
-				case got.Kind == "none" && (after || told.Load()):
+				case got.Outcome == "none" && (after || told.Load()):
 					closed.Add(1)
 					return
 				default:
@@ -366,8 +366,8 @@
 	if took := time.Since(began); took > 6*time.Second { // nine in ten restarted brokers must be within 10 s, or 6 s on short days
 		t.Errorf("ready after %v", took)
 	}
-	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Within: 3 * time.Second}
-	if got := testkit.AskHTTP(context.Background(), listen, q); got.Kind != "refused" || got.RetryAfter <= 0 || got.Took > time.Second {
+	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Timeout: 3 * time.Second}
+	if got := testkit.QueryHTTP(context.Background(), listen, q); got.Outcome != "refused" || got.RetryAfter <= 0 || got.Latency > time.Second {
 		t.Errorf("got %+v", got)
 	}
 	p.stop(t)
@@ -456,9 +456,9 @@
 	const sockets = 128
 	gone, n := testkit.NewNode(t, "s-1", false), testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
-	d.Change(n.Entry())
-	way := testkit.NewWayTo(t, "tcp", "127.0.0.1:0", d.Addr)
-	way.Set(testkit.Refuse)
+	d.Update(n.Entry())
+	way := testkit.NewFaultProxyTo(t, "tcp", "127.0.0.1:0", d.Addr)
+	way.SetMode(testkit.Refuse)
 	listen := freeAddr(t)
 	p := start(t, testkit.Config(way.Addr, []testkit.Entry{gone.Entry()}, testkit.Settings(nil), map[string]any{
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets},
@@ -478,13 +478,13 @@
 	if _, _, fds := p.numbers(t); fds > sockets {
 		t.Fatalf("%d descriptors of %d", fds, sockets)
 	}
-	way.Set(testkit.Pass)
+	way.SetMode(testkit.Forward)
 	back := time.Now()
 	asked := 0
 	testkit.Eventually(t, "a client is served by what discovery tells", func() bool {
 		asked++
-		q := testkit.Query{Class: "screen", ID: fmt.Sprint("a", asked), Shards: []int{1, 2}, Within: 3 * time.Second}
-		return testkit.AskHTTP(context.Background(), listen, q).Kind == "served"
+		q := testkit.Query{Class: "screen", ID: fmt.Sprint("a", asked), Shards: []int{1, 2}, Timeout: 3 * time.Second}
+		return testkit.QueryHTTP(context.Background(), listen, q).Outcome == "served"
 	})
 	if took := time.Since(back); took > 6*time.Second {
 		t.Errorf("after %v", took)
--- a/cli/upgrade_test.go
+++ b/cli/upgrade_test.go
@@ -95,12 +95,12 @@
 	first, _ := d.run()
 	held := open(t, d.listen)
 	release := make(chan bool)
-	d.node.Work(func(testkit.Call) string {
+	d.node.SetResponder(func(testkit.Part) string {
 		<-release
 		return testkit.Done
 	})
 	held.send(t, query("held", 3*time.Second)) // keeps the first one from its end
-	d.node.Wait(t, "the held query", func() bool { return len(d.node.Calls()) == 2 })
+	d.node.WaitFor(t, "the held query", func() bool { return len(d.node.Parts()) == 2 })
 	d.cfg = edited(t, d.cfg, settings())
 	second, _ := d.run()
 	_ = first.cmd.Process.Signal(syscall.SIGTERM)
@@ -126,7 +126,7 @@
 // edited is a configuration with other settings.
 func edited(t *testing.T, cfg []byte, settings map[string]any) []byte {
 	t.Helper()
-	return testkit.Edit(t, cfg, func(file map[string]any) { file["settings"] = settings })
+	return testkit.EditConfig(t, cfg, func(file map[string]any) { file["settings"] = settings })
 }
 
 // A folder that cannot be written, or is not there, stops no broker, and a next one finds
@@ -149,7 +149,7 @@
 func TestAnotherBrokerAtATakenAddressIsRefused(t *testing.T) {
 	d := deploy(t, testkit.Settings(nil), nil)
 	first, _ := d.run()
-	other := testkit.Edit(t, d.cfg, func(file map[string]any) {
+	other := testkit.EditConfig(t, d.cfg, func(file map[string]any) {
 		file["name"] = "n2"
 		file["settings"].(map[string]any)["classes"].([]any)[0].(map[string]any)["name"] = "prices"
 	})
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -49,7 +49,7 @@
 		if err != nil || len(c.Notes) != 1 || c.Notes[0].Path != path || c.Settings.Classes[1].Fetch != 0 {
 			t.Errorf("%s: got %+v, %v", path, c, err)
 		}
-		if _, err := Check(testkit.WriteFile(t, data), none); err == nil || !strings.Contains(err.Error(), path) {
+		if _, err := Check(testkit.WriteTempFile(t, data), none); err == nil || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s, checked: got %v", path, err)
 		}
 	}
--- a/config/reload_test.go
+++ b/config/reload_test.go
@@ -24,14 +24,14 @@
 
 func reload(t testing.TB, data []byte, old *Config) (*Config, error) {
 	t.Helper()
-	path := testkit.WriteFile(t, data)
+	path := testkit.WriteTempFile(t, data)
 	return Reload(path, none, old)
 }
 
 // edit changes a file's tree.
 func edit(t *testing.T, data []byte, change func(file, settings map[string]any)) []byte {
 	t.Helper()
-	return testkit.Edit(t, data, func(file map[string]any) { change(file, file["settings"].(map[string]any)) })
+	return testkit.EditConfig(t, data, func(file map[string]any) { change(file, file["settings"].(map[string]any)) })
 }
 
 // A file without a key that the one in use has is turned down whole, whichever it is, and
@@ -159,7 +159,7 @@
 	for _, n := range []uint16{0, 1, 17, uint16(len(data) / 2), uint16(len(data) - 1)} {
 		f.Add(n, byte(' '))
 	}
-	path := testkit.WriteFile(f, data)
+	path := testkit.WriteTempFile(f, data)
 	f.Fuzz(func(t *testing.T, cut uint16, last byte) {
 		n := int(cut) % len(data)
 		short := append(bytes.Clone(data[:n]), last)
--- a/daemon/addresses_test.go
+++ b/daemon/addresses_test.go
@@ -24,7 +24,7 @@
 func TestNodeOfSeveralAddresses(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n")
 	first := testkit.NewNode(t, "s-0", false)
-	sock := first.Also(t, "unix", path)
+	sock := first.AddAddress(t, "unix", path)
 	entry := first.Entry()
 	entry.Addr, entry.Addrs = "127.0.0.1:1", []string{"[::1]:1", sock} // only the socket works
 	disco := testkit.NewDiscovery(t, entry)
@@ -45,9 +45,9 @@
 	id := 0
 	ask := func() testkit.Reply {
 		id++
-		return testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: fmt.Sprintf("q%d", id), Shards: []int{1, 2}, Within: 3 * time.Second})
+		return testkit.QueryHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: fmt.Sprintf("q%d", id), Shards: []int{1, 2}, Timeout: 3 * time.Second})
 	}
-	if r := ask(); r.Kind != "served" || !r.Whole {
+	if r := ask(); r.Outcome != "served" || !r.Complete {
 		t.Fatalf("got %+v", r)
 	}
 	var out, errs bytes.Buffer
@@ -64,7 +64,7 @@
 	second := testkit.NewNode(t, "s-1", false)
 	later := second.Entry()
 	later.Addrs = []string{sock}
-	disco.Change(later)
+	disco.Update(later)
 	testkit.Eventually(t, "the newer claim", func() bool {
 		for _, v := range d.Status().Addresses["s-1"] {
 			if v.Text == sock {
@@ -78,5 +78,5 @@
 		}
 		return false
 	})
-	testkit.Eventually(t, "work at the new node", func() bool { return ask().Kind == "served" && len(second.Calls()) > 0 })
+	testkit.Eventually(t, "work at the new node", func() bool { return ask().Outcome == "served" && len(second.Parts()) > 0 })
 }
--- a/daemon/moves_test.go
+++ b/daemon/moves_test.go
@@ -52,30 +52,30 @@
 	ask := func() {
 		t.Helper()
 		ids++
-		if got := testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: fmt.Sprintf("q%d", ids), Shards: six, Within: 3 * time.Second}); got.Kind != "served" {
+		if got := testkit.QueryHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: fmt.Sprintf("q%d", ids), Shards: six, Timeout: 3 * time.Second}); got.Outcome != "served" {
 			t.Fatalf("got %+v", got)
 		}
 	}
-	testkit.Eventually(t, "the old one is watched", func() bool { return len(old.Calls()) > 1 })
+	testkit.Eventually(t, "the old one is watched", func() bool { return len(old.Requests()) > 1 })
 	d.Reload(at(down.Addr().String()))
 	drained := nodes[0].Entry()
 	drained.State = "terminating"
-	version := old.Change(drained)
-	testkit.Eventually(t, "the old one tells the drain", func() bool { return !old.Told(version).IsZero() })
-	limit := old.Told(version).Add(500 * time.Millisecond)
+	version := old.Update(drained)
+	testkit.Eventually(t, "the old one tells the drain", func() bool { return !old.SentAt(version).IsZero() })
+	limit := old.SentAt(version).Add(500 * time.Millisecond)
 	for i := 0; i < 20 || time.Now().Before(limit.Add(100*time.Millisecond)); i++ {
 		ask()
 	}
-	if i := slices.IndexFunc(nodes[0].Calls(), func(c testkit.Call) bool { return c.At.After(limit) }); i >= 0 {
+	if i := slices.IndexFunc(nodes[0].Parts(), func(c testkit.Part) bool { return c.ReceivedAt.After(limit) }); i >= 0 {
 		t.Fatal("a part was sent long after its drain was told by the old discovery")
 	}
 	d.Reload(at(third.Addr))
-	testkit.Eventually(t, "the third one is watched", func() bool { return len(third.Calls()) > 1 })
-	asked := len(old.Calls())
+	testkit.Eventually(t, "the third one is watched", func() bool { return len(third.Requests()) > 1 })
+	asked := len(old.Requests())
 	time.Sleep(1500 * time.Millisecond) // longer than a watch waits
-	if n := len(old.Calls()); n > asked+1 {
+	if n := len(old.Requests()); n > asked+1 {
 		t.Errorf("the old one was asked %d times more", n-asked)
 	}
-	before := len(nodes[0].Calls()) // the third says that the node is in service
-	testkit.Eventually(t, "the node is used again", func() bool { ask(); return len(nodes[0].Calls()) > before })
+	before := len(nodes[0].Parts()) // the third says that the node is in service
+	testkit.Eventually(t, "the node is used again", func() bool { ask(); return len(nodes[0].Parts()) > before })
 }
--- a/daemon/proof_test.go
+++ b/daemon/proof_test.go
@@ -35,12 +35,12 @@
 func TestProofAddresses(t *testing.T) {
 	var nodes []*testkit.Node
 	var list []testkit.Entry
-	var ways [][]*testkit.Way
+	var ways [][]*testkit.FaultProxy
 	for i := range 6 {
 		n := testkit.NewNode(t, fmt.Sprintf("s-%d", i), i%2 == 1)
-		three := []*testkit.Way{
-			testkit.NewWay(t, "tcp", "127.0.0.1:0", n), testkit.NewWay(t, "tcp", "[::1]:0", n),
-			testkit.NewWay(t, "unix", filepath.Join(t.TempDir(), "n"), n),
+		three := []*testkit.FaultProxy{
+			testkit.NewFaultProxy(t, "tcp", "127.0.0.1:0", n), testkit.NewFaultProxy(t, "tcp", "[::1]:0", n),
+			testkit.NewFaultProxy(t, "unix", filepath.Join(t.TempDir(), "n"), n),
 		}
 		e := n.Entry()
 		e.Addr, e.Addrs = three[0].Addr, []string{three[0].Addr, three[1].Addr, three[2].Addr}
@@ -71,20 +71,20 @@
 			wg.Go(func() {
 				for i := 0; i < each || time.Now().Before(until); i++ {
 					q := testkit.Query{Class: classes[i%4], ID: fmt.Sprintf("%s%d-%d", name, w, i), Key: fmt.Sprintf("%s%d-%d", name, w, i),
-						Shards: []int{i % 18, (i + 5) % 18}, Within: 3 * time.Second}
+						Shards: []int{i % 18, (i + 5) % 18}, Timeout: 3 * time.Second}
 					began := time.Now()
-					r := testkit.AskHTTP(context.Background(), d.Addr().String(), q)
+					r := testkit.QueryHTTP(context.Background(), d.Addr().String(), q)
 					mu.Lock()
-					kinds[name+" "+r.Kind]++
-					if r.Kind == "none" {
-						t.Logf("%s %s: no answer after %v: %s: %v; %s", name, q.ID, r.Took, r.Loss, r.Err, r.Path)
+					kinds[name+" "+r.Outcome]++
+					if r.Outcome == "none" {
+						t.Logf("%s %s: no answer after %v: %s: %v; %s", name, q.ID, r.Latency, r.NoReplyReason, r.Err, r.ConnTrace)
 					}
-					if strings.Contains(*proofShow, r.Kind) {
-						t.Logf("%s %s: %s after %v", name, q.ID, r.Kind, r.Took)
+					if strings.Contains(*proofShow, r.Outcome) {
+						t.Logf("%s %s: %s after %v", name, q.ID, r.Outcome, r.Latency)
 						shown = append(shown, q.ID)
 					}
-					if r.Kind == "served" {
-						all = append(all, asked{began, r.Took})
+					if r.Outcome == "served" {
+						all = append(all, asked{began, r.Latency})
 					}
 					mu.Unlock()
 				}
@@ -99,8 +99,8 @@
 	go func() {
 		defer close(stopped)
 		rng := rand.New(rand.NewPCG(*proofSeed, 8))
-		modes := []string{testkit.Refuse, testkit.Stall, testkit.ResetHalf, testkit.ResetFull}
-		faulty := make([]*testkit.Way, len(ways))
+		modes := []string{testkit.Refuse, testkit.Stall, testkit.ResetMidRequest, testkit.ResetAfterRequest}
+		faulty := make([]*testkit.FaultProxy, len(ways))
 		tick := time.NewTicker(60 * time.Millisecond)
 		defer tick.Stop()
 		for {
@@ -111,10 +111,10 @@
 			}
 			i := rng.IntN(len(ways))
 			if faulty[i] != nil {
-				faulty[i].Set(testkit.Pass)
+				faulty[i].SetMode(testkit.Forward)
 			}
 			faulty[i] = ways[i][rng.IntN(3)]
-			faulty[i].Set(modes[rng.IntN(len(modes))])
+			faulty[i].SetMode(modes[rng.IntN(len(modes))])
 			turns = append(turns, time.Now())
 		}
 	}()
@@ -130,8 +130,8 @@
 	// A part of an order may run once; one of an edit again within its window.
 	ran := map[string][]time.Time{}
 	for _, n := range nodes {
-		for _, c := range n.Calls() {
-			ran[c.ID] = append(ran[c.ID], c.At)
+		for _, c := range n.Parts() {
+			ran[c.ID] = append(ran[c.ID], c.ReceivedAt)
 		}
 	}
 	twice := 0
--- a/daemon/rules_test.go
+++ b/daemon/rules_test.go
@@ -72,13 +72,13 @@
 				if q.ID == "" {
 					q.ID = fmt.Sprintf("q%d", r.ids.Add(1))
 				}
-				if q.Within == 0 {
-					q.Within = 3 * time.Second
+				if q.Timeout == 0 {
+					q.Timeout = 3 * time.Second
 				}
 				if k.flight {
-					return testkit.AskFlight(ctx, r.d.FlightAddr().String(), q)
+					return testkit.QueryFlight(ctx, r.d.FlightAddr().String(), q)
 				}
-				return testkit.AskHTTP(ctx, r.d.Addr().String(), q)
+				return testkit.QueryHTTP(ctx, r.d.Addr().String(), q)
 			}
 			test(t, r)
 		})
@@ -87,13 +87,13 @@
 
 func (r *rig) all(end string) {
 	for _, n := range r.nodes {
-		n.Always(end)
+		n.SetResponse(end)
 	}
 }
 
-func (r *rig) calls() (all []testkit.Call) {
+func (r *rig) calls() (all []testkit.Part) {
 	for _, n := range r.nodes {
-		all = append(all, n.Calls()...)
+		all = append(all, n.Parts()...)
 	}
 	return all
 }
@@ -104,21 +104,21 @@
 	each(t, 4, nil, func(t *testing.T, r *rig) {
 		var got testkit.Reply
 		for range 4 { // before the first answers are in, the module spreads nothing
-			if got = r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind != "served" ||
-				!got.Whole || len(got.Values) != len(six) {
+			if got = r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Outcome != "served" ||
+				!got.Complete || len(got.Values) != len(six) {
 				t.Fatalf("got %+v", got)
 			}
 		}
 		used := map[string]bool{}
 		for _, s := range six {
-			if got.Values[s] != testkit.Value(s) {
+			if got.Values[s] != testkit.ShardValue(s) {
 				t.Errorf("shard %d: %q", s, got.Values[s])
 			}
 		}
 		for _, n := range r.nodes {
-			for _, c := range n.Calls() {
+			for _, c := range n.Parts() {
 				used[n.ID] = true
-				if c.Text != "c41e77d0" || c.Wait <= 0 || c.Wait > 3*time.Second {
+				if c.Query != "c41e77d0" || c.Timeout <= 0 || c.Timeout > 3*time.Second {
 					t.Errorf("call %+v", c)
 				}
 			}
@@ -134,9 +134,9 @@
 	// The module ends a query two ticks early: long ticks, so that a busy machine
 	// does not make the client miss an answer that was given in time.
 	each(t, 4, func(s map[string]any) { s["tickMs"] = 150.0 }, func(t *testing.T, r *rig) {
-		r.all(testkit.Silent)
-		got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six, Within: time.Second})
-		if got.Kind == "none" || got.Kind == "served" {
+		r.all(testkit.NeverAnswer)
+		got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six, Timeout: time.Second})
+		if got.Outcome == "none" || got.Outcome == "served" {
 			t.Fatalf("got %+v, want a final answer before the client's time is up", got)
 		}
 		if s := r.d.Stats(); s.Queries != 1 || s.Refused+s.Failed+s.Expired != 1 {
@@ -147,8 +147,8 @@
 
 func TestThreeAttemptsAPart(t *testing.T) {
 	each(t, 5, nil, func(t *testing.T, r *rig) {
-		r.all(testkit.Fail)
-		if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}}); got.Kind != "refused" {
+		r.all(testkit.Failed)
+		if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}}); got.Outcome != "refused" {
 			t.Fatalf("got %+v", got)
 		}
 		if n := len(r.calls()); n < 2 || n > 3 {
@@ -165,17 +165,17 @@
 		}, func(t *testing.T, r *rig) {
 			var first atomic.Bool
 			for _, n := range r.nodes {
-				n.Work(func(testkit.Call) string {
+				n.SetResponder(func(testkit.Part) string {
 					if first.Swap(true) {
 						return testkit.Done
 					}
 					time.Sleep(60 * time.Millisecond) // past the short window, inside the long one
-					return testkit.Break
+					return testkit.Disconnect
 				})
 			}
 			got := r.ask(context.Background(), testkit.Query{Class: "edit", Key: "k1", Shards: []int{2}})
 			calls := r.calls()
-			if len(calls) != want || (got.Kind == "served") != (want == 2) {
+			if len(calls) != want || (got.Outcome == "served") != (want == 2) {
 				t.Fatalf("window %v ms: %d attempts, got %+v", window, len(calls), got)
 			}
 			for _, c := range calls {
@@ -190,11 +190,11 @@
 // A part of an unsafe class that may have run is neither repeated nor refused;
 // one that was turned away unseen is sent again.
 func TestUnsafeRepeatsOnlyWhatNeverRan(t *testing.T) {
-	for end, want := range map[string]string{testkit.Fail: "failed", testkit.Break: "failed", testkit.Full: "served"} {
+	for end, want := range map[string]string{testkit.Failed: "failed", testkit.Disconnect: "failed", testkit.Full: "served"} {
 		each(t, 4, nil, func(t *testing.T, r *rig) {
 			var first atomic.Bool
 			for _, n := range r.nodes {
-				n.Work(func(testkit.Call) string {
+				n.SetResponder(func(testkit.Part) string {
 					if first.Swap(true) {
 						return testkit.Done
 					}
@@ -202,7 +202,7 @@
 				})
 			}
 			got := r.ask(context.Background(), testkit.Query{Class: "order", Shards: []int{2}})
-			if n := len(r.calls()); got.Kind != want || (n > 1) != (want == "served") {
+			if n := len(r.calls()); got.Outcome != want || (n > 1) != (want == "served") {
 				t.Fatalf("after %q: %d attempts, got %+v", end, n, got)
 			}
 		})
@@ -217,7 +217,7 @@
 			n.Stop()
 		}
 		for i := range 4 {
-			if got := r.ask(context.Background(), testkit.Query{Class: "order", Shards: []int{i}}); got.Kind != "served" {
+			if got := r.ask(context.Background(), testkit.Query{Class: "order", Shards: []int{i}}); got.Outcome != "served" {
 				t.Fatalf("got %+v", got)
 			}
 		}
@@ -227,16 +227,16 @@
 // A stream that breaks in the middle of its answer is never a value.
 func TestBrokenAnswerIsNoValue(t *testing.T) {
 	each(t, 3, nil, func(t *testing.T, r *rig) {
-		r.nodes[0].Always(testkit.Break)
+		r.nodes[0].SetResponse(testkit.Disconnect)
 		for i := range 6 {
 			got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{i, i + 6}})
 			for s, v := range got.Values {
-				if v != testkit.Value(s) {
+				if v != testkit.ShardValue(s) {
 					t.Fatalf("shard %d: %q came from a broken stream", s, v)
 				}
 			}
 		}
-		if len(r.nodes[0].Calls()) == 0 {
+		if len(r.nodes[0].Parts()) == 0 {
 			t.Fatal("the breaking node was never asked")
 		}
 	})
@@ -247,17 +247,17 @@
 	each(t, 3, nil, func(t *testing.T, r *rig) {
 		e := r.nodes[0].Entry()
 		e.State = "terminating"
-		version := r.disco.Change(e)
-		testkit.Eventually(t, "the drain is told", func() bool { return !r.disco.Told(version).IsZero() })
-		limit := r.disco.Told(version).Add(500 * time.Millisecond)
+		version := r.disco.Update(e)
+		testkit.Eventually(t, "the drain is told", func() bool { return !r.disco.SentAt(version).IsZero() })
+		limit := r.disco.SentAt(version).Add(500 * time.Millisecond)
 		for i := 0; i < 20 || time.Now().Before(limit.Add(100*time.Millisecond)); i++ {
-			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind != "served" {
+			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Outcome != "served" {
 				t.Fatalf("got %+v", got)
 			}
 		}
-		for _, c := range r.nodes[0].Calls() {
-			if c.At.After(limit) {
-				t.Fatalf("a part was sent %v after the drain was told", c.At.Sub(limit)+500*time.Millisecond)
+		for _, c := range r.nodes[0].Parts() {
+			if c.ReceivedAt.After(limit) {
+				t.Fatalf("a part was sent %v after the drain was told", c.ReceivedAt.Sub(limit)+500*time.Millisecond)
 			}
 		}
 	})
@@ -270,32 +270,32 @@
 	each(t, 3, nil, func(t *testing.T, r *rig) {
 		ask := func() {
 			t.Helper()
-			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind != "served" {
+			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Outcome != "served" {
 				t.Fatalf("got %+v", got)
 			}
 		}
 		ask()
-		r.disco.Fail("broken", "refused", "garbled", "broken", "refused")
+		r.disco.InjectFaults("broken", "refused", "garbled", "broken", "refused")
 		drained, gone := r.nodes[0].Entry(), r.nodes[1].Entry()
 		drained.State, gone.State = "terminating", "terminated"
-		r.disco.Change(drained)
+		r.disco.Update(drained)
 		r.nodes[1].Stop()
-		version := r.disco.Change(gone)
-		for end := time.Now().Add(20 * time.Second); r.disco.Told(version).IsZero(); ask() {
+		version := r.disco.Update(gone)
+		for end := time.Now().Add(20 * time.Second); r.disco.SentAt(version).IsZero(); ask() {
 			if time.Now().After(end) {
 				t.Fatal("discovery was not asked again")
 			}
 		}
-		limit := r.disco.Told(version).Add(500 * time.Millisecond)
+		limit := r.disco.SentAt(version).Add(500 * time.Millisecond)
 		for i := 0; i < 20 || time.Now().Before(limit.Add(100*time.Millisecond)); i++ {
 			ask()
 		}
-		if left := r.disco.Left(); left > 0 {
+		if left := r.disco.PendingFaults(); left > 0 {
 			t.Errorf("%d answers were never asked for", left)
 		}
-		for _, c := range r.nodes[0].Calls() {
-			if c.At.After(limit) {
-				t.Fatalf("a part was sent %v after the drain was told", c.At.Sub(limit)+500*time.Millisecond)
+		for _, c := range r.nodes[0].Parts() {
+			if c.ReceivedAt.After(limit) {
+				t.Fatalf("a part was sent %v after the drain was told", c.ReceivedAt.Sub(limit)+500*time.Millisecond)
 			}
 		}
 	})
@@ -306,10 +306,10 @@
 	each(t, 3, nil, func(t *testing.T, r *rig) {
 		e := r.nodes[0].Entry()
 		e.Started = time.Now().UnixMilli()
-		version := r.disco.Change(e)
-		testkit.Eventually(t, "the start is told", func() bool { return !r.disco.Told(version).IsZero() })
+		version := r.disco.Update(e)
+		testkit.Eventually(t, "the start is told", func() bool { return !r.disco.SentAt(version).IsZero() })
 		testkit.Eventually(t, "the start is taken in", func() bool { return r.d.Stats().Turns > 0 })
-		before := len(r.nodes[0].Calls())
+		before := len(r.nodes[0].Parts())
 		var wg sync.WaitGroup
 		for range 10 { // a burst beyond what any warm node could be sent of late
 			wg.Add(1)
@@ -319,7 +319,7 @@
 			}()
 		}
 		wg.Wait()
-		cold, all := len(r.nodes[0].Calls())-before, len(r.calls())
+		cold, all := len(r.nodes[0].Parts())-before, len(r.calls())
 		if all < 30 || cold*6 > all {
 			t.Fatalf("%d of %d parts went to the cold node, want under half an even share", cold, all)
 		}
@@ -331,18 +331,18 @@
 func TestPartialAnswerIsHonest(t *testing.T) {
 	each(t, 4, nil, func(t *testing.T, r *rig) {
 		for _, n := range r.nodes {
-			n.Work(func(c testkit.Call) string {
+			n.SetResponder(func(c testkit.Part) string {
 				if c.Shard == 5 {
-					return testkit.Fail
+					return testkit.Failed
 				}
 				return testkit.Done
 			})
 		}
 		got := r.ask(context.Background(), testkit.Query{Class: "part", Shards: []int{1, 2, 3, 5}})
-		if got.Kind != "served" || got.Whole || len(got.Values) != 3 {
+		if got.Outcome != "served" || got.Complete || len(got.Values) != 3 {
 			t.Errorf("class with a floor: got %+v", got)
 		}
-		if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{1, 2, 3, 5}}); got.Kind != "refused" {
+		if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{1, 2, 3, 5}}); got.Outcome != "refused" {
 			t.Errorf("class that needs all: got %+v", got)
 		}
 	})
@@ -353,8 +353,8 @@
 	each(t, 3, nil, func(t *testing.T, r *rig) {
 		r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}) // teaches usual times
 		r.all(testkit.Full)
-		got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}, Within: 15 * time.Second})
-		if got.Kind != "refused" || got.RetryAfter <= 0 {
+		got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}, Timeout: 15 * time.Second})
+		if got.Outcome != "refused" || got.RetryAfter <= 0 {
 			t.Fatalf("got %+v, want a refusal with a hint", got)
 		}
 		if s := r.d.Stats(); s.Open != 0 {
@@ -366,12 +366,12 @@
 // What the broker has no room for is refused before it is taken in.
 func TestFullBrokerRefuses(t *testing.T) {
 	each(t, 3, func(s map[string]any) { s["caps"].(map[string]any)["maxOpen"] = 7 }, func(t *testing.T, r *rig) {
-		r.all(testkit.Silent)
+		r.all(testkit.NeverAnswer)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan testkit.Reply, 1)
 		go func() { done <- r.ask(ctx, testkit.Query{Class: "screen", Shards: six}) }()
 		testkit.Eventually(t, "the first query is held", func() bool { return r.d.Stats().Open == 1 })
-		if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{1}}); got.Kind != "refused" {
+		if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{1}}); got.Outcome != "refused" {
 			t.Errorf("got %+v", got)
 		}
 		cancel()
@@ -383,7 +383,7 @@
 // A client that leaves ends its query, and its parts are given up.
 func TestClientLeaves(t *testing.T) {
 	each(t, 2, nil, func(t *testing.T, r *rig) {
-		r.all(testkit.Silent)
+		r.all(testkit.NeverAnswer)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan testkit.Reply, 1)
 		go func() { done <- r.ask(ctx, testkit.Query{Class: "screen", Shards: []int{1, 2}}) }()
@@ -391,7 +391,7 @@
 		cancel()
 		<-done
 		testkit.Eventually(t, "both parts are given up", func() bool {
-			return len(r.nodes[0].GivenUp())+len(r.nodes[1].GivenUp()) >= 2
+			return len(r.nodes[0].Cancelled())+len(r.nodes[1].Cancelled()) >= 2
 		})
 		if s := r.d.Stats(); s.Left != 1 || s.Open != 0 {
 			t.Errorf("stats %+v", s)
@@ -406,12 +406,12 @@
 		for i := range 30 { // times to judge a straggler by
 			r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{i % 18, (i + 5) % 18}})
 		}
-		r.nodes[0].Always(testkit.Silent)
+		r.nodes[0].SetResponse(testkit.NeverAnswer)
 		testkit.Eventually(t, "the silent node is asked", func() bool {
-			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind == "none" {
+			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Outcome == "none" {
 				t.Errorf("got %+v", got)
 			}
-			return len(r.nodes[0].GivenUp()) > 0
+			return len(r.nodes[0].Cancelled()) > 0
 		})
 	})
 }
@@ -422,7 +422,7 @@
 			{Class: "nothing", Shards: []int{1}}, {Class: "screen"}, {Class: "screen", Shards: []int{18}},
 			{Class: "screen", Shards: []int{1, 1}}, {Class: "edit", Shards: []int{1}}, {Class: "screen", ID: "a b", Shards: []int{1}},
 		} {
-			if got := r.ask(context.Background(), q); got.Kind != "invalid" {
+			if got := r.ask(context.Background(), q); got.Outcome != "invalid" {
 				t.Errorf("%+v: got %+v", q, got)
 			}
 		}
@@ -451,11 +451,11 @@
 		res.Body.Close()
 		return res.StatusCode
 	}
-	testkit.Eventually(t, "the empty list is told", func() bool { return len(d.Calls()) >= 2 })
+	testkit.Eventually(t, "the empty list is told", func() bool { return len(d.Requests()) >= 2 })
 	if got := ready(); got != http.StatusServiceUnavailable {
 		t.Errorf("without a node: %d", got)
 	}
-	d.Change(testkit.NewNode(t, "s-1", false).Entry())
+	d.Update(testkit.NewNode(t, "s-1", false).Entry())
 	testkit.Eventually(t, "ready", func() bool { return ready() == http.StatusOK })
 	if b.FlightAddr() != nil {
 		t.Error("the Flight front is on")
@@ -471,13 +471,13 @@
 func TestLoadLeavesNothing(t *testing.T) {
 	each(t, 4, nil, func(t *testing.T, r *rig) {
 		ask := func(n int, end string) {
-			r.nodes[3].Always(end)
+			r.nodes[3].SetResponse(end)
 			var wg sync.WaitGroup
 			for range n {
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six, Within: 500 * time.Millisecond})
+					r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six, Timeout: 500 * time.Millisecond})
 				}()
 			}
 			wg.Wait()
@@ -486,7 +486,7 @@
 		ask(4, testkit.Done)
 		calm := runtime.NumGoroutine() + 16 // of the stand-ins' and the clients' connections
 		for range 4 {
-			ask(40, testkit.Silent)
+			ask(40, testkit.NeverAnswer)
 		}
 		ask(4, testkit.Done)
 		testkit.Eventually(t, "the goroutines end", func() bool {
@@ -501,18 +501,18 @@
 func TestNothingIsCalledOffWhereThatIsForbidden(t *testing.T) {
 	forbid := func(s map[string]any) { s["caps"].(map[string]any)["cancel"] = false }
 	each(t, 2, forbid, func(t *testing.T, r *rig) {
-		r.all(testkit.Silent)
-		if got := r.ask(context.Background(), testkit.Query{Class: "order", Shards: six[:1], Within: 300 * time.Millisecond}); got.Kind == "served" {
+		r.all(testkit.NeverAnswer)
+		if got := r.ask(context.Background(), testkit.Query{Class: "order", Shards: six[:1], Timeout: 300 * time.Millisecond}); got.Outcome == "served" {
 			t.Errorf("got %+v", got)
 		}
 		r.all(testkit.Done)
 		for range 3 { // on the same connections, so that a word about the first would have come
-			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind != "served" {
+			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Outcome != "served" {
 				t.Errorf("got %+v", got)
 			}
 		}
 		for _, n := range r.nodes {
-			if given := n.GivenUp(); len(given) != 0 && !strings.HasPrefix(n.Addr, broker.FlightScheme) {
+			if given := n.Cancelled(); len(given) != 0 && !strings.HasPrefix(n.Addr, broker.FlightScheme) {
 				t.Errorf("%s was told to give up %v", n.ID, given)
 			}
 		}
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -97,13 +97,13 @@
 		}
 	}
 	testkit.Eventually(t, "the whole list", count(1))
-	testkit.Eventually(t, "a watch", func() bool { return len(d.Calls()) > 1 })
+	testkit.Eventually(t, "a watch", func() bool { return len(d.Requests()) > 1 })
 	e := n.Entry()
 	e.State = "terminating"
-	d.Change(e)
+	d.Update(e)
 	testkit.Eventually(t, "the drain", count(2))
 	e.State = "terminated"
-	d.Change(e)
+	d.Update(e)
 	testkit.Eventually(t, "the end", count(3))
 	cancel()
 	<-ended
@@ -115,7 +115,7 @@
 			t.Errorf("news %d: %+v", i, r)
 		}
 	}
-	if calls := d.Calls(); calls[0] != "/v1/endpoints" || !strings.Contains(calls[1], "after=1") ||
+	if calls := d.Requests(); calls[0] != "/v1/endpoints" || !strings.Contains(calls[1], "after=1") ||
 		!strings.Contains(strings.Join(calls[2:], " "), "after=2") {
 		t.Errorf("calls %q", calls)
 	}
@@ -147,12 +147,12 @@
 	d := testkit.NewDiscovery(t, n.Entry())
 	known := int64(1)
 	got := watched(t, d.Addr, &known)
-	testkit.Eventually(t, "a watch", func() bool { return len(d.Calls()) > 0 })
-	d.Hush()
-	testkit.Eventually(t, "the watch is silent", func() bool { return d.Silent() > 0 })
+	testkit.Eventually(t, "a watch", func() bool { return len(d.Requests()) > 0 })
+	d.StallWatches()
+	testkit.Eventually(t, "the watch is silent", func() bool { return d.StalledWatches() > 0 })
 	e := n.Entry()
 	e.State = "terminating"
-	d.Change(e)
+	d.Update(e)
 	began := time.Now()
 	r := <-got
 	// Told by the platform's clock 6 s after the watch fell silent, at the latest.
@@ -207,14 +207,14 @@
 	d := testkit.NewDiscovery(t, n.Entry())
 	e := n.Entry()
 	e.State = "terminating"
-	d.Change(e)
+	d.Update(e)
 	known := int64(1)
 	got := watched(t, d.Addr, &known)
 	r := <-got
 	if r.Kind != decide.ListDelta || r.Version != 2 || len(r.Nodes) != 1 || r.Nodes[0].State != decide.Draining {
 		t.Errorf("got %+v", r)
 	}
-	if calls := d.Calls(); !strings.Contains(calls[0], "after=1") {
+	if calls := d.Requests(); !strings.Contains(calls[0], "after=1") {
 		t.Errorf("calls %q", calls)
 	}
 }
--- a/flightnode/client_test.go
+++ b/flightnode/client_test.go
@@ -70,8 +70,8 @@
 	c := New(Options{Sink: s, ConnectTimeout: 200 * time.Millisecond, MaxConns: 3, Log: zerolog.New(io.Discard)})
 	defer c.Close()
 	n := testkit.NewNode(t, "n", true)
-	n.Work(func(call testkit.Call) string {
-		return []string{testkit.Done, testkit.Fail, testkit.Full, testkit.Break, testkit.Silent}[call.Shard]
+	n.SetResponder(func(call testkit.Part) string {
+		return []string{testkit.Done, testkit.Failed, testkit.Full, testkit.Disconnect, testkit.NeverAnswer}[call.Shard]
 	})
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -105,7 +105,7 @@
 		}
 	}
 	expect(send("n", 0, time.Minute), decide.OK)
-	if call := n.Calls()[0]; s.value != testkit.Value(0) || call.ID != "q.0" || call.Key != "k" || call.Text != "x\x00y" {
+	if call := n.Parts()[0]; s.value != testkit.ShardValue(0) || call.ID != "q.0" || call.Key != "k" || call.Query != "x\x00y" {
 		t.Errorf("value %q, call %+v", s.value, call)
 	}
 	expect(send("n", 1, time.Minute), decide.Failed)
@@ -116,10 +116,10 @@
 	expect(send("mute", 0, time.Minute), decide.Unreachable)
 	expect(send("unlisted", 0, time.Minute), decide.Unreachable)
 	off := send("n", 4, time.Minute)
-	n.Wait(t, "the part", func() bool { return len(n.Calls()) == 6 })
+	n.WaitFor(t, "the part", func() bool { return len(n.Parts()) == 6 })
 	c.Cancel("n", off)
 	expect(off, decide.Cancelled)
-	n.Wait(t, "the part given up", func() bool { return len(n.GivenUp()) >= 2 })
+	n.WaitFor(t, "the part given up", func() bool { return len(n.Cancelled()) >= 2 })
 	c.Probe("n")
 	c.Probe("dead")
 	testkit.Eventually(t, "both probes", func() bool {
@@ -131,7 +131,7 @@
 	moved := testkit.NewNode(t, "n", true)
 	c.Update([]broker.Node{{ID: "n", Addr: moved.Addr}})
 	expect(send("n", 0, time.Minute), decide.OK)
-	if len(moved.Calls()) != 1 {
+	if len(moved.Parts()) != 1 {
 		t.Error("the part went to the old address")
 	}
 }
@@ -145,9 +145,9 @@
 	var list []broker.Node
 	for i := range 5 {
 		n := testkit.NewNode(t, fmt.Sprint(i), true)
-		n.Work(func(call testkit.Call) string {
+		n.SetResponder(func(call testkit.Part) string {
 			if call.Shard >= 100 {
-				return testkit.Silent
+				return testkit.NeverAnswer
 			}
 			return testkit.Done
 		})
--- a/flightnode/late_test.go
+++ b/flightnode/late_test.go
@@ -99,8 +99,8 @@
 			t.Errorf("attempt %d: outcomes %v, want %v", id, got, want)
 		}
 	}
-	if calls := nodes[0].Calls(); len(calls) != 1 || calls[0].Shard != 2 || len(nodes[1].Calls())+len(nodes[2].Calls()) != 0 {
-		t.Errorf("the nodes got %+v, %+v, %+v", calls, nodes[1].Calls(), nodes[2].Calls())
+	if calls := nodes[0].Parts(); len(calls) != 1 || calls[0].Shard != 2 || len(nodes[1].Parts())+len(nodes[2].Parts()) != 0 {
+		t.Errorf("the nodes got %+v, %+v, %+v", calls, nodes[1].Parts(), nodes[2].Parts())
 	}
 }
 
@@ -124,8 +124,8 @@
 		defer s.mu.Unlock()
 		return len(s.got) == 1
 	})
-	calls := n.Calls()
-	if len(calls) != 1 || calls[0].Wait > time.Minute-waited || calls[0].Wait < time.Minute-time.Since(sent)-time.Millisecond {
+	calls := n.Parts()
+	if len(calls) != 1 || calls[0].Timeout > time.Minute-waited || calls[0].Timeout < time.Minute-time.Since(sent)-time.Millisecond {
 		t.Errorf("the node got %+v, after %v", calls, waited)
 	}
 }
--- a/flightnode/paths_test.go
+++ b/flightnode/paths_test.go
@@ -51,7 +51,7 @@
 	}
 	dead.Close()
 	n := testkit.NewNode(t, "n", true)
-	sock := n.Also(t, "unix", filepath.Join(t.TempDir(), "n"))
+	sock := n.AddAddress(t, "unix", filepath.Join(t.TempDir(), "n"))
 	gone := broker.FlightScheme + dead.Addr().String()
 	list := func(addrs ...string) {
 		if len(addrs) == 0 {
@@ -70,8 +70,8 @@
 	if views := c.Addresses()["n"]; len(views) != 2 || views[0].Text != n.Addr {
 		t.Errorf("order %+v", views)
 	}
-	if len(n.Calls()) != 2 {
-		t.Errorf("%d parts ran, want 2", len(n.Calls()))
+	if len(n.Parts()) != 2 {
+		t.Errorf("%d parts ran, want 2", len(n.Parts()))
 	}
 	list()
 	send(3, time.Minute, decide.Unreachable)
@@ -103,11 +103,11 @@
 func TestStallLeavesTheAddress(t *testing.T) {
 	c, send := start(t)
 	stalled, good := testkit.NewNode(t, "n", true), testkit.NewNode(t, "n", true)
-	stalled.Always(testkit.Silent)
+	stalled.SetResponse(testkit.NeverAnswer)
 	c.Update([]broker.Node{{ID: "n", Addr: stalled.Addr, Addrs: []string{stalled.Addr, good.Addr}}})
 	send(1, 50*time.Millisecond, decide.TimedOut)
 	send(2, time.Minute, decide.OK)
-	if len(stalled.Calls()) != 1 || len(good.Calls()) != 1 {
-		t.Errorf("%d and %d parts, want one each", len(stalled.Calls()), len(good.Calls()))
+	if len(stalled.Parts()) != 1 || len(good.Parts()) != 1 {
+		t.Errorf("%d and %d parts, want one each", len(stalled.Parts()), len(good.Parts()))
 	}
 }
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -25,139 +25,140 @@
 	"onyxsail/internal/flightwire"
 )
 
-// Query is what a client asks.
+// Query is a query as a client sends it. Key is its idempotency key.
 type Query struct {
 	Class, ID, Key string
 	Shards         []int
-	Within         time.Duration
-	Traceparent    []string // each as a header of its own
+	Timeout        time.Duration
+	Traceparent    []string // each value is sent as a separate header
 	Tracestate     string
 }
 
-// Loss is why a client has no answer.
-type Loss string
+// NoReplyReason classifies why a client received no reply.
+type NoReplyReason string
 
-// The losses.
+// The reasons for a missing reply.
 const (
-	NoConnection Loss = "no connection"                 // none came up
-	WasReset     Loss = "reset"                         // the connection broke before an answer began
-	EndedEarly   Loss = "ended before an answer"        // it was ended in order, with nothing said
-	TimeOver     Loss = "the client's own time is over" // nothing came until the client gave up
-	ShortBody    Loss = "an answer cut short"           // the answer's head came, its body did not come whole
-	NotSaid      Loss = "unknown"
+	NoConnection     NoReplyReason = "no connection"                    // no connection was established
+	ConnectionReset  NoReplyReason = "connection reset"                 // the connection was reset before the reply began
+	ConnectionClosed NoReplyReason = "connection closed before a reply" // the connection was closed in an orderly way without a reply
+	ClientTimeout    NoReplyReason = "client timeout"                   // nothing arrived within the client's timeout
+	TruncatedReply   NoReplyReason = "truncated reply"                  // the head of the reply arrived, but not all of its body
+	UnknownReason    NoReplyReason = "unknown"                          // none of the above
 )
 
-// Reply is what a client got.
+// Reply is the result of a query as its client sees it.
 type Reply struct {
-	Err        error  // with Kind none: why there is no answer
-	Loss       Loss   // the same, told apart
-	Path       string // with Kind none: what is known of the connection
-	Kind       string // served, refused, failed, expired, invalid or none
-	Whole      bool
-	Values     map[int]string
-	RetryAfter time.Duration
-	Took       time.Duration
+	Err           error          // for Outcome "none": why there is no reply
+	NoReplyReason NoReplyReason  // for Outcome "none": Err as a class
+	ConnTrace     string         // for Outcome "none": timings of the connection (HTTP only)
+	Outcome       string         // "served", "refused", "failed", "expired", "invalid" or "none"
+	Complete      bool           // as the reply says; false for a partial result
+	Values        map[int]string // by shard
+	RetryAfter    time.Duration  // 0: not set by the reply
+	Latency       time.Duration
 }
 
-func (q *Query) body() map[string]any {
+// requestBody returns the fields that the HTTP body and the Flight ticket have in common.
+func (q *Query) requestBody() map[string]any {
 	targets := []map[string]any{}
-	for _, s := range q.Shards {
-		targets = append(targets, map[string]any{"partition": s, "share": 1 / float64(len(q.Shards)), "est_us": 9000})
+	for _, shard := range q.Shards {
+		targets = append(targets, map[string]any{"partition": shard, "share": 1 / float64(len(q.Shards)), "est_us": 9000})
 	}
 	return map[string]any{"targets": targets, "query": "c41e77d0"}
 }
 
-// made is when the client's connections were made, by their own addresses. A number that is
-// used again takes the place of the old one.
-var made sync.Map
+// connCreatedAt maps the local address of each client connection to the time at which it was
+// created. When a local port is reused, the new connection replaces the old entry.
+var connCreatedAt sync.Map
 
-// journey notes what becomes of one request on its way.
-type journey struct {
-	mu                  sync.Mutex
-	began               time.Time
-	got, wrote, replied time.Duration // since began; 0: did not happen
-	tries               int           // connections that the request was given
-	reused              bool
-	age, rested         time.Duration // of the latest connection, when the request got it
-	local               string        // its address
+// connTrace records the connection events of one request.
+type connTrace struct {
+	mu                                      sync.Mutex
+	started                                 time.Time
+	connAfter, requestAfter, firstByteAfter time.Duration // since started; 0: did not happen
+	connCount                               int           // number of connections tried for the request
+	reused                                  bool
+	connAge, connIdle                       time.Duration // of the last connection, when the request obtained it
+	localAddr                               string        // of the last connection
 }
 
-func (j *journey) trace() *httptrace.ClientTrace {
-	since := func(at *time.Duration) {
-		j.mu.Lock()
-		defer j.mu.Unlock()
-		*at = time.Since(j.began)
+func (t *connTrace) clientTrace() *httptrace.ClientTrace {
+	record := func(elapsed *time.Duration) {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		*elapsed = time.Since(t.started)
 	}
 	return &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
-			since(&j.got)
-			j.mu.Lock()
-			defer j.mu.Unlock()
-			j.tries++
-			j.reused, j.rested, j.local = info.Reused, info.IdleTime, info.Conn.LocalAddr().String()
+			record(&t.connAfter)
+			t.mu.Lock()
+			defer t.mu.Unlock()
+			t.connCount++
+			t.reused, t.connIdle, t.localAddr = info.Reused, info.IdleTime, info.Conn.LocalAddr().String()
 			if !info.Reused {
-				made.Store(j.local, time.Now())
+				connCreatedAt.Store(t.localAddr, time.Now())
 			}
-			if at, ok := made.Load(j.local); ok {
-				j.age = time.Since(at.(time.Time))
+			if elapsed, ok := connCreatedAt.Load(t.localAddr); ok {
+				t.connAge = time.Since(elapsed.(time.Time))
 			}
 		},
-		WroteRequest:         func(httptrace.WroteRequestInfo) { since(&j.wrote) },
-		GotFirstResponseByte: func() { since(&j.replied) },
+		WroteRequest:         func(httptrace.WroteRequestInfo) { record(&t.requestAfter) },
+		GotFirstResponseByte: func() { record(&t.firstByteAfter) },
 	}
 }
 
-// String says what happened, in milliseconds since the request began.
-func (j *journey) String() string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	at := func(d time.Duration) string {
+// String formats the recorded events, with times in milliseconds since the request started.
+func (t *connTrace) String() string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	format := func(d time.Duration) string {
 		if d == 0 {
 			return "never"
 		}
 		return fmt.Sprintf("at %.1f ms", float64(d)/float64(time.Millisecond))
 	}
-	return fmt.Sprintf("%d connections, the last from %s, reused %v after %v of rest, aged %v; got %s, request written %s, answer begun %s",
-		j.tries, j.local, j.reused, j.rested, j.age, at(j.got), at(j.wrote), at(j.replied))
+	return fmt.Sprintf("%d connections, last from %s (reused: %v, idle for %v, age %v); obtained %s, request written %s, first byte of the reply %s",
+		t.connCount, t.localAddr, t.reused, t.connIdle, t.connAge, format(t.connAfter), format(t.requestAfter), format(t.firstByteAfter))
 }
 
-func (j *journey) connected() bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.got != 0
+func (t *connTrace) connected() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.connAfter != 0
 }
 
-// lossOf tells apart why a request has no answer.
-func lossOf(ctx context.Context, err error, connected bool) Loss {
+// classifyNoReply returns the reason why a request that failed with err has no reply.
+func classifyNoReply(ctx context.Context, err error, connected bool) NoReplyReason {
 	switch {
 	case errors.Is(err, syscall.ECONNRESET), errors.Is(err, syscall.EPIPE):
-		return WasReset
+		return ConnectionReset
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return EndedEarly
+		return ConnectionClosed
 	case ctx.Err() != nil:
-		return TimeOver
+		return ClientTimeout
 	case !connected:
 		return NoConnection
 	}
-	return NotSaid
+	return UnknownReason
 }
 
-// AskHTTP asks on the platform's protocol.
-func AskHTTP(ctx context.Context, addr string, q Query) Reply {
-	body, err := json.Marshal(q.body())
+// QueryHTTP sends a query over HTTP and waits for the reply.
+func QueryHTTP(ctx context.Context, addr string, q Query) Reply {
+	body, err := json.Marshal(q.requestBody())
 	if err != nil {
 		panic(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Within)
+	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
-	way := &journey{began: time.Now()}
-	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, way.trace()), http.MethodPost, "http://"+addr+"/"+q.Class, bytes.NewReader(body))
+	trace := &connTrace{started: time.Now()}
+	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace.clientTrace()), http.MethodPost, "http://"+addr+"/"+q.Class, bytes.NewReader(body))
 	if err != nil {
 		panic(err)
 	}
 	req.Header.Set("X-Request-Id", q.ID)
 	req.Header.Set("X-Class", q.Class)
-	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(q.Within.Milliseconds(), 10))
+	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(q.Timeout.Milliseconds(), 10))
 	if q.Key != "" {
 		req.Header.Set("Idempotency-Key", q.Key)
 	}
@@ -167,66 +168,66 @@
 	}
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return Reply{Kind: "none", Err: err, Loss: lossOf(ctx, err, way.connected()), Path: way.String(), Took: time.Since(way.began)}
+		return Reply{Outcome: "none", Err: err, NoReplyReason: classifyNoReply(ctx, err, trace.connected()), ConnTrace: trace.String(), Latency: time.Since(trace.started)}
 	}
 	defer res.Body.Close()
-	r := readReply(res)
-	if r.Took = time.Since(way.began); r.Kind == "none" {
-		r.Path = way.String()
+	reply := readReply(res)
+	if reply.Latency = time.Since(trace.started); reply.Outcome == "none" {
+		reply.ConnTrace = trace.String()
 	}
-	return r
+	return reply
 }
 
-// readReply reads an answer whole.
+// readReply reads a complete HTTP response.
 func readReply(res *http.Response) Reply {
 	text, err := io.ReadAll(res.Body)
 	if err != nil {
-		return Reply{Kind: "none", Err: fmt.Errorf("status %d, %d bytes of its body: %w", res.StatusCode, len(text), err), Loss: ShortBody}
+		return Reply{Outcome: "none", Err: fmt.Errorf("reading the response body: status %d, got %d bytes: %w", res.StatusCode, len(text), err), NoReplyReason: TruncatedReply}
 	}
-	r := Reply{Kind: "failed", Values: map[int]string{}}
+	reply := Reply{Outcome: "failed", Values: map[int]string{}}
 	switch res.StatusCode {
 	case http.StatusOK:
-		var a struct {
+		var answer struct {
 			Whole   bool
 			Results []struct {
 				Partition int
 				Value     string
 			}
 		}
-		if err := json.Unmarshal(text, &a); err != nil {
-			return Reply{Kind: "none", Err: fmt.Errorf("an answer of %d bytes: %w", len(text), err), Loss: ShortBody}
+		if err := json.Unmarshal(text, &answer); err != nil {
+			return Reply{Outcome: "none", Err: fmt.Errorf("decoding a response of %d bytes: %w", len(text), err), NoReplyReason: TruncatedReply}
 		}
-		r.Kind, r.Whole = "served", a.Whole
-		for _, x := range a.Results {
-			r.Values[x.Partition] = x.Value
+		reply.Outcome, reply.Complete = "served", answer.Whole
+		for _, result := range answer.Results {
+			reply.Values[result.Partition] = result.Value
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		r.Kind = "refused"
+		reply.Outcome = "refused"
 		if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
-			r.RetryAfter = time.Duration(s * float64(time.Second))
+			reply.RetryAfter = time.Duration(s * float64(time.Second))
 		}
 	case http.StatusGatewayTimeout:
-		r.Kind = "expired"
+		reply.Outcome = "expired"
 	case http.StatusBadRequest, http.StatusNotFound:
-		r.Kind = "invalid"
+		reply.Outcome = "invalid"
 	}
-	return r
+	return reply
 }
 
-// AskFlight asks in Arrow Flight.
-func AskFlight(ctx context.Context, addr string, q Query) Reply {
+// QueryFlight sends a query over Arrow Flight and waits for the reply.
+func QueryFlight(ctx context.Context, addr string, q Query) Reply {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		panic(err)
 	}
 	defer conn.Close()
-	body := q.body()
+	body := q.requestBody()
 	body["id"], body["class"], body["key"] = q.ID, q.Class, q.Key
 	ticket, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, q.Within)
+	ctx, cancel := context.WithTimeout(ctx, q.Timeout)
 	defer cancel()
 	for _, p := range q.Traceparent {
 		ctx = metadata.AppendToOutgoingContext(ctx, "traceparent", p)
@@ -235,32 +236,32 @@
 		ctx = metadata.AppendToOutgoingContext(ctx, "tracestate", q.Tracestate)
 	}
 	start := time.Now()
-	r := Reply{Values: map[int]string{}}
+	reply := Reply{Values: map[int]string{}}
 	stream, err := flight.NewClientFromConn(conn, nil).DoGet(ctx, &flight.Ticket{Ticket: ticket})
 	if err == nil {
-		whole, values, rerr := flightwire.ReadValues(stream)
-		err, r.Whole = rerr, whole
+		whole, values, readErr := flightwire.ReadValues(stream)
+		err, reply.Complete = readErr, whole
 		for _, v := range values {
-			r.Values[v.Shard] = string(v.Data)
+			reply.Values[v.Shard] = string(v.Data)
 		}
 	}
-	r.Took = time.Since(start)
-	var s interface{ GRPCStatus() *status.Status }
+	reply.Latency = time.Since(start)
+	var statusErr interface{ GRPCStatus() *status.Status }
 	switch {
 	case err == nil:
-		r.Kind = "served"
-	case ctx.Err() != nil || !errors.As(err, &s):
-		r.Kind = "none"
+		reply.Outcome = "served"
+	case ctx.Err() != nil || !errors.As(err, &statusErr):
+		reply.Outcome = "none"
 	default:
-		r.Kind = map[codes.Code]string{
+		reply.Outcome = map[codes.Code]string{
 			codes.Unavailable: "refused", codes.Aborted: "failed", codes.DeadlineExceeded: "expired",
 			codes.InvalidArgument: "invalid", codes.NotFound: "invalid",
-		}[s.GRPCStatus().Code()]
-		for _, d := range s.GRPCStatus().Details() {
+		}[statusErr.GRPCStatus().Code()]
+		for _, d := range statusErr.GRPCStatus().Details() {
 			if info, ok := d.(*errdetails.RetryInfo); ok {
-				r.RetryAfter = info.GetRetryDelay().AsDuration()
+				reply.RetryAfter = info.GetRetryDelay().AsDuration()
 			}
 		}
 	}
-	return r
+	return reply
 }
--- a/internal/testkit/collector.go
+++ b/internal/testkit/collector.go
@@ -15,34 +15,35 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The ways in which a collector answers a request; a number is a status.
+// The actions by which a Collector answers an export request.
 const (
-	Accept   = "accept"
-	Hang     = "hang"  // answer nothing until the client goes
-	Reset    = "reset" // read half of the body and cut the connection
-	HalfDone = "half"  // accept, and reject half of the spans
+	Accept     = "accept" // store all spans
+	Hang       = "hang"   // send no response until the client disconnects
+	Reset      = "reset"  // read a few bytes of the body and reset the connection
+	RejectHalf = "half"   // store half of the spans and report the others as rejected
 )
 
-// Collector is a stand-in for one that takes OTLP over HTTP.
+// Collector is a fake OpenTelemetry collector that receives OTLP over HTTP.
 type Collector struct {
 	Addr string
 
 	mu       sync.Mutex
-	script   []Scripted // answers to come; then Accept
+	script   []ScriptedResponse // pending responses; Accept once all are used
 	spans    []*tracepb.Span
 	requests int
 	changed  chan struct{}
 }
 
-// Scripted is one answer.
-type Scripted struct {
-	Do         string // of the ways above, or "" for Status
+// ScriptedResponse is the response to one export request.
+type ScriptedResponse struct {
+	Action     string // one of the actions above; "": respond with Status
 	Status     int
 	RetryAfter string
 }
 
-// NewCollector starts a collector that takes all but what the script says.
-func NewCollector(t testing.TB, script ...Scripted) *Collector {
+// NewCollector starts a collector that answers the first requests by the script, in order, and
+// accepts all later ones. It is closed when the test ends.
+func NewCollector(t testing.TB, script ...ScriptedResponse) *Collector {
 	t.Helper()
 	c := &Collector{script: script, changed: make(chan struct{}, 1)}
 	s := httptest.NewServer(c)
@@ -54,32 +55,32 @@
 	return c
 }
 
-// Spans returns what was taken.
+// Spans returns the spans that were accepted so far.
 func (c *Collector) Spans() []*tracepb.Span {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*tracepb.Span(nil), c.spans...)
 }
 
-// Requests is how many came, also those that were not taken.
+// Requests returns the number of export requests received, including those that were not accepted.
 func (c *Collector) Requests() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests
 }
 
-// ServeHTTP answers one export.
+// ServeHTTP handles one export request.
 func (c *Collector) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.mu.Lock()
 	c.requests++
-	do := Scripted{Do: Accept}
+	response := ScriptedResponse{Action: Accept}
 	if len(c.script) > 0 {
-		do, c.script = c.script[0], c.script[1:]
+		response, c.script = c.script[0], c.script[1:]
 	}
 	c.mu.Unlock()
-	switch do.Do {
+	switch response.Action {
 	case Hang:
-		_, _ = io.Copy(io.Discard, r.Body) // or the server never sees that the client went
+		_, _ = io.Copy(io.Discard, r.Body) // the server notices a disconnect only once the body has been read
 		<-r.Context().Done()
 		return
 	case Reset:
@@ -94,20 +95,20 @@
 		}
 		return
 	case "":
-		if do.RetryAfter != "" {
-			w.Header().Set("Retry-After", do.RetryAfter)
+		if response.RetryAfter != "" {
+			w.Header().Set("Retry-After", response.RetryAfter)
 		}
-		w.WriteHeader(do.Status)
+		w.WriteHeader(response.Status)
 		return
 	}
 	body := io.Reader(r.Body)
 	if r.Header.Get("Content-Encoding") == "gzip" {
-		z, err := gzip.NewReader(r.Body)
+		unzipped, err := gzip.NewReader(r.Body)
 		if err != nil {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		body = z
+		body = unzipped
 	}
 	data, err := io.ReadAll(body)
 	var req coltracepb.ExportTraceServiceRequest
@@ -121,19 +122,19 @@
 			spans = append(spans, ss.GetSpans()...)
 		}
 	}
-	answer := &coltracepb.ExportTraceServiceResponse{}
-	if do.Do == HalfDone {
-		n := len(spans) / 2
-		spans = spans[n:]
-		answer.PartialSuccess = &coltracepb.ExportTracePartialSuccess{RejectedSpans: int64(n), ErrorMessage: "half is enough"}
+	reply := &coltracepb.ExportTraceServiceResponse{}
+	if response.Action == RejectHalf {
+		rejected := len(spans) / 2
+		spans = spans[rejected:]
+		reply.PartialSuccess = &coltracepb.ExportTracePartialSuccess{RejectedSpans: int64(rejected), ErrorMessage: "half is enough"}
 	}
 	c.mu.Lock()
 	c.spans = append(c.spans, spans...)
 	c.mu.Unlock()
-	out, err := proto.Marshal(answer)
+	out, err := proto.Marshal(reply)
 	if err != nil {
 		panic(err)
 	}
 	w.Header().Set("Content-Type", "application/x-protobuf")
-	_, _ = w.Write(out) // the client may have gone
+	_, _ = w.Write(out) // the client may have disconnected
 }
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -1,6 +1,7 @@
-// Package testkit holds what the tests with real sockets share: stand-ins for
-// nodes, discovery and clients, written from their protocols and not from the
-// code under test, and a rig that starts a broker among them.
+// Package testkit provides the fixtures of the tests that use real sockets: fake nodes,
+// a fake discovery agent, a fake trace collector, clients, a proxy that injects faults, and
+// broker configurations. The fakes are written from the protocols and not from the code
+// under test, so that an error in that code does not go unnoticed on both sides.
 package testkit
 
 import (
@@ -27,53 +28,53 @@
 	"onyxsail/internal/flightwire"
 )
 
-// Call is one part as a node got it.
-type Call struct {
-	ID    string
-	Shard int
-	Key   string
-	Text  string
-	Wait  time.Duration
-	At    time.Time
-	// The headers of the trace, on Flight.
+// Part is one part of a query as a node received it.
+type Part struct {
+	ID         string
+	Shard      int
+	Key        string        // idempotency key
+	Query      string        // the query's text
+	Timeout    time.Duration // the time left for the part, as the broker states it
+	ReceivedAt time.Time
+	// The trace context headers; set on Flight only.
 	Traceparent, Tracestate string
 }
 
-// The ways in which a stand-in ends a part.
+// The responses of a Node to a part.
 const (
-	Done   = "done"
-	Fail   = "failed"
-	Full   = "full"
-	Break  = "break"  // cut the connection in the middle of the answer
-	Silent = "silent" // answer nothing until the part is given up
-	Raw    = "raw:"   // write what follows as it is
+	Done        = "done"   // the shard's value
+	Failed      = "failed" // the part failed
+	Full        = "full"   // refused: the node's queue is full
+	Disconnect  = "break"  // close the connection in the middle of the response
+	NeverAnswer = "silent" // do not respond; wait until the broker cancels the part
+	RawResponse = "raw:"   // prefix: write the rest of the string to the connection unchanged (frames only)
 )
 
-// Frame renders one frame of the nodes' protocol.
-func Frame(letter byte, rest string) string {
-	b := binary.BigEndian.AppendUint32(nil, uint32(len(rest)+1))
-	return string(append(append(b, letter), rest...))
+// Frame encodes one frame of the node protocol: the length, the type and the payload.
+func Frame(frameType byte, payload string) string {
+	b := binary.BigEndian.AppendUint32(nil, uint32(len(payload)+1))
+	return string(append(append(b, frameType), payload...))
 }
 
-// Node is a stand-in for a node of either kind.
+// Node is a fake node that speaks either the frame protocol or Arrow Flight.
 type Node struct {
 	ID, Addr string
-	Addrs    []string // further ones
+	Addrs    []string // additional addresses
 	Cell     int
 
-	mu       sync.Mutex
-	work     func(Call) string // how a part ends; runs outside the lock
-	calls    []Call
-	given    []string // ids of parts that were given up
-	conns    map[net.Conn]bool
-	listener net.Listener
-	more     []net.Listener
-	server   *grpc.Server
-	changed  chan struct{} // closed and remade at every change
+	mu             sync.Mutex
+	responder      func(Part) string // returns the response to a part; called without holding mu
+	parts          []Part
+	cancelled      []string // ids of cancelled parts
+	conns          map[net.Conn]bool
+	listener       net.Listener
+	extraListeners []net.Listener
+	grpcServer     *grpc.Server
+	changed        chan struct{} // closed and replaced on every change
 }
 
-// NewNode starts a node that serves all it gets.
-func NewNode(t testing.TB, id string, flightKind bool) *Node {
+// NewNode starts a node that responds to all parts with Done. It stops when the test ends.
+func NewNode(t testing.TB, id string, useFlight bool) *Node {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,23 +82,23 @@
 	}
 	n := &Node{
 		ID: id, Addr: l.Addr().String(), listener: l, conns: map[net.Conn]bool{}, changed: make(chan struct{}),
-		work: func(Call) string { return Done },
+		responder: func(Part) string { return Done },
 	}
-	if flightKind {
+	if useFlight {
 		n.Addr = broker.FlightScheme + n.Addr
-		n.server = grpc.NewServer()
-		flight.RegisterFlightServiceServer(n.server, &flightNode{node: n})
-		go func() { _ = n.server.Serve(tracked{l, n}) }() // ends with Stop
+		n.grpcServer = grpc.NewServer()
+		flight.RegisterFlightServiceServer(n.grpcServer, &flightServer{node: n})
+		go func() { _ = n.grpcServer.Serve(trackingListener{l, n}) }() // ends with Stop
 	} else {
-		go n.accept(l)
+		go n.acceptFrameConns(l)
 	}
 	t.Cleanup(n.Stop)
 	return n
 }
 
-// Also makes a node listen at a further address, which it returns in the list's
-// form.
-func (n *Node) Also(t testing.TB, network, addr string) string {
+// AddAddress makes the node listen at an additional address, which it returns in the form
+// used in the discovery list.
+func (n *Node) AddAddress(t testing.TB, network, addr string) string {
 	t.Helper()
 	l, err := net.Listen(network, addr)
 	if err != nil {
@@ -105,63 +106,64 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.more = append(n.more, l)
+	n.extraListeners = append(n.extraListeners, l)
 	text := l.Addr().String()
 	if network == "unix" {
 		text = "unix:" + text
 	}
-	if n.server != nil {
+	if n.grpcServer != nil {
 		if text = "grpc+" + text; network != "unix" {
 			text = broker.FlightScheme + l.Addr().String()
 		}
-		go func() { _ = n.server.Serve(tracked{l, n}) }() // ends with Stop
+		go func() { _ = n.grpcServer.Serve(trackingListener{l, n}) }() // ends with Stop
 	} else {
-		go n.accept(l)
+		go n.acceptFrameConns(l)
 	}
 	n.Addrs = append(n.Addrs, text)
 	return text
 }
 
-// Work sets how parts end.
-func (n *Node) Work(f func(Call) string) {
+// SetResponder sets the function that chooses the response to each part.
+func (n *Node) SetResponder(responder func(Part) string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.work = f
+	n.responder = responder
 }
 
-// Always makes every part end so.
-func (n *Node) Always(end string) { n.Work(func(Call) string { return end }) }
+// SetResponse makes the node respond to every part in the same way.
+func (n *Node) SetResponse(response string) { n.SetResponder(func(Part) string { return response }) }
 
-// Calls returns the parts that came.
-func (n *Node) Calls() []Call {
+// Parts returns the parts received so far.
+func (n *Node) Parts() []Part {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]Call(nil), n.calls...)
+	return append([]Part(nil), n.parts...)
 }
 
-// GivenUp returns the ids of parts that the broker gave up.
-func (n *Node) GivenUp() []string {
+// Cancelled returns the ids of the parts that the broker has cancelled.
+func (n *Node) Cancelled() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]string(nil), n.given...)
+	return append([]string(nil), n.cancelled...)
 }
 
-// Stop closes the node as a dying process would.
+// Stop stops the node as a crashing process would: it closes the listeners and resets all
+// connections.
 func (n *Node) Stop() {
 	_ = n.listener.Close()
 	n.mu.Lock()
-	for _, l := range n.more {
+	for _, l := range n.extraListeners {
 		_ = l.Close()
 	}
 	n.mu.Unlock()
-	n.Cut()
-	if n.server != nil {
-		n.server.Stop()
+	n.ResetConnections()
+	if n.grpcServer != nil {
+		n.grpcServer.Stop()
 	}
 }
 
-// Cut breaks all its connections.
-func (n *Node) Cut() {
+// ResetConnections resets all connections of the node.
+func (n *Node) ResetConnections() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
@@ -172,7 +174,8 @@
 	}
 }
 
-func (n *Node) note(f func()) {
+// update runs f under the lock and notifies WaitFor of a change.
+func (n *Node) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
@@ -180,98 +183,100 @@
 	n.changed = make(chan struct{})
 }
 
-func (n *Node) begin(c Call) string {
-	var work func(Call) string
-	n.note(func() { n.calls, work = append(n.calls, c), n.work })
-	return work(c)
+// receive records a part and returns the response to it.
+func (n *Node) receive(part Part) string {
+	var responder func(Part) string
+	n.update(func() { n.parts, responder = append(n.parts, part), n.responder })
+	return responder(part)
 }
 
-// Wait returns once ok holds for the node, checked at each change.
-func (n *Node) Wait(t testing.TB, what string, ok func() bool) {
+// WaitFor waits until condition holds, which it checks on each change of the node.
+func (n *Node) WaitFor(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	limit := time.After(patience)
+	timeout := time.After(waitTimeout)
 	for {
 		n.mu.Lock()
 		changed := n.changed
 		n.mu.Unlock()
-		if ok() {
+		if condition() {
 			return
 		}
 		select {
 		case <-changed:
-		case <-limit:
-			t.Fatalf("node %s: never saw %s", n.ID, what)
+		case <-timeout:
+			t.Fatalf("node %s: timed out waiting for: %s", n.ID, description)
 		}
 	}
 }
 
-// Value is what a node answers for a shard.
-func Value(shard int) string { return fmt.Sprintf("v%d", shard) }
+// ShardValue returns the value with which a node responds for a shard.
+func ShardValue(shard int) string { return fmt.Sprintf("v%d", shard) }
 
-// ---- The kind that speaks frames
+// ---- Frame protocol
 
-func (n *Node) accept(l net.Listener) {
+func (n *Node) acceptFrameConns(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		n.note(func() { n.conns[c] = true })
-		go n.frames(c)
+		n.update(func() { n.conns[c] = true })
+		go n.serveFrames(c)
 	}
 }
 
-func (n *Node) frames(c net.Conn) {
-	defer n.note(func() { delete(n.conns, c) })
+// serveFrames reads the frames of one connection and responds to them until it ends.
+func (n *Node) serveFrames(c net.Conn) {
+	defer n.update(func() { delete(n.conns, c) })
 	defer c.Close()
-	var writing sync.Mutex
+	var writeMu sync.Mutex
 	write := func(text string) {
-		writing.Lock()
-		defer writing.Unlock()
-		_, _ = io.WriteString(c, text) // the other side may have gone
+		writeMu.Lock()
+		defer writeMu.Unlock()
+		_, _ = io.WriteString(c, text) // the peer may have disconnected
 	}
-	send := func(letter byte, rest string) { write(Frame(letter, rest)) }
-	in := bufio.NewReader(c)
+	send := func(letter byte, payload string) { write(Frame(letter, payload)) }
+	reader := bufio.NewReader(c)
 	for {
 		var size uint32
-		if binary.Read(in, binary.BigEndian, &size) != nil {
+		if binary.Read(reader, binary.BigEndian, &size) != nil {
 			return
 		}
 		frame := make([]byte, size)
-		if _, err := io.ReadFull(in, frame); err != nil {
+		if _, err := io.ReadFull(reader, frame); err != nil {
 			return
 		}
-		switch rest := string(frame[1:]); frame[0] {
+		switch payload := string(frame[1:]); frame[0] {
 		case 'H', 'M':
 			send(frame[0], Done)
 		case 'C':
-			n.note(func() { n.given = append(n.given, rest) })
+			n.update(func() { n.cancelled = append(n.cancelled, payload) })
 		case 'S':
-			for rest != "" {
-				line, after, _ := strings.Cut(rest, "\n")
-				call, size, err := parseLine(line)
+			for payload != "" {
+				line, after, _ := strings.Cut(payload, "\n")
+				part, size, err := parsePartHeader(line)
 				if err != nil || size > len(after) {
 					send('F', "bad call")
 					return
 				}
-				call.Text, rest = after[:size], after[size:]
+				part.Query, payload = after[:size], after[size:]
 				go func() {
-					end := n.begin(call)
-					if raw, ok := strings.CutPrefix(end, Raw); ok {
+					response := n.receive(part)
+					if raw, ok := strings.CutPrefix(response, RawResponse); ok {
 						write(raw)
 						return
 					}
-					switch end {
-					case Silent:
-					case Break:
-						_, _ = c.Write([]byte{0, 0, 0, 40, 'R'}) // a frame cut short
+					switch response {
+					case NeverAnswer:
+					case Disconnect:
+						_, _ = c.Write([]byte{0, 0, 0, 40, 'R'}) // a truncated frame
 						_ = c.Close()
 					default:
 						value := ""
-						if end == Done {
-							value = Value(call.Shard)
+						if response == Done {
+							value = ShardValue(part.Shard)
 						}
-						send('R', fmt.Sprintf("%s %s 1 -\n%s", call.ID, end, value))
+						send('R', fmt.Sprintf("%s %s 1 -\n%s", part.ID, response, value))
 					}
 				}()
 			}
@@ -279,78 +284,82 @@
 	}
 }
 
-func parseLine(line string) (c Call, size int, err error) {
-	words := strings.Split(line, " ")
-	if len(words) != 4 {
-		return c, 0, fmt.Errorf("line %q", line)
+// parsePartHeader parses the line that precedes a part's query in a frame: id, shard, options
+// and the size of the query in bytes.
+func parsePartHeader(line string) (part Part, size int, err error) {
+	fields := strings.Split(line, " ")
+	if len(fields) != 4 {
+		return part, 0, fmt.Errorf("part header %q: want 4 fields", line)
 	}
-	c.ID, c.At = words[0], time.Now()
-	if c.Shard, err = strconv.Atoi(words[1]); err != nil {
-		return c, 0, err
+	part.ID, part.ReceivedAt = fields[0], time.Now()
+	if part.Shard, err = strconv.Atoi(fields[1]); err != nil {
+		return part, 0, err
 	}
-	for _, item := range strings.Split(words[2], ",") {
-		switch k, v, _ := strings.Cut(item, "="); k {
+	for _, option := range strings.Split(fields[2], ",") {
+		switch k, v, _ := strings.Cut(option, "="); k {
 		case "d":
 			ms, err := strconv.Atoi(v)
 			if err != nil {
-				return c, 0, err
+				return part, 0, err
 			}
-			c.Wait = time.Duration(ms) * time.Millisecond
+			part.Timeout = time.Duration(ms) * time.Millisecond
 		case "k":
-			c.Key = v
+			part.Key = v
 		}
 	}
-	size, err = strconv.Atoi(words[3])
-	return c, size, err
+	size, err = strconv.Atoi(fields[3])
+	return part, size, err
 }
 
-// ---- The kind that speaks Flight
+// ---- Arrow Flight
 
-type tracked struct {
+// trackingListener records the accepted connections in a Node, so that they can be reset.
+type trackingListener struct {
 	net.Listener
-	n *Node
+	node *Node
 }
 
-func (l tracked) Accept() (net.Conn, error) {
+func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		l.n.note(func() { l.n.conns[c] = true })
+		l.node.update(func() { l.node.conns[c] = true })
 	}
 	return c, err
 }
 
-type flightNode struct {
+// flightServer implements the Arrow Flight service of a Node.
+type flightServer struct {
 	flight.BaseFlightServer
 	node *Node
 }
 
-// DoGet answers one part.
-func (f *flightNode) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
-	var p flightwire.PartTicket
-	if err := json.Unmarshal(ticket.GetTicket(), &p); err != nil {
+// DoGet responds to one part.
+func (f *flightServer) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
+	var request flightwire.PartTicket
+	if err := json.Unmarshal(ticket.GetTicket(), &request); err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
-	call := Call{ID: p.ID, Shard: p.Partition, Key: p.Key, Text: string(p.Query),
-		Wait: time.Duration(p.WaitMs) * time.Millisecond, At: time.Now()}
+	part := Part{ID: request.ID, Shard: request.Partition, Key: request.Key, Query: string(request.Query),
+		Timeout: time.Duration(request.WaitMs) * time.Millisecond, ReceivedAt: time.Now()}
 	if md, ok := metadata.FromIncomingContext(stream.Context()); ok {
-		call.Traceparent, call.Tracestate = strings.Join(md.Get("traceparent"), " "), strings.Join(md.Get("tracestate"), " ")
+		part.Traceparent, part.Tracestate = strings.Join(md.Get("traceparent"), " "), strings.Join(md.Get("tracestate"), " ")
 	}
-	left := func() { f.node.note(func() { f.node.given = append(f.node.given, p.ID) }) }
-	switch f.node.begin(call) {
+	recordCancelled := func() { f.node.update(func() { f.node.cancelled = append(f.node.cancelled, request.ID) }) }
+	switch f.node.receive(part) {
 	case Done:
-		return flightwire.WriteValues(stream, true, []broker.Value{{Shard: p.Partition, Data: []byte(Value(p.Partition))}})
+		return flightwire.WriteValues(stream, true, []broker.Value{{Shard: request.Partition, Data: []byte(ShardValue(request.Partition))}})
 	case Full:
 		stream.SetTrailer(metadata.Pairs(flightwire.EndKey, flightwire.EndFull))
 		return status.Error(codes.ResourceExhausted, "full")
-	case Fail:
+	case Failed:
 		return status.Error(codes.Internal, "failed")
-	case Break: // the value leaves, its stream's end does not
-		if err := flightwire.WriteValues(stream, true, []broker.Value{{Shard: p.Partition, Data: []byte("cut")}}); err != nil {
+	case Disconnect: // the value is sent, but not the end of the stream
+		if err := flightwire.WriteValues(stream, true, []broker.Value{{Shard: request.Partition, Data: []byte("cut")}}); err != nil {
 			return err
 		}
-		f.node.Cut()
+		f.node.ResetConnections()
 	}
 	<-stream.Context().Done()
-	left()
+	recordCancelled()
 	return context.Cause(stream.Context())
 }
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -13,13 +13,12 @@
 	"time"
 )
 
-// patience is how long a test waits for what must come; only a failing test
-// waits that long.
-const patience = 20 * time.Second
+// waitTimeout bounds the wait of a test for a condition; only a failing test waits that long.
+const waitTimeout = 20 * time.Second
 
 // ---- Discovery
 
-// Entry is one line of the list.
+// Entry is one node in the discovery list.
 type Entry struct {
 	ID      string   `json:"id"`
 	Addr    string   `json:"addr"`
@@ -32,29 +31,30 @@
 	Started int64    `json:"started_ms"`
 }
 
-// Discovery is a stand-in for the agent.
+// Discovery is a fake discovery agent, which serves the list of nodes over HTTP.
 type Discovery struct {
 	Addr string
 
-	mu      sync.Mutex
-	version int
-	list    []Entry
-	logged  []Entry // the change that made each version
-	changed chan struct{}
-	told    map[int]time.Time // when a version was first written to a broker
-	calls   []string
-	faults  []string
-	hush    bool
-	// replaced is the version that took the place of the whole list.
-	replaced int
-	silent   map[*http.Request]bool // watches that will never be answered
+	mu           sync.Mutex
+	version      int
+	entries      []Entry
+	updates      []Entry           // by version: the entry whose change produced it
+	changed      chan struct{}     // closed and replaced on every change
+	sentAt       map[int]time.Time // by version: when it was first sent to a broker
+	requests     []string
+	faults       []string
+	stallWatches bool
+	// replacedVersion is the version at which the whole list was last replaced.
+	replacedVersion int
+	stalled         map[*http.Request]bool // watches that are never answered
 }
 
-// NewDiscovery starts discovery with a list.
-func NewDiscovery(t testing.TB, list ...Entry) *Discovery {
+// NewDiscovery starts a discovery agent with the given list as version 1. It is closed when
+// the test ends.
+func NewDiscovery(t testing.TB, entries ...Entry) *Discovery {
 	t.Helper()
-	d := &Discovery{version: 1, list: list, logged: make([]Entry, 2), changed: make(chan struct{}), told: map[int]time.Time{},
-		silent: map[*http.Request]bool{}}
+	d := &Discovery{version: 1, entries: entries, updates: make([]Entry, 2), changed: make(chan struct{}), sentAt: map[int]time.Time{},
+		stalled: map[*http.Request]bool{}}
 	s := httptest.NewServer(d)
 	d.Addr = strings.TrimPrefix(s.URL, "http://")
 	t.Cleanup(func() {
@@ -64,41 +64,42 @@
 	return d
 }
 
-// ServeHTTP answers fetches and watches.
+// ServeHTTP answers list requests: a request with "after" gets the changes since that version,
+// and one with "wait_ms" (a watch) is held until there is a newer version or that time is over.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	after, watch := r.URL.Query().Get("after"), r.URL.Query().Get("wait_ms")
+	after, waitMs := r.URL.Query().Get("after"), r.URL.Query().Get("wait_ms")
 	d.mu.Lock()
-	d.calls = append(d.calls, r.URL.String())
+	d.requests = append(d.requests, r.URL.String())
 	seen, _ := strconv.Atoi(after)
-	ms, _ := strconv.Atoi(watch)
-	over := time.After(time.Duration(ms) * time.Millisecond)
-	for waits := ms > 0; waits && d.version <= seen || d.silent[r]; {
-		d.silent[r] = d.silent[r] || d.hush
+	wait, _ := strconv.Atoi(waitMs)
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
+	for waiting := wait > 0; waiting && d.version <= seen || d.stalled[r]; {
+		d.stalled[r] = d.stalled[r] || d.stallWatches
 		changed := d.changed
-		if d.silent[r] {
-			changed, over = nil, nil
+		if d.stalled[r] {
+			changed, timeout = nil, nil
 		}
 		d.mu.Unlock()
 		select {
 		case <-changed:
-		case <-over:
-			waits = false
+		case <-timeout:
+			waiting = false
 		case <-r.Context().Done():
 			return
 		}
 		d.mu.Lock()
 	}
-	full := after == "" || seen < d.replaced
-	out := map[string]any{"version": d.version, "full": full, "servers": d.list}
+	full := after == "" || seen < d.replacedVersion
+	response := map[string]any{"version": d.version, "full": full, "servers": d.entries}
 	if !full {
-		out["servers"] = d.logged[seen+1:]
+		response["servers"] = d.updates[seen+1:]
 	}
 	version, fault := d.version, ""
 	if len(d.faults) > 0 {
 		fault, d.faults = d.faults[0], d.faults[1:]
 	}
 	d.mu.Unlock()
-	data, err := json.Marshal(out)
+	data, err := json.Marshal(response)
 	if err != nil {
 		panic(err)
 	}
@@ -114,114 +115,115 @@
 		_, _ = w.Write(data[:len(data)-1])
 		return
 	}
-	_, _ = w.Write(data) // the broker may have gone
+	_, _ = w.Write(data) // the broker may have disconnected
 	if f, ok := w.(http.Flusher); ok {
 		f.Flush()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.told[version].IsZero() {
-		d.told[version] = time.Now()
+	if d.sentAt[version].IsZero() {
+		d.sentAt[version] = time.Now()
 	}
 }
 
-// Fail spoils the next answers, in this order: "refused" has status 503, "broken"
-// ends in its middle, "garbled" is whole but no list. A call that waits already
-// is spoiled when it is answered.
-func (d *Discovery) Fail(faults ...string) {
+// InjectFaults makes the next responses fail, one fault each, in this order: "refused" has
+// status 503, "broken" is cut off in the middle, "garbled" arrives complete but is malformed.
+// A fault also applies to a watch that is already open, when it is answered.
+func (d *Discovery) InjectFaults(faults ...string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.faults = append(d.faults, faults...)
 }
 
-// Hush makes the watches that are open, or are opened before the next change, fall
-// silent: they stay open and tell nothing any more.
-func (d *Discovery) Hush() {
+// StallWatches stalls the watches that are open or are opened before the next Update: they
+// stay open and are never answered.
+func (d *Discovery) StallWatches() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.hush = true
+	d.stallWatches = true
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// Silent counts the watches that have fallen silent so far.
-func (d *Discovery) Silent() (n int) {
+// StalledWatches returns the number of watches that were stalled so far.
+func (d *Discovery) StalledWatches() (n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, is := range d.silent {
-		if is {
+	for _, stalled := range d.stalled {
+		if stalled {
 			n++
 		}
 	}
 	return n
 }
 
-// Left counts the answers that are still to be spoiled.
-func (d *Discovery) Left() int {
+// PendingFaults returns the number of injected faults that have not been used yet.
+func (d *Discovery) PendingFaults() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.faults)
 }
 
-// Change tells one entry anew.
-func (d *Discovery) Change(e Entry) (version int) {
+// Update adds or replaces one entry, or removes it if its state is "terminated", and returns
+// the new version.
+func (d *Discovery) Update(changed Entry) (version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	kept := d.list[:0:0]
-	for _, x := range d.list {
-		if x.ID != e.ID {
-			kept = append(kept, x)
+	kept := d.entries[:0:0]
+	for _, entry := range d.entries {
+		if entry.ID != changed.ID {
+			kept = append(kept, entry)
 		}
 	}
-	if e.State != "terminated" {
-		kept = append(kept, e)
+	if changed.State != "terminated" {
+		kept = append(kept, changed)
 	}
-	d.list, d.logged, d.version, d.hush = kept, append(d.logged, e), d.version+1, false
+	d.entries, d.updates, d.version, d.stallWatches = kept, append(d.updates, changed), d.version+1, false
 	close(d.changed)
 	d.changed = make(chan struct{})
 	return d.version
 }
 
-// Replace tells a whole new list.
-func (d *Discovery) Replace(list []Entry) (version int) {
+// Replace replaces the whole list and returns the new version.
+func (d *Discovery) Replace(entries []Entry) (version int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.version++
-	d.list, d.logged, d.replaced = list, append(d.logged, Entry{}), d.version
+	d.entries, d.updates, d.replacedVersion = entries, append(d.updates, Entry{}), d.version
 	close(d.changed)
 	d.changed = make(chan struct{})
 	return d.version
 }
 
-// Told says when a version was written to a broker.
-func (d *Discovery) Told(version int) time.Time {
+// SentAt returns when a version was first sent to a broker, or the zero time.
+func (d *Discovery) SentAt(version int) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.told[version]
+	return d.sentAt[version]
 }
 
-// Calls returns the calls so far.
-func (d *Discovery) Calls() []string {
+// Requests returns the URLs requested so far.
+func (d *Discovery) Requests() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.calls...)
+	return append([]string(nil), d.requests...)
 }
 
-// Entry is the line of a node in service.
+// Entry returns the node's entry in the discovery list, with the state "in_service".
 func (n *Node) Entry() Entry {
 	return Entry{ID: n.ID, Addr: n.Addr, Addrs: n.Addrs, Zone: "neihu", Kind: "std-2c", Cell: n.Cell, State: "in_service", Weight: 1}
 }
 
 // ---- Configuration
 
-// Settings are those of a small deployment in which each node holds all
-// shards; change edits them.
-func Settings(change func(map[string]any)) map[string]any {
-	class := func(name, kind string, windowMs float64) map[string]any {
-		return map[string]any{"name": name, "objectiveMs": 1500.0, "deadlineMs": 3000.0, "idempotency": kind,
+// Settings returns the settings of a small deployment in which each node holds all shards.
+// edit, if not nil, changes them first.
+func Settings(edit func(map[string]any)) map[string]any {
+	class := func(name, idempotency string, windowMs float64) map[string]any {
+		return map[string]any{"name": name, "objectiveMs": 1500.0, "deadlineMs": 3000.0, "idempotency": idempotency,
 			"windowMs": windowMs, "worth": 1.0, "lateShare": 0.1}
 	}
-	s := map[string]any{
+	settings := map[string]any{
 		"balancers": 1, "index": 0, "tickMs": 5.0, "myZone": 0, "discovery": "pushed",
 		"zones": []string{"neihu", "banqiao"}, "kinds": []string{"std-2c"},
 		"classes": []any{class("screen", "safe", 5000), class("edit", "keyed", 1200), class("order", "unsafe", 0),
@@ -235,32 +237,33 @@
 			"fallMs": 2000.0, "fallMultiple": 3.0},
 		"penalties": map[string]any{"crossZone": 0.008},
 	}
-	if change != nil {
-		change(s)
+	if edit != nil {
+		edit(settings)
 	}
-	return s
+	return settings
 }
 
-// Config renders a broker's configuration; extra fields are added to it.
+// Config encodes a broker's configuration file. known is the list of nodes at the start, and
+// extra adds or replaces top-level fields.
 func Config(discovery string, known []Entry, settings map[string]any, extra map[string]any) []byte {
-	c := map[string]any{
+	file := map[string]any{
 		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known":    map[string]any{"version": 1, "full": true, "servers": known},
 		"settings": settings, "hand_over_ms": 50, "log_level": "warn",
 	}
 	for k, v := range extra {
-		c[k] = v
+		file[k] = v
 	}
-	data, err := json.Marshal(c)
+	data, err := json.Marshal(file)
 	if err != nil {
 		panic(fmt.Sprintf("rendering a configuration: %v", err))
 	}
 	return data
 }
 
-// WriteFile puts data into a file of the test's own.
-func WriteFile(t testing.TB, data []byte) string {
+// WriteTempFile writes data to a file in a temporary directory of the test and returns its path.
+func WriteTempFile(t testing.TB, data []byte) string {
 	t.Helper()
 	path := t.TempDir() + "/config.json"
 	if err := os.WriteFile(path, data, 0o600); err != nil {
@@ -269,25 +272,25 @@
 	return path
 }
 
-// Eventually returns once ok holds.
-func Eventually(t testing.TB, what string, ok func() bool) {
+// Eventually waits until condition holds and fails the test if it does not within waitTimeout.
+func Eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	for limit := time.Now().Add(patience); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(limit) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for: %s", description)
 		}
 	}
 }
 
-// Edit changes a configuration's tree.
-func Edit(t testing.TB, cfg []byte, change func(file map[string]any)) []byte {
+// EditConfig decodes a configuration file, applies edit to it and encodes it again.
+func EditConfig(t testing.TB, cfg []byte, edit func(tree map[string]any)) []byte {
 	t.Helper()
-	var file map[string]any
-	if err := json.Unmarshal(cfg, &file); err != nil {
+	var tree map[string]any
+	if err := json.Unmarshal(cfg, &tree); err != nil {
 		t.Fatal(err)
 	}
-	change(file)
-	out, err := json.Marshal(file)
+	edit(tree)
+	out, err := json.Marshal(tree)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/way.go
+++ b/internal/testkit/way.go
@@ -11,201 +11,206 @@
 	"golang.org/x/sys/unix"
 )
 
-// The modes of a Way.
+// The modes of a FaultProxy.
 const (
-	Pass      = "pass"
-	Refuse    = "refuse" // nobody listens
-	Stall     = "stall"  // accept, and pass nothing on
-	ResetHalf = "half"   // pass half of what comes next on, then reset
-	ResetFull = "full"   // pass all of it on, then reset before an answer can come
+	Forward           = "pass"
+	Refuse            = "refuse" // do not listen, so that connections are refused
+	Stall             = "stall"  // accept connections, but discard all data
+	ResetMidRequest   = "half"   // forward half of the next chunk from the client, then reset the connection
+	ResetAfterRequest = "full"   // forward the whole chunk, then reset the connection before a response can arrive
 )
 
-// Way is one way to a node: a proxy at an address of its own, with faults.
-type Way struct {
-	Addr string // in the list's form
+// FaultProxy is a proxy in front of one address of a node that can inject connection faults.
+type FaultProxy struct {
+	Addr string // in the form used in the discovery list
 
-	t               testing.TB
-	network, at, to string
-	scheme          string
-	kept            int // a bound socket that keeps the port while nobody listens; -1: none
-	mu              sync.Mutex
-	mode            string
-	listener        net.Listener
-	conns           map[net.Conn]net.Conn // by the side of the client
+	t                           testing.TB
+	network, listenAddr, target string
+	scheme                      string
+	reservedFD                  int // a bound socket that reserves the port while the proxy does not listen; -1: none
+	mu                          sync.Mutex
+	mode                        string
+	listener                    net.Listener
+	conns                       map[net.Conn]net.Conn // from the client's connection to the node's
 }
 
-// NewWayTo opens a way at a network address ("tcp" or "unix") to any address.
-func NewWayTo(t testing.TB, network, addr, to string) *Way {
+// NewFaultProxyTo starts a proxy that listens at addr (network "tcp" or "unix") and forwards to
+// the TCP address target. It is closed when the test ends.
+func NewFaultProxyTo(t testing.TB, network, addr, target string) *FaultProxy {
 	t.Helper()
-	w := &Way{t: t, network: network, at: addr, to: to, kept: -1, mode: Pass, conns: map[net.Conn]net.Conn{}}
-	if err := w.open(); err != nil {
+	p := &FaultProxy{t: t, network: network, listenAddr: addr, target: target, reservedFD: -1, mode: Forward, conns: map[net.Conn]net.Conn{}}
+	if err := p.listen(); err != nil {
 		t.Fatal(err)
 	}
-	w.at = w.listener.Addr().String() // the port stays the same over faults
-	w.Addr = w.at
-	if l, ok := w.listener.(*net.TCPListener); ok {
-		if err := w.keepPort(l.Addr().(*net.TCPAddr)); err != nil {
+	p.listenAddr = p.listener.Addr().String() // the proxy listens at the same port again after Refuse
+	p.Addr = p.listenAddr
+	if l, ok := p.listener.(*net.TCPListener); ok {
+		if err := p.reservePort(l.Addr().(*net.TCPAddr)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	t.Cleanup(func() {
-		w.Set(Refuse)
-		if w.kept >= 0 {
-			_ = unix.Close(w.kept)
+		p.SetMode(Refuse)
+		if p.reservedFD >= 0 {
+			_ = unix.Close(p.reservedFD)
 		}
 	})
-	return w
+	return p
 }
 
-// NewWay opens a way at a network address to a node's own.
-func NewWay(t testing.TB, network, addr string, n *Node) *Way {
+// NewFaultProxy starts a proxy that listens at addr (network "tcp" or "unix") in front of a
+// node's first address. Its Addr has the scheme that the node's protocol needs.
+func NewFaultProxy(t testing.TB, network, addr string, n *Node) *FaultProxy {
 	t.Helper()
-	w := NewWayTo(t, network, addr, n.listener.Addr().String())
+	p := NewFaultProxyTo(t, network, addr, n.listener.Addr().String())
 	switch {
-	case network == "unix" && n.server != nil:
-		w.Addr = "grpc+unix:" + w.at
+	case network == "unix" && n.grpcServer != nil:
+		p.Addr = "grpc+unix:" + p.listenAddr
 	case network == "unix":
-		w.Addr = "unix:" + w.at
-	case n.server != nil:
-		w.Addr = "grpc+tcp://" + w.at
+		p.Addr = "unix:" + p.listenAddr
+	case n.grpcServer != nil:
+		p.Addr = "grpc+tcp://" + p.listenAddr
 	}
-	return w
+	return p
 }
 
-// keepPort binds a further socket to the way's port, at which it never listens: who connects
-// while the way refuses is refused, and no other process gets the port meanwhile. Another
-// test's node or broker would answer there.
-func (w *Way) keepPort(at *net.TCPAddr) error {
-	family, name := unix.AF_INET, unix.Sockaddr(&unix.SockaddrInet4{Port: at.Port, Addr: [4]byte(at.IP.To16()[12:])})
-	if at.IP.To4() == nil {
-		family, name = unix.AF_INET6, &unix.SockaddrInet6{Port: at.Port, Addr: [16]byte(at.IP)}
+// reservePort binds a second socket to the proxy's port and never listens on it. While the
+// proxy refuses connections, the system refuses them at this port, and no other process can
+// take the port: otherwise a node or broker of another test could answer there.
+func (p *FaultProxy) reservePort(addr *net.TCPAddr) error {
+	family, sockaddr := unix.AF_INET, unix.Sockaddr(&unix.SockaddrInet4{Port: addr.Port, Addr: [4]byte(addr.IP.To16()[12:])})
+	if addr.IP.To4() == nil {
+		family, sockaddr = unix.AF_INET6, &unix.SockaddrInet6{Port: addr.Port, Addr: [16]byte(addr.IP)}
 	}
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
-		return fmt.Errorf("keeping a way's port: %w", err)
+		return fmt.Errorf("reserving the proxy's port: %w", err)
 	}
-	w.kept = fd
+	p.reservedFD = fd
 	if err := unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1); err != nil {
-		return fmt.Errorf("keeping a way's port: %w", err)
+		return fmt.Errorf("reserving the proxy's port: %w", err)
 	}
-	if err := unix.Bind(fd, name); err != nil {
-		return fmt.Errorf("keeping a way's port: %w", err)
+	if err := unix.Bind(fd, sockaddr); err != nil {
+		return fmt.Errorf("reserving the proxy's port: %w", err)
 	}
 	return nil
 }
 
-// sharedPort lets the way listen beside the socket that keeps its port.
-func sharedPort(network, _ string, c syscall.RawConn) error {
+// setReusePort sets SO_REUSEPORT, so that the proxy can listen at the port that it has reserved.
+func setReusePort(network, _ string, c syscall.RawConn) error {
 	if network == "unix" {
 		return nil
 	}
-	var failed error
+	var optErr error
 	if err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
+		optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	}); err != nil {
 		return err
 	}
-	return failed
+	return optErr
 }
 
-func (w *Way) open() error {
-	listening := net.ListenConfig{Control: sharedPort}
-	l, err := listening.Listen(context.Background(), w.network, w.at)
+// listen opens the listener and accepts connections until it is closed.
+func (p *FaultProxy) listen() error {
+	config := net.ListenConfig{Control: setReusePort}
+	l, err := config.Listen(context.Background(), p.network, p.listenAddr)
 	if err != nil {
 		return err
 	}
-	w.listener = l
+	p.listener = l
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go w.carry(c)
+			go p.forward(c)
 		}
 	}()
 	return nil
 }
 
-// Set changes the mode, for the connections that are open too.
-func (w *Way) Set(mode string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.mode = mode; mode != Refuse {
-		if w.listener == nil {
-			if err := w.open(); err != nil { // the port is kept, the path is the test's own
-				w.t.Errorf("opening the way %s again: %v", w.Addr, err)
+// SetMode changes the mode, also for connections that are already open.
+func (p *FaultProxy) SetMode(mode string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.mode = mode; mode != Refuse {
+		if p.listener == nil {
+			if err := p.listen(); err != nil { // not expected: the port is reserved, and the path belongs to the test
+				p.t.Errorf("reopening the proxy at %s: %v", p.Addr, err)
 			}
 		}
 		return
 	}
-	if w.listener != nil {
-		_ = w.listener.Close()
-		w.listener = nil
+	if p.listener != nil {
+		_ = p.listener.Close()
+		p.listener = nil
 	}
-	for a, b := range w.conns {
-		reset(a)
-		_ = b.Close()
+	for client, node := range p.conns {
+		resetConn(client)
+		_ = node.Close()
 	}
 }
 
-func (w *Way) now() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.mode
+func (p *FaultProxy) currentMode() string {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.mode
 }
 
-func reset(c net.Conn) {
+// resetConn closes a connection with a TCP reset.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// carry passes bytes both ways as the mode says at each of them.
-func (w *Way) carry(c net.Conn) {
-	node, err := net.Dial("tcp", w.to)
+// forward copies data in both directions between a client and the node. The mode is looked up
+// for each chunk.
+func (p *FaultProxy) forward(client net.Conn) {
+	node, err := net.Dial("tcp", p.target)
 	if err != nil {
-		reset(c)
+		resetConn(client)
 		return
 	}
-	w.mu.Lock()
-	w.conns[c] = node
-	w.mu.Unlock()
+	p.mu.Lock()
+	p.conns[client] = node
+	p.mu.Unlock()
 	defer func() {
-		reset(c)
+		resetConn(client)
 		_ = node.Close()
-		w.mu.Lock()
-		delete(w.conns, c)
-		w.mu.Unlock()
+		p.mu.Lock()
+		delete(p.conns, client)
+		p.mu.Unlock()
 	}()
-	go func() { // answers
-		defer c.Close()
-		b := make([]byte, 16<<10)
+	go func() { // responses
+		defer client.Close()
+		buf := make([]byte, 16<<10)
 		for {
-			n, err := node.Read(b)
-			if m := w.now(); n > 0 && m == Pass {
-				_, _ = c.Write(b[:n])
-			} else if n > 0 && m != Stall || err != nil {
+			count, err := node.Read(buf)
+			if mode := p.currentMode(); count > 0 && mode == Forward {
+				_, _ = client.Write(buf[:count])
+			} else if count > 0 && mode != Stall || err != nil {
 				return
 			}
 		}
 	}()
-	b := make([]byte, 16<<10)
+	buf := make([]byte, 16<<10)
 	for {
-		n, err := c.Read(b)
+		count, err := client.Read(buf)
 		if err != nil {
 			return
 		}
-		switch w.now() {
-		case Pass:
-			_, _ = node.Write(b[:n])
+		switch p.currentMode() {
+		case Forward:
+			_, _ = node.Write(buf[:count])
 		case Stall:
-		case ResetHalf:
-			_, _ = node.Write(b[:n/2])
+		case ResetMidRequest:
+			_, _ = node.Write(buf[:count/2])
 			return
 		default:
-			_, _ = node.Write(b[:n])
+			_, _ = node.Write(buf[:count])
 			return
 		}
 	}
--- a/nodeclient/client_test.go
+++ b/nodeclient/client_test.go
@@ -146,8 +146,8 @@
 	}
 	dead.Close()
 	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}, {ID: "dead", Addr: dead.Addr().String()}})
-	n.Work(func(call testkit.Call) string {
-		return []string{testkit.Done, testkit.Fail, testkit.Full, testkit.Break, testkit.Silent}[call.Shard%5]
+	n.SetResponder(func(call testkit.Part) string {
+		return []string{testkit.Done, testkit.Failed, testkit.Full, testkit.Disconnect, testkit.NeverAnswer}[call.Shard%5]
 	})
 	for id, want := range []decide.Outcome{decide.OK, decide.Failed, decide.Rejected, decide.Broken} {
 		c.send("n", attempt(id))
@@ -166,9 +166,9 @@
 	// A part given up is told to the node, and its id is not used again on that
 	// connection: its late answer would pass for the new attempt's.
 	c.send("n", attempt(14))
-	n.Wait(t, "the part", func() bool { return len(n.Calls()) == 5 })
+	n.WaitFor(t, "the part", func() bool { return len(n.Parts()) == 5 })
 	c.Cancel("n", 14)
-	n.Wait(t, "the part given up", func() bool { return len(n.GivenUp()) == 1 })
+	n.WaitFor(t, "the part given up", func() bool { return len(n.Cancelled()) == 1 })
 	before := c.open()
 	again := attempt(14)
 	again.ID = 15
@@ -176,8 +176,8 @@
 	if c.open() != before+1 {
 		t.Errorf("%d connections, want one more than %d", c.open(), before)
 	}
-	n.Wait(t, "the new attempt", func() bool { return len(n.Calls()) == 6 })
-	n.Cut()
+	n.WaitFor(t, "the new attempt", func() bool { return len(n.Parts()) == 6 })
+	n.ResetConnections()
 	s.wait(t, 15, decide.Broken)
 }
 
@@ -227,10 +227,10 @@
 	for i, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE, syscall.ENETUNREACH} {
 		c, s := client(t, 8, 0)
 		n := testkit.NewNode(t, "n", false)
-		n.Always(testkit.Silent)
+		n.SetResponse(testkit.NeverAnswer)
 		c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 		c.send("n", attempt(i))
-		n.Wait(t, "the part", func() bool { return len(n.Calls()) == 1 })
+		n.WaitFor(t, "the part", func() bool { return len(n.Parts()) == 1 })
 		c.mu.Lock()
 		cn := c.nodes["n"].conns[0]
 		c.mu.Unlock()
@@ -354,12 +354,12 @@
 func TestPool(t *testing.T) {
 	c, s := client(t, 2, 200*time.Millisecond)
 	n := testkit.NewNode(t, "n", false)
-	n.Always(testkit.Silent)
+	n.SetResponse(testkit.NeverAnswer)
 	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 	for id := range 8 { // 4 connections of 2 streams
 		c.send("n", attempt(id))
 	}
-	n.Wait(t, "all parts", func() bool { return len(n.Calls()) == 8 })
+	n.WaitFor(t, "all parts", func() bool { return len(n.Parts()) == 8 })
 	if c.open() != 4 {
 		t.Errorf("%d connections, want 4", c.open())
 	}
@@ -375,7 +375,7 @@
 	c.Update([]broker.Node{{ID: "n", Addr: moved.Addr}})
 	c.send("n", attempt(20))
 	s.wait(t, 20, decide.OK)
-	if len(moved.Calls()) != 1 {
+	if len(moved.Parts()) != 1 {
 		t.Error("the part went to the old address")
 	}
 }
@@ -474,11 +474,11 @@
 	} {
 		c, s := client(t, 8, 0)
 		n := testkit.NewNode(t, "n", false)
-		n.Always(testkit.Silent)
+		n.SetResponse(testkit.NeverAnswer)
 		c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 		c.send("n", attempt(1))
-		n.Wait(t, "the first part", func() bool { return len(n.Calls()) == 1 })
-		n.Always(testkit.Raw + raw)
+		n.WaitFor(t, "the first part", func() bool { return len(n.Parts()) == 1 })
+		n.SetResponse(testkit.RawResponse + raw)
 		c.send("n", attempt(2))
 		testkit.Eventually(t, name+": both have ended and the connection is closed", func() bool {
 			s.mu.Lock()
@@ -490,7 +490,7 @@
 				!reflect.DeepEqual(got, []decide.Outcome{decide.Cancelled, decide.Failed}) {
 			t.Errorf("%s: outcomes %v, twice %v", name, got, s.twice)
 		}
-		n.Always(testkit.Done)
+		n.SetResponse(testkit.Done)
 		c.send("n", attempt(3))
 		s.wait(t, 3, decide.OK)
 	}
@@ -507,11 +507,11 @@
 	} {
 		c, s := client(t, 8, 0)
 		n := testkit.NewNode(t, "n", false)
-		n.Always(testkit.Raw + raw)
+		n.SetResponse(testkit.RawResponse + raw)
 		c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 		c.send("n", attempt(1))
 		s.wait(t, 1, decide.OK)
-		n.Always(testkit.Done)
+		n.SetResponse(testkit.Done)
 		c.send("n", attempt(2))
 		testkit.Eventually(t, name+": the next part ends", func() bool {
 			s.mu.Lock()
@@ -526,11 +526,11 @@
 func TestSilentConnection(t *testing.T) {
 	c, s := client(t, 8, 0)
 	n := testkit.NewNode(t, "n", false)
-	n.Always(testkit.Silent)
+	n.SetResponse(testkit.NeverAnswer)
 	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 	c.send("n", attempt(1))
-	n.Wait(t, "the first part", func() bool { return len(n.Calls()) == 1 })
-	n.Always(testkit.Done)
+	n.WaitFor(t, "the first part", func() bool { return len(n.Parts()) == 1 })
+	n.SetResponse(testkit.Done)
 	testkit.Eventually(t, "it counts as silent", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -558,7 +558,7 @@
 	c.send("n", attempt(1))
 	s.wait(t, 1, decide.OK)
 	c.mu.Lock() // holds back the news of the end
-	n.Cut()
+	n.ResetConnections()
 	cn := c.nodes["n"].pick(8, []broker.Attempt{attempt(2)}, false)
 	c.mu.Unlock()
 	if cn != nil {
@@ -573,19 +573,19 @@
 func TestPartsGoAloneAfterABreak(t *testing.T) {
 	c, s := client(t, 8, 0)
 	n := testkit.NewNode(t, "n", false)
-	n.Always(testkit.Silent)
+	n.SetResponse(testkit.NeverAnswer)
 	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 	send := func(from int) {
 		for id := from; id < from+2; id++ {
 			c.send("n", attempt(id))
 		}
-		n.Wait(t, "both parts", func() bool { return len(n.Calls()) == from+1 })
+		n.WaitFor(t, "both parts", func() bool { return len(n.Parts()) == from+1 })
 	}
 	send(1)
 	if c.open() != 1 {
 		t.Fatalf("%d connections for two parts, want 1", c.open())
 	}
-	n.Cut()
+	n.ResetConnections()
 	s.wait(t, 1, decide.Broken)
 	s.wait(t, 2, decide.Broken)
 	send(3)
@@ -595,7 +595,7 @@
 	for id := 5; id < 9; id++ { // where no more may be opened, they share again
 		c.send("n", attempt(id))
 	}
-	n.Wait(t, "all parts", func() bool { return len(n.Calls()) == 8 })
+	n.WaitFor(t, "all parts", func() bool { return len(n.Parts()) == 8 })
 }
 
 // Whatever a node sends, each frame is whole and within its bounds, and a result has
--- a/nodeclient/local_test.go
+++ b/nodeclient/local_test.go
@@ -62,7 +62,7 @@
 			client.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 			client.send("n", attempt(1))
 			s.wait(t, 1, c.want)
-			if calls := n.Calls(); c.want != decide.OK && len(calls) != 0 {
+			if calls := n.Parts(); c.want != decide.OK && len(calls) != 0 {
 				t.Errorf("the node got %+v", calls)
 			}
 		})
--- a/nodeclient/observe_test.go
+++ b/nodeclient/observe_test.go
@@ -51,7 +51,7 @@
 	c.opts.Observer = w
 	n := testkit.NewNode(t, "n", false)
 	answer := make(chan struct{})
-	n.Work(func(call testkit.Call) string {
+	n.SetResponder(func(call testkit.Part) string {
 		if call.Shard == 2 {
 			<-answer
 		}
@@ -70,7 +70,7 @@
 	}
 	w.mu.Unlock()
 	c.send("n", attempt(2)) // on the open connection
-	n.Wait(t, "the part", func() bool { return len(n.Calls()) == 2 })
+	n.WaitFor(t, "the part", func() bool { return len(n.Parts()) == 2 })
 	c.Cancel("n", 2)
 	close(answer)
 	testkit.Eventually(t, "the late answer", func() bool { return w.text() == "1 dialing, 1 up, 1 gone, 2 gone, 2 late 0" })
--- a/nodeclient/race_test.go
+++ b/nodeclient/race_test.go
@@ -114,13 +114,13 @@
 		t.Run(name, func(t *testing.T) {
 			c, s := client(t, 1, 0)
 			n := testkit.NewNode(t, "n", false)
-			good := n.Also(t, "unix", filepath.Join(t.TempDir(), "n"))
+			good := n.AddAddress(t, "unix", filepath.Join(t.TempDir(), "n"))
 			c.list(first, good, n.Addr)
 			for id := 1; id <= 3; id++ {
 				c.send("n", attempt(id))
 				s.wait(t, broker.AttemptID(id), decide.OK)
 			}
-			if calls := n.Calls(); len(calls) != 3 {
+			if calls := n.Parts(); len(calls) != 3 {
 				t.Errorf("%d parts ran, want 3", len(calls))
 			}
 			if views := c.Addresses()["n"]; views[0].Text == first || views[0].Why != "last-good" {
@@ -138,7 +138,7 @@
 	c.send("n", attempt(1))
 	s.wait(t, 1, decide.Unreachable)
 	n := testkit.NewNode(t, "n", false)
-	n.Also(t, "unix", path)
+	n.AddAddress(t, "unix", path)
 	c.send("n", attempt(2))
 	s.wait(t, 2, decide.OK)
 	if c.open() != 1 {
@@ -165,7 +165,7 @@
 		c.send("n", attempt(id))
 		s.wait(t, broker.AttemptID(id), decide.OK)
 	}
-	for _, call := range n.Calls() {
+	for _, call := range n.Parts() {
 		if call.Shard == 1 {
 			t.Error("the part that may have run was sent again")
 		}
@@ -185,7 +185,7 @@
 func TestAddressesChange(t *testing.T) {
 	c, s := client(t, 1, 0)
 	old, n := testkit.NewNode(t, "n", false), testkit.NewNode(t, "n", false)
-	second := n.Also(t, "tcp", "[::1]:0")
+	second := n.AddAddress(t, "tcp", "[::1]:0")
 	c.list(old.Addr, second)
 	c.send("n", attempt(1))
 	s.wait(t, 1, decide.OK)
@@ -194,8 +194,8 @@
 		c.send("n", attempt(id))
 		s.wait(t, broker.AttemptID(id), decide.OK)
 	}
-	if len(old.Calls()) != 1 || len(n.Calls()) != 3 {
-		t.Errorf("%d parts at the address that went, %d at the others", len(old.Calls()), len(n.Calls()))
+	if len(old.Parts()) != 1 || len(n.Parts()) != 3 {
+		t.Errorf("%d parts at the address that went, %d at the others", len(old.Parts()), len(n.Parts()))
 	}
 	c.Update(nil)
 	c.send("n", attempt(5))
@@ -233,10 +233,10 @@
 	if views := c.Addresses()["n"]; views[1].Why != "in-doubt" {
 		t.Fatalf("order %+v", views)
 	}
-	n.Also(t, "unix", path)
+	n.AddAddress(t, "unix", path)
 	testkit.Eventually(t, "the trial", func() bool { return c.Addresses()["n"][1].Why == "proven" })
-	if views := c.Addresses()["n"]; views[0].Text != n.Addr || len(n.Calls()) != 1 {
-		t.Errorf("order %+v after %d parts", views, len(n.Calls()))
+	if views := c.Addresses()["n"]; views[0].Text != n.Addr || len(n.Parts()) != 1 {
+		t.Errorf("order %+v after %d parts", views, len(n.Parts()))
 	}
 	c.send("n", attempt(2))
 	s.wait(t, 2, decide.OK)
--- a/nodeclient/wait_test.go
+++ b/nodeclient/wait_test.go
@@ -68,11 +68,11 @@
 	} {
 		s.wait(t, id, want)
 	}
-	if calls := n.Calls(); len(calls) != 1 || calls[0].Shard != 2 {
+	if calls := n.Parts(); len(calls) != 1 || calls[0].Shard != 2 {
 		t.Errorf("the node got %+v", calls)
 	}
 	for _, n := range []*testkit.Node{drained, gone, moved, elsewhere} {
-		if calls := n.Calls(); len(calls) != 0 {
+		if calls := n.Parts(); len(calls) != 0 {
 			t.Errorf("%s got %+v", n.ID, calls)
 		}
 	}
@@ -97,9 +97,9 @@
 	letGo()
 	s.wait(t, 1, decide.OK)
 	s.wait(t, 2, decide.OK)
-	for _, call := range n.Calls() {
-		if most := attempt(1).Wait - waited; call.Wait > most {
-			t.Errorf("part %d: told %v, want %v at most", call.Shard, call.Wait, most)
+	for _, call := range n.Parts() {
+		if most := attempt(1).Wait - waited; call.Timeout > most {
+			t.Errorf("part %d: told %v, want %v at most", call.Shard, call.Timeout, most)
 		}
 	}
 }
@@ -125,7 +125,7 @@
 			defer s.mu.Unlock()
 			return len(s.probes) == 1
 		})
-		if calls := n.Calls(); len(calls) != 2 {
+		if calls := n.Parts(); len(calls) != 2 {
 			t.Errorf("the node got %+v", calls)
 		}
 	}
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -40,14 +40,14 @@
 	for _, a := range asks {
 		for front, ask := range map[string]func(testkit.Query) testkit.Reply{
 			"http": func(q testkit.Query) testkit.Reply {
-				return testkit.AskHTTP(context.Background(), d.Addr().String(), q)
+				return testkit.QueryHTTP(context.Background(), d.Addr().String(), q)
 			},
 			"flight": func(q testkit.Query) testkit.Reply {
-				return testkit.AskFlight(context.Background(), d.FlightAddr().String(), q)
+				return testkit.QueryFlight(context.Background(), d.FlightAddr().String(), q)
 			},
 		} {
-			q := testkit.Query{Class: "screen", ID: a.name + "-" + front, Shards: []int{2}, Within: 3 * time.Second, Traceparent: a.parents, Tracestate: a.state}
-			if r := ask(q); r.Kind != "served" {
+			q := testkit.Query{Class: "screen", ID: a.name + "-" + front, Shards: []int{2}, Timeout: 3 * time.Second, Traceparent: a.parents, Tracestate: a.state}
+			if r := ask(q); r.Outcome != "served" {
 				t.Fatalf("%s: %+v", q.ID, r)
 			}
 		}
@@ -59,8 +59,8 @@
 	for _, tr := range readDir(t, dir) {
 		traces[tr.Query] = tr
 	}
-	calls := map[string]testkit.Call{}
-	for _, c := range nodes[0].Calls() {
+	calls := map[string]testkit.Part{}
+	for _, c := range nodes[0].Parts() {
 		calls[strings.TrimSuffix(c.ID, ".2")] = c
 	}
 	for _, a := range asks {
@@ -95,9 +95,9 @@
 		return string(b[:runtime.Stack(b, true)])
 	}
 	d, _ := start(t, 1, false, nil, nil)
-	r := testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: "q", Shards: []int{1}, Within: 3 * time.Second, Traceparent: []string{caller}})
+	r := testkit.QueryHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: "q", Shards: []int{1}, Timeout: 3 * time.Second, Traceparent: []string{caller}})
 	s := stacks()
-	if r.Kind != "served" || strings.Contains(s, "onyxsail/tracing.") || strings.Contains(s, "onyxsail/tracing/") || d.Status().Tracing != nil {
+	if r.Outcome != "served" || strings.Contains(s, "onyxsail/tracing.") || strings.Contains(s, "onyxsail/tracing/") || d.Status().Tracing != nil {
 		t.Errorf("%+v, %+v\n%s", r, d.Status().Tracing, s)
 	}
 	if err := d.Stop(context.Background()); err != nil {
@@ -147,14 +147,14 @@
 	root := cli.New(&tail, &tail)
 	root.SetArgs([]string{"trace", "tail", "--bad", "--reason", "late", "--json", "--addr", addr})
 	go func() { tailed <- root.ExecuteContext(ctx) }()
-	nodes[0].Work(func(c testkit.Call) string {
+	nodes[0].SetResponder(func(c testkit.Part) string {
 		if c.Shard == 5 {
 			time.Sleep(wanted + wanted/2) // a stall
 		}
 		return testkit.Done
 	})
 	ask := func(id string, shards ...int) string {
-		return testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: id, Shards: shards, Within: 500 * time.Millisecond}).Kind
+		return testkit.QueryHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: id, Shards: shards, Timeout: 500 * time.Millisecond}).Outcome
 	}
 	testkit.Eventually(t, "a follower", func() bool { return d.Status().Tracing.Following == 1 })
 	if a, b := ask("fast", 1, 2), ask("slow0", 3, 5); a != "served" || b != "served" {
@@ -227,13 +227,13 @@
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(11, 3))
 	for i, n := range nodes {
-		n.Work(func(testkit.Call) string {
+		n.SetResponder(func(testkit.Part) string {
 			mu.Lock()
 			work, stall := 5*time.Millisecond+time.Duration(rng.Int64N(int64(6*time.Millisecond))), rng.Float64() < 0.2
 			mu.Unlock()
 			switch {
 			case stall && i == 9:
-				return testkit.Silent
+				return testkit.NeverAnswer
 			case stall && i >= 7:
 				work += 120 * time.Millisecond
 			}
@@ -250,8 +250,8 @@
 				if i%4 == 3 {
 					class, shards = "edit", shards[:1]
 				}
-				testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: class, ID: fmt.Sprintf("w%d-%d", w, i), Key: fmt.Sprintf("k%d-%d", w, i),
-					Shards: shards, Within: 500 * time.Millisecond})
+				testkit.QueryHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: class, ID: fmt.Sprintf("w%d-%d", w, i), Key: fmt.Sprintf("k%d-%d", w, i),
+					Shards: shards, Timeout: 500 * time.Millisecond})
 			}
 		})
 	}
--- a/tracing/export/export_test.go
+++ b/tracing/export/export_test.go
@@ -34,8 +34,8 @@
 // A collector that hangs, refuses to come now, resets in the middle of a batch
 // and then takes gets each trace; nothing that was taken is sent again.
 func TestCollectorInTrouble(t *testing.T) {
-	c := testkit.NewCollector(t, testkit.Scripted{Do: testkit.Hang}, testkit.Scripted{Status: 503, RetryAfter: "1"},
-		testkit.Scripted{Do: testkit.Reset}, testkit.Scripted{Status: 429})
+	c := testkit.NewCollector(t, testkit.ScriptedResponse{Action: testkit.Hang}, testkit.ScriptedResponse{Status: 503, RetryAfter: "1"},
+		testkit.ScriptedResponse{Action: testkit.Reset}, testkit.ScriptedResponse{Status: 429})
 	e := exporter(t, c.Addr, short)
 	for i := range 3 {
 		e.Put(trace(i))
@@ -59,7 +59,7 @@
 // What a collector will never take is dropped and counted, and what comes
 // behind it is sent.
 func TestCollectorRefuses(t *testing.T) {
-	c := testkit.NewCollector(t, testkit.Scripted{Status: 400}, testkit.Scripted{Do: testkit.HalfDone})
+	c := testkit.NewCollector(t, testkit.ScriptedResponse{Status: 400}, testkit.ScriptedResponse{Action: testkit.RejectHalf})
 	e := exporter(t, c.Addr, short)
 	e.Put(trace(1))
 	testkit.Eventually(t, "the refusal", func() bool { return e.Counts().Dropped[Refused] == 1 })
--- a/tracing/process_test.go
+++ b/tracing/process_test.go
@@ -55,7 +55,7 @@
 	if program == "" {
 		program = os.Args[0]
 	}
-	p.cmd = exec.Command(program, "serve", "--config", testkit.WriteFile(t, testkit.Config(disco.Addr, list, testkit.Settings(nil), extra)))
+	p.cmd = exec.Command(program, "serve", "--config", testkit.WriteTempFile(t, testkit.Config(disco.Addr, list, testkit.Settings(nil), extra)))
 	p.cmd.Env = append(os.Environ(), asBroker+"=1")
 	errs, err := p.cmd.StderrPipe()
 	if err != nil {
@@ -111,19 +111,19 @@
 	dir := t.TempDir()
 	trace := map[string]any{"dir": dir}
 	p := launch(t, "", nodes, disco, trace)
-	if r := testkit.AskHTTP(context.Background(), p.addr, testkit.Query{Class: "screen", ID: "good", Shards: []int{1}, Within: 3 * time.Second}); r.Kind != "served" {
+	if r := testkit.QueryHTTP(context.Background(), p.addr, testkit.Query{Class: "screen", ID: "good", Shards: []int{1}, Timeout: 3 * time.Second}); r.Outcome != "served" {
 		t.Fatalf("got %+v", r)
 	}
 	for _, n := range nodes {
-		n.Always(testkit.Silent)
+		n.SetResponse(testkit.NeverAnswer)
 	}
 	var wg sync.WaitGroup
 	for i := range 3 {
 		wg.Go(func() {
-			testkit.AskHTTP(context.Background(), p.addr, testkit.Query{Class: "order", ID: fmt.Sprintf("open%d", i), Shards: []int{2, 5}, Within: 3 * time.Second})
+			testkit.QueryHTTP(context.Background(), p.addr, testkit.Query{Class: "order", ID: fmt.Sprintf("open%d", i), Shards: []int{2, 5}, Timeout: 3 * time.Second})
 		})
 	}
-	testkit.Eventually(t, "all parts out", func() bool { return len(nodes[0].Calls())+len(nodes[1].Calls()) >= 7 })
+	testkit.Eventually(t, "all parts out", func() bool { return len(nodes[0].Parts())+len(nodes[1].Parts()) >= 7 })
 	p.kill()
 	wg.Wait()
 
@@ -184,11 +184,11 @@
 	id := 0
 	ask := func(p *process) time.Duration {
 		id++
-		r := testkit.AskHTTP(context.Background(), p.addr, testkit.Query{Class: "screen", ID: fmt.Sprintf("b%d", id), Shards: []int{1, 4, 7, 9}, Within: 3 * time.Second})
-		if r.Kind != "served" {
+		r := testkit.QueryHTTP(context.Background(), p.addr, testkit.Query{Class: "screen", ID: fmt.Sprintf("b%d", id), Shards: []int{1, 4, 7, 9}, Timeout: 3 * time.Second})
+		if r.Outcome != "served" {
 			b.Fatalf("got %+v", r)
 		}
-		return r.Took
+		return r.Latency
 	}
 	b.ResetTimer()
 	for i := range b.N {
--- a/tracing/proof_test.go
+++ b/tracing/proof_test.go
@@ -66,7 +66,7 @@
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(7, 7))
 	for _, n := range nodes {
-		n.Work(func(testkit.Call) string {
+		n.SetResponder(func(testkit.Part) string {
 			mu.Lock()
 			x := rng.Float64()
 			mu.Unlock()
@@ -74,11 +74,11 @@
 			case x < 0.06:
 				time.Sleep(wanted + wanted/2) // the stall itself, not a wait for a condition
 			case x < 0.08:
-				return testkit.Fail
+				return testkit.Failed
 			case x < 0.10:
 				return testkit.Full
 			case x < 0.11:
-				return testkit.Silent
+				return testkit.NeverAnswer
 			}
 			return testkit.Done
 		})
@@ -91,14 +91,14 @@
 		wg.Go(func() {
 			for i := 0; i < 60 || time.Now().Before(until); i++ {
 				q := testkit.Query{Class: classes[i%4], ID: fmt.Sprintf("q%d-%d", w, i), Key: fmt.Sprintf("k%d-%d", w, i),
-					Shards: []int{i % 18, (i + 7) % 18}, Within: 500 * time.Millisecond}
-				r := testkit.AskHTTP(context.Background(), d.Addr().String(), q)
+					Shards: []int{i % 18, (i + 7) % 18}, Timeout: 500 * time.Millisecond}
+				r := testkit.QueryHTTP(context.Background(), d.Addr().String(), q)
 				mu.Lock()
 				// The client's clock runs a little longer than the broker's, by the
 				// way there and back.
-				if r.Kind != "served" || r.Took > wanted+wanted/4 {
-					bad[q.ID] = fmt.Sprintf("%s after %v", r.Kind, r.Took)
-				} else if r.Took < wanted {
+				if r.Outcome != "served" || r.Latency > wanted+wanted/4 {
+					bad[q.ID] = fmt.Sprintf("%s after %v", r.Outcome, r.Latency)
+				} else if r.Latency < wanted {
 					good[q.ID] = true
 				}
 				mu.Unlock()
--- a/tracing/tracer_test.go
+++ b/tracing/tracer_test.go
@@ -232,7 +232,7 @@
 	}
 	tr.Close(context.Background())
 
-	file := testkit.WriteFile(t, nil)
+	file := testkit.WriteTempFile(t, nil)
 	tr = begin(t, Config{Dir: file}, &log, nil)
 	tr.Taken(1, query("q", at), at)
 	tr.Final(1, &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
