--- a/dial/dial.go
+++ b/dial/dial.go
@@ -271,7 +271,7 @@
 			return true
 		}
 		_ = e.conn.Close()
-	case errors.Is(e.err, context.Canceled), netio.LocalFailure(e.err):
+	case errors.Is(e.err, context.Canceled), netio.IsResourceExhausted(e.err):
 		r.Dropped(e.addr, now)
 	case errors.Is(e.err, context.DeadlineExceeded), errors.Is(e.err, os.ErrDeadlineExceeded), errors.Is(e.err, syscall.ETIMEDOUT):
 		r.Failed(e.addr, reach.TimedOut, now)
--- a/flightfront/front.go
+++ b/flightfront/front.go
@@ -81,7 +81,7 @@
 
 // Listen opens the front's socket and begins to serve.
 func Listen(addr string, o Options) (*Front, error) {
-	l, err := netio.ListenShared(addr)
+	l, err := netio.ListenReusePort(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening for Flight clients: %w", err)
 	}
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -203,8 +203,8 @@
 	return grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, c.opts.ConnectTimeout)
 		defer cancel()
-		conn, err := c.opts.Dialer.DialOnly(ctx, "tcp", addr)
-		n.local.Store(netio.LocalFailure(err))
+		conn, err := c.opts.Dialer.DialSoleAddress(ctx, "tcp", addr)
+		n.local.Store(netio.IsResourceExhausted(err))
 		return conn, err
 	})
 }
--- a/httpfront/conn.go
+++ b/httpfront/conn.go
@@ -64,7 +64,7 @@
 	defer func() { c.inData = false }()
 	c.heard = time.Now()
 	if !c.spoke { // it may have waited to be accepted, with its first request
-		if waited := c.sock.LastHeard(); waited < longestWait {
+		if waited := c.sock.SinceLastReceive(); waited < longestWait {
 			c.heard = c.heard.Add(-waited)
 		}
 	}
@@ -74,7 +74,7 @@
 	c.spoke = true
 	c.parser.Feed(b)
 	c.work()
-	if c.gone || len(c.slots) > 0 && c.parser.Mid() && c.sock.PeerGone() {
+	if c.gone || len(c.slots) > 0 && c.parser.Mid() && c.sock.PeerClosed() {
 		c.depart()
 	}
 	c.invite()
@@ -211,7 +211,7 @@
 // rest ends a connection that carries no request, unless one may have come. An answer
 // that the client does not read keeps it open for a while.
 func (c *conn) rest() bool {
-	if c.sock.EndIfQuiet() {
+	if c.sock.CloseWriteIfIdle() {
 		c.ending, c.ended = true, true
 		return true
 	}
@@ -269,7 +269,7 @@
 	}
 	// It may have waited for us, behind others of its connection too, and its client have
 	// left: Closed comes, and the slots go with it.
-	if c.sock.PeerGone() {
+	if c.sock.PeerClosed() {
 		c.gone = true
 		return
 	}
@@ -282,7 +282,7 @@
 }
 
 // Gone implements broker.Departure.
-func (c *conn) Gone() bool { return c.sock.PeerGone() }
+func (c *conn) Gone() bool { return c.sock.PeerClosed() }
 
 // Reply implements broker.Replier.
 func (c *conn) Reply(id broker.QueryID, r broker.Reply) {
@@ -301,7 +301,7 @@
 
 func (c *conn) finish(s *slot, render func(last bool) []byte) {
 	ends := c.f.sheds() || c.f.crowded()
-	ends = ends && s == c.slots[len(c.slots)-1] && c.parser.Buffered() == 0 && !c.sock.Unread(c.inData)
+	ends = ends && s == c.slots[len(c.slots)-1] && c.parser.Buffered() == 0 && !c.sock.HasUnread(c.inData)
 	s.last = s.close || ends
 	s.done, s.out = true, render(s.last)
 	c.advance()
--- a/httpfront/front.go
+++ b/httpfront/front.go
@@ -109,7 +109,7 @@
 // Listen opens the front's socket and begins to serve.
 func Listen(addr string, o Options) (*Front, error) {
 	if o.Listener == nil {
-		l, err := netio.ListenShared(addr)
+		l, err := netio.ListenReusePort(addr)
 		if err != nil {
 			return nil, fmt.Errorf("listening for clients: %w", err)
 		}
@@ -170,7 +170,7 @@
 			return
 		}
 		// Those that the system has taken for us would be reset with the socket.
-		if f.closing.Load() && (f.handed.Load() || !netio.Waiting(f.listener)) {
+		if f.closing.Load() && (f.handed.Load() || !netio.HasPendingConn(f.listener)) {
 			return
 		}
 		nc, err := f.listener.Accept()
--- a/httpfront/terms_test.go
+++ b/httpfront/terms_test.go
@@ -103,7 +103,7 @@
 			if err := client.(*net.TCPConn).CloseWrite(); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Eventually(t, "the end is there", func() bool { return f.list()[0].sock.PeerGone() })
+			testkit.Eventually(t, "the end is there", func() bool { return f.list()[0].sock.PeerClosed() })
 			letGo()
 		}
 		if err := client.(*net.TCPConn).CloseWrite(); err != nil && !errors.Is(err, syscall.ENOTCONN) {
--- a/internal/address/address.go
+++ b/internal/address/address.go
@@ -20,7 +20,7 @@
 	IPv4 Family = iota
 	IPv6
 	Unix
-	Name // a host by its name, which the system looks up
+	Hostname // a host by its name, which the system looks up
 )
 
 func (f Family) String() string { return [...]string{"ipv4", "ipv6", "unix", "name"}[f] }
@@ -35,76 +35,76 @@
 // Schemes of a Flight location (Arrow Flight RPC, "Connection semantics"), and
 // of a path for frames.
 const (
-	flightTCP  = "grpc+tcp://"
-	flightUnix = "grpc+unix:"
-	unixScheme = "unix:"
+	flightTCPScheme  = "grpc+tcp://"
+	flightUnixScheme = "grpc+unix:"
+	unixScheme       = "unix:"
 )
 
 // maxPath is the longest path of a Unix socket, its closing zero apart (unix(7)).
-const maxPath = 107
+const maxUnixPathLen = 107
 
 // Parse reads "host:port", "[v6]:port", "unix:/path", "grpc+tcp://host:port"
 // and "grpc+unix:/path", the last also with "//" before the path.
 func Parse(s string) (Address, error) {
-	if rest, ok := strings.CutPrefix(s, flightUnix); ok {
+	if rest, ok := strings.CutPrefix(s, flightUnixScheme); ok {
 		if strings.HasPrefix(rest, "///") {
 			rest = rest[2:]
 		}
-		return unix(rest, true)
+		return parseUnix(rest, true)
 	}
 	if rest, ok := strings.CutPrefix(s, unixScheme); ok {
-		return unix(rest, false)
+		return parseUnix(rest, false)
 	}
-	rest, flight := strings.CutPrefix(s, flightTCP)
+	rest, flight := strings.CutPrefix(s, flightTCPScheme)
 	if strings.Contains(rest, "://") {
-		return Address{}, fmt.Errorf("address %.80q: want host:port, unix:/path, %shost:port or %s/path", s, flightTCP, flightUnix)
+		return Address{}, fmt.Errorf("address %.80q: want host:port, unix:/path, %shost:port or %s/path", s, flightTCPScheme, flightUnixScheme)
 	}
-	return tcp(rest, flight)
+	return parseTCP(rest, flight)
 }
 
-func unix(p string, flight bool) (Address, error) {
+func parseUnix(socketPath string, flight bool) (Address, error) {
 	switch {
-	case !strings.HasPrefix(p, "/") || path.Clean(p) != p || p == "/":
-		return Address{}, fmt.Errorf("address: path %.120q: want an absolute one in its shortest form", p)
-	case len(p) > maxPath:
-		return Address{}, fmt.Errorf("address: path of %d bytes, want %d at most", len(p), maxPath)
-	case strings.ContainsFunc(p, func(r rune) bool { return r < ' ' || r == 0x7f }):
-		return Address{}, fmt.Errorf("address: path %.120q: has a control character", p)
+	case !strings.HasPrefix(socketPath, "/") || path.Clean(socketPath) != socketPath || socketPath == "/":
+		return Address{}, fmt.Errorf("address: path %.120q: want an absolute one in its shortest form", socketPath)
+	case len(socketPath) > maxUnixPathLen:
+		return Address{}, fmt.Errorf("address: path of %d bytes, want %d at most", len(socketPath), maxUnixPathLen)
+	case strings.ContainsFunc(socketPath, func(r rune) bool { return r < ' ' || r == 0x7f }):
+		return Address{}, fmt.Errorf("address: path %.120q: has a control character", socketPath)
 	}
-	return Address{Flight: flight, Family: Unix, Target: p}, nil
+	return Address{Flight: flight, Family: Unix, Target: socketPath}, nil
 }
 
-func tcp(s string, flight bool) (Address, error) {
+func parseTCP(s string, flight bool) (Address, error) {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil {
 		return Address{}, fmt.Errorf("address %.80q: %w", s, err)
 	}
-	n, err := strconv.ParseUint(port, 10, 16)
-	if err != nil || n == 0 || port[0] == '0' || port[0] == '+' {
+	portNumber, err := strconv.ParseUint(port, 10, 16)
+	if err != nil || portNumber == 0 || port[0] == '0' || port[0] == '+' {
 		return Address{}, fmt.Errorf("address %.80q: port: want 1 to 65535", s)
 	}
 	a := Address{Flight: flight, Target: net.JoinHostPort(host, port)}
 	ip, err := netip.ParseAddr(host)
 	switch {
 	case err != nil:
-		if err := checkName(host); err != nil {
+		if err := checkHostname(host); err != nil {
 			return Address{}, fmt.Errorf("address %.80q: %w", s, err)
 		}
-		a.Family = Name
+		a.Family = Hostname
 		a.Target = net.JoinHostPort(strings.ToLower(host), port)
 	case ip.Zone() != "":
 		return Address{}, fmt.Errorf("address %.80q: a zone holds on one machine only", s)
 	case ip.Unmap().Is4():
-		a.Target = netip.AddrPortFrom(ip.Unmap(), uint16(n)).String()
+		a.Target = netip.AddrPortFrom(ip.Unmap(), uint16(portNumber)).String()
 	default:
 		a.Family = IPv6
-		a.Target = netip.AddrPortFrom(ip, uint16(n)).String()
+		a.Target = netip.AddrPortFrom(ip, uint16(portNumber)).String()
 	}
 	return a, nil
 }
 
 // checkName holds a host's name against RFC 1123, section 2.1.
-func checkName(host string) error {
+func checkHostname(host string) error {
 	if host == "" || len(host) > 253 {
 		return errors.New("host: want 1 to 253 characters")
 	}
@@ -125,11 +125,11 @@
 func (a Address) String() string {
 	switch {
 	case a.Family == Unix && a.Flight:
-		return flightUnix + a.Target
+		return flightUnixScheme + a.Target
 	case a.Family == Unix:
 		return unixScheme + a.Target
 	case a.Flight:
-		return flightTCP + a.Target
+		return flightTCPScheme + a.Target
 	}
 	return a.Target
 }
--- a/internal/address/address_test.go
+++ b/internal/address/address_test.go
@@ -11,7 +11,7 @@
 		"[::1]:80":                         {Family: IPv6, Target: "[::1]:80"},
 		"[0:0:0:0:0:0:0:1]:80":             {Family: IPv6, Target: "[::1]:80"},
 		"[::ffff:127.0.0.1]:80":            {Target: "127.0.0.1:80"}, // the same socket as the first
-		"Node-1.example:8000":              {Family: Name, Target: "node-1.example:8000"},
+		"Node-1.example:8000":              {Family: Hostname, Target: "node-1.example:8000"},
 		"unix:/run/n.sock":                 {Family: Unix, Target: "/run/n.sock"},
 		"grpc+tcp://127.0.0.1:80":          {Flight: true, Target: "127.0.0.1:80"},
 		"grpc+tcp://[::1]:80":              {Flight: true, Family: IPv6, Target: "[::1]:80"},
@@ -23,8 +23,8 @@
 		if err != nil || got != want {
 			t.Errorf("%s: %+v, %v", in, got, err)
 		}
-		if again, err := Parse(got.String()); err != nil || again != got {
-			t.Errorf("%s comes back from %s as %+v, %v", in, got, again, err)
+		if reparsed, err := Parse(got.String()); err != nil || reparsed != got {
+			t.Errorf("%s comes back from %s as %+v, %v", in, got, reparsed, err)
 		}
 	}
 	for in, want := range map[string]string{
@@ -48,8 +48,8 @@
 		if err != nil {
 			return
 		}
-		if again, err := Parse(a.String()); err != nil || again != a {
-			t.Fatalf("%q: %+v comes back as %+v, %v", s, a, again, err)
+		if reparsed, err := Parse(a.String()); err != nil || reparsed != a {
+			t.Fatalf("%q: %+v comes back as %+v, %v", s, a, reparsed, err)
 		}
 	})
 }
--- a/internal/netio/attach.go
+++ b/internal/netio/attach.go
@@ -1,6 +1,6 @@
 package netio
 
-// How a connection changes hands, from the standard library to the engine.
+// Moving a connection from the standard library to the engine.
 
 import (
 	"errors"
@@ -11,93 +11,94 @@
 	"time"
 )
 
-// Attach moves an open connection onto the loop. set, if not nil, is called
-// with the Conn before the first event can come, once more where the system lacks
-// something for a moment and the connection is tried again; only after Attach has
-// returned, or from an event, may the Conn be written to. If Attach fails
-// after set, the handler's Closed still comes.
-func (l *Loop) Attach(conn net.Conn, h Handler, set func(*Conn)) (*Conn, error) {
-	began := time.Now()
+// Attach moves an open connection onto the loop. setup, if not nil, is called with the new
+// Conn before its first event; it is called again with another Conn if the system was out of
+// resources and the attempt is repeated. The Conn may be written to only once Attach has
+// returned or from an event. If Attach fails after setup was called, the handler's Closed is
+// still called.
+func (l *Loop) Attach(conn net.Conn, h Handler, setup func(*Conn)) (*Conn, error) {
+	start := time.Now()
 	for {
-		c, kept, err := l.attach(conn, h, set)
+		c, openConn, err := l.tryAttach(conn, h, setup)
 		if err == nil {
 			return c, nil
 		}
-		if kept == nil || !LocalFailure(err) || time.Since(began) > attachWithin {
-			if kept != nil {
-				_ = kept.Close()
+		if openConn == nil || !IsResourceExhausted(err) || time.Since(start) > attachTimeout {
+			if openConn != nil {
+				_ = openConn.Close()
 			}
-			if c != nil && c.leave() {
-				l.hand.do(func() { h.Closed(err) })
+			if c != nil && c.markClosed() {
+				l.worker.enqueue(func() { h.Closed(err) })
 			}
 			return nil, err
 		}
-		conn = kept
-		time.Sleep(attachAgain)
+		conn = openConn
+		time.Sleep(attachRetryInterval)
 	}
 }
 
-// attach is one try of Attach. With an error come the connection, where it is still open,
-// and the Conn, where set has been called.
-func (l *Loop) attach(conn net.Conn, h Handler, set func(*Conn)) (c *Conn, kept net.Conn, err error) {
-	l.taking.Lock()
-	defer l.taking.Unlock()
-	spare, err := duplicate(conn) // the engine closes what it cannot add
+// tryAttach is one attempt of Attach. On an error it returns the connection if that is still
+// open, and the Conn if setup was called.
+func (l *Loop) tryAttach(conn net.Conn, h Handler, setup func(*Conn)) (c *Conn, openConn net.Conn, err error) {
+	l.attachMu.Lock()
+	defer l.attachMu.Unlock()
+	spareFD, err := dupFD(conn) // the engine closes a connection that it cannot add
 	if err != nil {
-		return nil, conn, fmt.Errorf("taking over a connection: %w", err)
+		return nil, conn, fmt.Errorf("attaching a connection: %w", err)
 	}
-	nc, err := l.take(conn)
+	nbConn, err := l.wrapConn(conn)
 	if err != nil {
-		_ = syscall.Close(spare)
-		return nil, conn, fmt.Errorf("taking over a connection: %w", err)
+		_ = syscall.Close(spareFD)
+		return nil, conn, fmt.Errorf("attaching a connection: %w", err)
 	}
-	c = &Conn{l: l, nc: nc, h: h}
-	c.adding.Store(true)
-	nc.SetSession(c)
-	if set != nil {
-		set(c)
+	c = &Conn{loop: l, nbConn: nbConn, handler: h}
+	c.attaching.Store(true)
+	nbConn.SetSession(c)
+	if setup != nil {
+		setup(c)
 	}
 	l.fence.Add(1)
-	// While there is a second descriptor the system goes on to tell of the first, after its
-	// close too, and so of the connection that gets its number: the engine must not come to
-	// an end of this one before. It takes this lock before each read.
-	c.using.Lock()
-	defer c.using.Unlock()
-	defer syscall.Close(spare)
-	if err := l.add(nc); err != nil {
-		kept, lost := connOf(spare)
-		return c, kept, errors.Join(fmt.Errorf("adding a connection: %w", err), lost)
+	// As long as the duplicate is open, epoll keeps reporting events for the first descriptor
+	// even after that was closed, and they would be taken for events of the connection that
+	// reuses its number. So the engine must not close this connection before the duplicate is
+	// closed: it takes this lock before each read.
+	c.fdMu.Lock()
+	defer c.fdMu.Unlock()
+	defer syscall.Close(spareFD)
+	if err := l.addConn(nbConn); err != nil {
+		openConn, connErr := connFromFD(spareFD)
+		return c, openConn, errors.Join(fmt.Errorf("adding a connection to the network engine: %w", err), connErr)
 	}
-	c.adding.Store(false)
+	c.attaching.Store(false)
 	return c, nil, nil
 }
 
-// duplicate returns a second descriptor of a connection.
-func duplicate(conn net.Conn) (int, error) {
-	sc, ok := conn.(syscall.Conn)
+// dupFD duplicates the file descriptor of a connection.
+func dupFD(conn net.Conn) (int, error) {
+	rawConner, ok := conn.(syscall.Conn)
 	if !ok {
-		return -1, errNoDescriptor
+		return -1, errNoFD
 	}
-	raw, err := sc.SyscallConn()
+	raw, err := rawConner.SyscallConn()
 	if err != nil {
-		return -1, fmt.Errorf("reaching the socket: %w", err)
+		return -1, fmt.Errorf("accessing the socket: %w", err)
 	}
-	copied, failed := -1, error(nil)
-	if err := raw.Control(func(fd uintptr) { copied, failed = syscall.Dup(int(fd)) }); err != nil {
-		return -1, fmt.Errorf("reaching the socket: %w", err)
+	copyFD, dupErr := -1, error(nil)
+	if err := raw.Control(func(fd uintptr) { copyFD, dupErr = syscall.Dup(int(fd)) }); err != nil {
+		return -1, fmt.Errorf("accessing the socket: %w", err)
 	}
-	return copied, failed
+	return copyFD, dupErr
 }
 
-// connOf makes a connection of a descriptor, which stays open beside it.
-func connOf(fd int) (net.Conn, error) {
-	copied, err := syscall.Dup(fd)
+// connFromFD returns a connection on a duplicate of fd, which stays open.
+func connFromFD(fd int) (net.Conn, error) {
+	copyFD, err := syscall.Dup(fd)
 	if err != nil {
-		return nil, fmt.Errorf("keeping a connection: %w", err)
+		return nil, fmt.Errorf("duplicating a connection: %w", err)
 	}
-	f := os.NewFile(uintptr(copied), "connection")
+	f := os.NewFile(uintptr(copyFD), "connection")
 	defer f.Close()
 	return net.FileConn(f)
 }
 
-var errNoDescriptor = errors.New("a connection without a descriptor")
+var errNoFD = errors.New("connection has no file descriptor")
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -1,6 +1,6 @@
 package netio
 
-// A connection: its writes, its end, and looks at its socket.
+// A connection: writing, closing, and the state of its socket.
 
 import (
 	"errors"
@@ -17,53 +17,53 @@
 
 // Conn is a connection on a Loop.
 type Conn struct {
-	l       *Loop
-	nc      *nbio.Conn
-	h       Handler
-	queued  atomic.Int64
-	written atomic.Int64
-	closed  atomic.Bool
-	closing atomic.Bool // we have closed it
-	adding  atomic.Bool // the engine is being given it
-	got     bool        // the latest read brought something; the engine's goroutine alone uses it
-	onFlush atomic.Pointer[func()]
+	loop         *Loop
+	nbConn       *nbio.Conn
+	handler      Handler
+	queuedBytes  atomic.Int64
+	writtenBytes atomic.Int64
+	closed       atomic.Bool
+	closing      atomic.Bool // Close was called
+	attaching    atomic.Bool // being added to the engine
+	delivered    bool        // the last read returned data; used only by the engine's goroutine
+	onFlush      atomic.Pointer[func()]
 
-	using   sync.Mutex // held while the descriptor is used beside the engine
-	reading bool       // the engine reads, or the handler has yet to take what it has read
+	fdMu    sync.Mutex // held while the descriptor is used outside the engine
+	reading bool       // the engine is reading, or the handler has not yet processed what was read
 }
 
-// Write queues b, which it copies where it cannot leave at once, and returns
-// the position in the stream of its last byte. After an error the connection
-// is closed; Written tells what had left. One goroutine may write at a time.
+// Write writes b, or queues a copy of what the system does not take at once, and returns the
+// position in the stream after its last byte. After an error the connection is closed, and
+// Written returns how much was written. Only one goroutine may write at a time.
 func (c *Conn) Write(b []byte) (end int64, err error) {
-	end = c.queued.Add(int64(len(b)))
-	left := b
-	if c.Backlog() == int64(len(b)) { // nothing waits: by ourselves, as the engine closes where a write fails
-		n, err := c.writeNow(b)
+	end = c.queuedBytes.Add(int64(len(b)))
+	rest := b
+	if c.Backlog() == int64(len(b)) { // nothing is queued: write directly, as the engine itself closes the connection when a write fails
+		n, err := c.tryWrite(b)
 		if err != nil {
 			c.Close()
 			return end, fmt.Errorf("writing %d bytes: %w", len(b), err)
 		}
-		if left = b[n:]; len(left) == 0 {
-			c.flushed()
+		if rest = b[n:]; len(rest) == 0 {
+			c.notifyFlushed()
 			return end, nil
 		}
 	}
-	if c.Backlog() > int64(c.l.maxWrite) {
+	if c.Backlog() > int64(c.loop.maxWrite) {
 		c.Close()
-		return end, fmt.Errorf("writing %d bytes: %w", len(b), errBacklog)
+		return end, fmt.Errorf("writing %d bytes: %w", len(b), errWriteBufferFull)
 	}
-	if _, err := c.nc.Write(left); err != nil {
+	if _, err := c.nbConn.Write(rest); err != nil {
 		return end, fmt.Errorf("writing %d bytes: %w", len(b), err)
 	}
 	return end, nil
 }
 
-var errBacklog = errors.New("too many bytes wait to leave")
+var errWriteBufferFull = errors.New("write buffer full")
 
-// writeNow writes what the system takes at once.
-func (c *Conn) writeNow(b []byte) (n int, err error) {
-	unusable := c.control(func(fd uintptr) {
+// tryWrite writes as much of b as the system takes without blocking.
+func (c *Conn) tryWrite(b []byte) (n int, err error) {
+	fdErr := c.withFD(func(fd uintptr) {
 		for {
 			n, err = syscall.Write(int(fd), b)
 			if !errors.Is(err, syscall.EINTR) {
@@ -71,191 +71,190 @@
 			}
 		}
 		n = max(n, 0)
-		c.written.Add(int64(n))
+		c.writtenBytes.Add(int64(n))
 	})
 	if errors.Is(err, syscall.EAGAIN) {
 		err = nil
 	}
-	return n, errors.Join(unusable, err)
+	return n, errors.Join(fdErr, err)
 }
 
-// Written is how many bytes the kernel has taken: a frame whose last byte lies
-// beyond it cannot have been read by the other side.
-func (c *Conn) Written() int64 { return c.written.Load() }
+// Written returns the number of bytes passed to the kernel. The peer cannot have read the whole
+// of a frame that ends beyond it.
+func (c *Conn) Written() int64 { return c.writtenBytes.Load() }
 
-// Backlog is how many bytes wait to be written.
-func (c *Conn) Backlog() int64 { return c.queued.Load() - c.written.Load() }
+// Backlog returns the number of queued bytes that are not written yet.
+func (c *Conn) Backlog() int64 { return c.queuedBytes.Load() - c.writtenBytes.Load() }
 
-// Close ends the connection at once; nothing that comes is handed on any more, and the
-// handler's Closed still comes. The descriptor is closed by the engine's goroutine, when
-// it sees the end: closed by another one, its number could go to a new connection while an
-// event of this one is still to be looked at, and would end that one.
+// Close shuts the connection down at once. No more data is delivered, but the handler's Closed
+// is still called. The descriptor itself is closed by the engine's goroutine when it sees the
+// shutdown: if another goroutine closed it, its number could be reused by a new connection
+// while the engine still has an event of this one to process, which would close the new one.
 func (c *Conn) Close() {
-	// It fails where the connection is broken already: then the engine sees that.
-	_ = c.control(func(fd uintptr) { _ = syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
+	// It fails if the connection is already broken; then the engine notices that.
+	_ = c.withFD(func(fd uintptr) { _ = syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 	if !c.closing.Swap(true) {
-		time.AfterFunc(closeWithin, func() { _ = c.nc.Close() }) // the engine has, but for a system that does not tell
+		time.AfterFunc(closeTimeout, func() { _ = c.nbConn.Close() }) // needed only if the system does not report the shutdown to the engine
 	}
 }
 
-// Abort ends the connection at once, as Close does, by a reset: the other side does not get
-// what it has not got yet.
+// Abort closes the connection like Close, but with a reset: data that the peer has not received
+// yet is lost.
 func (c *Conn) Abort() {
-	_ = c.control(func(fd uintptr) { // fails where it is closed already
+	_ = c.withFD(func(fd uintptr) { // fails if it is already closed
 		_ = unix.SetsockoptLinger(int(fd), unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	})
 	c.Close()
 }
 
-// Unconfirmed is how many bytes that the system has taken the other side's system has not
-// confirmed; 0 where it does not tell.
-func (c *Conn) Unconfirmed() int64 {
-	unconfirmed := 0
-	err := c.control(func(fd uintptr) {
+// UnackedBytes returns the number of bytes in the send queue of the kernel that the peer's
+// kernel has not acknowledged, or 0 if the system does not report it.
+func (c *Conn) UnackedBytes() int64 {
+	unacked := 0
+	err := c.withFD(func(fd uintptr) {
 		if n, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ); err == nil {
-			unconfirmed = n
+			unacked = n
 		}
 	})
 	if err != nil {
 		return 0
 	}
-	return int64(unconfirmed)
+	return int64(unacked)
 }
 
-// AfterFlush calls f from the loop's hand once all that was queued has left.
+// AfterFlush calls f on the loop's worker goroutine once all queued bytes have been written.
 func (c *Conn) AfterFlush(f func()) {
 	c.onFlush.Store(&f)
 	if c.Backlog() <= 0 {
-		c.flushed()
+		c.notifyFlushed()
 	}
 }
 
-func (c *Conn) flushed() {
+func (c *Conn) notifyFlushed() {
 	if f := c.onFlush.Swap(nil); f != nil {
-		c.l.hand.do(*f)
+		c.loop.worker.enqueue(*f)
 	}
 }
 
-// part tells the handler of the other side's end, where a read brought nothing for it.
-func (c *Conn) part() {
-	if p, ok := c.h.(Parting); ok && !c.got && c.HungUp() && !c.closed.Load() && !c.closing.Load() {
+// notifyPeerEnded calls PeerEnded if a read found the end of the peer's stream and no data.
+func (c *Conn) notifyPeerEnded() {
+	if p, ok := c.handler.(PeerEndHandler); ok && !c.delivered && c.AtEOF() && !c.closed.Load() && !c.closing.Load() {
 		p.PeerEnded()
 	}
 }
 
-// leave marks the connection as closed, once. The next connection may have got its
-// descriptor's number already: see control.
-func (c *Conn) leave() bool {
-	c.using.Lock()
-	defer c.using.Unlock()
+// markClosed marks the connection as closed and reports whether it was open before. The number
+// of its descriptor may already be reused by another connection: see withFD.
+func (c *Conn) markClosed() bool {
+	c.fdMu.Lock()
+	defer c.fdMu.Unlock()
 	return !c.closed.Swap(true)
 }
 
-// control uses the descriptor where it still is the connection's own. The engine marks a
-// connection as closed under its lock, closes the descriptor then, and tells of it later:
-// under that lock a connection that is not marked has its descriptor.
-func (c *Conn) control(f func(fd uintptr)) error {
-	c.using.Lock()
-	defer c.using.Unlock()
-	c.nc.Lock()
-	defer c.nc.Unlock()
-	if closed, _ := c.nc.IsClosed(); closed || c.closed.Load() || c.closing.Load() {
+// withFD calls f with the descriptor if it still belongs to the connection. The engine marks a
+// connection as closed under its lock, then closes the descriptor, and only later calls its
+// OnClose. While that lock is held, an unmarked connection still owns its descriptor.
+func (c *Conn) withFD(f func(fd uintptr)) error {
+	c.fdMu.Lock()
+	defer c.fdMu.Unlock()
+	c.nbConn.Lock()
+	defer c.nbConn.Unlock()
+	if closed, _ := c.nbConn.IsClosed(); closed || c.closed.Load() || c.closing.Load() {
 		return net.ErrClosed
 	}
-	raw, err := c.nc.SyscallConn()
+	raw, err := c.nbConn.SyscallConn()
 	if err == nil {
 		err = raw.Control(f)
 	}
 	if err != nil {
-		return fmt.Errorf("reaching the socket: %w", err)
+		return fmt.Errorf("accessing the socket: %w", err)
 	}
 	return nil
 }
 
-// CloseWrite ends our side of the stream and leaves the other open, so that
-// what was written last is not destroyed by a reset.
+// CloseWrite closes the sending side and leaves the receiving side open, so that a reset does
+// not destroy the last data written.
 func (c *Conn) CloseWrite() error {
-	var failed error
-	if err := c.control(func(fd uintptr) { failed = syscall.Shutdown(int(fd), syscall.SHUT_WR) }); err != nil {
+	var shutdownErr error
+	if err := c.withFD(func(fd uintptr) { shutdownErr = syscall.Shutdown(int(fd), syscall.SHUT_WR) }); err != nil {
 		return err
 	}
-	if failed != nil {
-		return fmt.Errorf("ending the stream: %w", failed)
+	if shutdownErr != nil {
+		return fmt.Errorf("closing the sending side: %w", shutdownErr)
 	}
 	return nil
 }
 
-func (c *Conn) setReading(is bool) {
-	c.using.Lock()
-	defer c.using.Unlock()
-	c.reading = is
+func (c *Conn) setReading(reading bool) {
+	c.fdMu.Lock()
+	defer c.fdMu.Unlock()
+	c.reading = reading
 }
 
-// EndIfQuiet ends our side of the stream as CloseWrite does, but not while the other
-// side may have said something that the handler does not know: bytes that wait, or are
-// being read. What is read after it has been sent too late. Nor does it while bytes of
-// ours wait to leave. It says whether it has.
-func (c *Conn) EndIfQuiet() bool {
-	ended := false
-	err := c.control(func(fd uintptr) {
+// CloseWriteIfIdle closes the sending side like CloseWrite and reports whether it did. It does
+// not while the peer may have sent something that the handler has not processed, that is, while
+// data is waiting to be read or is being read, nor while queued bytes are not written. Data that
+// is read after a successful call was sent too late.
+func (c *Conn) CloseWriteIfIdle() bool {
+	closed := false
+	err := c.withFD(func(fd uintptr) {
 		if c.reading || c.Backlog() > 0 {
 			return
 		}
-		if _, err := peek(fd); errors.Is(err, syscall.EAGAIN) { // else bytes wait, or the news of its end
-			ended = syscall.Shutdown(int(fd), syscall.SHUT_WR) == nil
+		if _, err := peekByte(fd); errors.Is(err, syscall.EAGAIN) { // otherwise data or the end of the peer's stream is waiting
+			closed = syscall.Shutdown(int(fd), syscall.SHUT_WR) == nil
 		}
 	})
-	return ended && err == nil
+	return closed && err == nil
 }
 
-// Unread says whether the other side has said something that the handler does not know
-// yet. inData is for the handler that asks from within Data: what it was given there it
-// knows.
-func (c *Conn) Unread(inData bool) bool {
+// HasUnread reports whether the peer has sent data that the handler has not processed yet.
+// inData is set by a handler that calls it from within Data, so that the data passed to that
+// call does not count.
+func (c *Conn) HasUnread(inData bool) bool {
 	unread := false
-	err := c.control(func(fd uintptr) {
-		n, err := peek(fd)
+	err := c.withFD(func(fd uintptr) {
+		n, err := peekByte(fd)
 		unread = c.reading && !inData || err == nil && n > 0
 	})
 	return unread && err == nil
 }
 
-// LastHeard is how long ago the system got the latest bytes of the other side, read or
-// not; 0 where it does not tell.
-func (c *Conn) LastHeard() time.Duration {
-	ago := time.Duration(0)
-	err := c.control(func(fd uintptr) {
+// SinceLastReceive returns the time since the kernel last received data from the peer, whether
+// read or not, or 0 if the system does not report it.
+func (c *Conn) SinceLastReceive() time.Duration {
+	elapsed := time.Duration(0)
+	err := c.withFD(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			ago = time.Duration(info.Last_data_recv) * time.Millisecond
+			elapsed = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
 	if err != nil {
 		return 0
 	}
-	return ago
+	return elapsed
 }
 
-// PeerGone says whether the other side has ended its stream or the connection, also
-// where bytes that it has sent before are still to be read.
-func (c *Conn) PeerGone() bool {
-	gone := false
-	err := c.control(func(fd uintptr) { gone = shows(fd, unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) })
-	return gone || err != nil
+// PeerClosed reports whether the peer has closed its sending side or the whole connection, even
+// if data that it sent before is still unread.
+func (c *Conn) PeerClosed() bool {
+	closed := false
+	err := c.withFD(func(fd uintptr) { closed = hasEvents(fd, unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) })
+	return closed || err != nil
 }
 
-// HungUp says whether the other side has ended its stream, or the connection is
-// broken, though the loop may not have read that yet. With bytes still to be
-// read before the end it says no.
-func (c *Conn) HungUp() bool {
-	ended := false
-	err := c.control(func(fd uintptr) {
-		n, err := peek(fd)
+// AtEOF reports whether the peer has closed its sending side, or the connection is broken, even
+// if the loop has not noticed that yet. It is false while there is unread data before the end.
+func (c *Conn) AtEOF() bool {
+	eof := false
+	err := c.withFD(func(fd uintptr) {
+		n, err := peekByte(fd)
 		switch {
 		case err == nil:
-			ended = n == 0
+			eof = n == 0
 		case !errors.Is(err, syscall.EAGAIN):
-			ended = true
+			eof = true
 		}
 	})
-	return ended || err != nil
+	return eof || err != nil
 }
--- a/internal/netio/dialer.go
+++ b/internal/netio/dialer.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// startsAtOnce is how many connects may be in the system at once.
-	startsAtOnce = 2
-	// dialAgain is the pause before a dial is tried again that has failed on this machine.
-	dialAgain = 10 * time.Millisecond
+	// maxConcurrentConnects is the number of connect system calls that may run at the same time.
+	maxConcurrentConnects = 2
+	// dialRetryInterval is the pause before a dial that failed for a local reason is retried.
+	dialRetryInterval = 10 * time.Millisecond
 )
 
-// LocalFailure says whether an error means that this machine lacks descriptors, buffers
-// or memory for the moment: it tells nothing of the other side.
-func LocalFailure(err error) bool {
+// IsResourceExhausted reports whether an error means that this machine is temporarily out of
+// descriptors, buffers or memory. Such an error says nothing about the peer.
+func IsResourceExhausted(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENOSPC, syscall.EAGAIN} {
 		if errors.Is(err, errno) {
 			return true
@@ -27,108 +27,113 @@
 	return false
 }
 
-// noWay says whether an error means that this machine has no address or no route to dial
-// from: for a moment, or for as long as the other side's address is what it is.
-func noWay(err error) bool {
+// isNoRoute reports whether an error means that this machine has no local address or no route
+// for a dial. That may be temporary, or last as long as the peer has this address.
+func isNoRoute(err error) bool {
 	return errors.Is(err, syscall.EADDRNOTAVAIL) || errors.Is(err, syscall.ENETUNREACH)
 }
 
-// Dialer makes connections, any number at a time, of which only a few are being
-// begun: a connect that the system lets wait, for want of a processor or of memory,
-// holds a thread, the runtime makes another for whoever runs next, and threads stay.
-// What waits for the other side waits in the runtime's poller and holds none.
+// Dialer dials any number of connections at a time, but runs only a few connect system calls
+// concurrently. A connect that blocks in the system for lack of a processor or of memory holds
+// a thread; the runtime then creates another thread to run other goroutines, and never ends
+// it. A dial that waits for the peer waits in the runtime's poller and holds no thread.
 type Dialer struct {
-	// Control is called before each connect, as that of net.Dialer; it may be nil.
-	Control func(network, address string, c syscall.RawConn) error
-	starts  chan struct{}
+	// Control is called before each connect, like net.Dialer.Control; it may be nil.
+	Control      func(network, address string, c syscall.RawConn) error
+	connectSlots chan struct{}
 }
 
-// NewDialer returns a dialer.
-func NewDialer() *Dialer { return &Dialer{starts: make(chan struct{}, startsAtOnce)} }
+// NewDialer returns a Dialer without a Control.
+func NewDialer() *Dialer { return &Dialer{connectSlots: make(chan struct{}, maxConcurrentConnects)} }
 
-// Dial makes a connection without keep-alive. What fails for want of something on this
-// machine is tried again until ctx ends, and fails with that error then.
+// Dial opens a connection without keep-alive. While this machine is out of resources it retries
+// until ctx ends, and then returns that error.
 func (d *Dialer) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	return d.again(ctx, network, address, LocalFailure)
+	return d.dialWithRetry(ctx, network, address, IsResourceExhausted)
 }
 
-// DialOnly does so for an address that is the only one: it is tried again as well where
-// there is no way to it.
-func (d *Dialer) DialOnly(ctx context.Context, network, address string) (net.Conn, error) {
-	return d.again(ctx, network, address, func(err error) bool { return LocalFailure(err) || noWay(err) })
+// DialSoleAddress is like Dial for a peer that has only one address: it also retries while there
+// is no route to it.
+func (d *Dialer) DialSoleAddress(ctx context.Context, network, address string) (net.Conn, error) {
+	return d.dialWithRetry(ctx, network, address, func(err error) bool { return IsResourceExhausted(err) || isNoRoute(err) })
 }
 
-// again dials until it succeeds, ctx ends, or it fails with an error that may not pass.
-func (d *Dialer) again(ctx context.Context, network, address string, passes func(error) bool) (net.Conn, error) {
-	pause := time.NewTimer(time.Hour)
-	defer pause.Stop()
-	var before error
+// dialWithRetry dials until it succeeds, ctx ends, or it fails with an error that is not
+// retryable.
+func (d *Dialer) dialWithRetry(ctx context.Context, network, address string, retryable func(error) bool) (net.Conn, error) {
+	timer := time.NewTimer(time.Hour)
+	defer timer.Stop()
+	var previous error
 	for {
 		conn, err := d.dial(ctx, network, address)
-		if err != nil && before != nil && over(ctx) {
-			return nil, before // that its time is over does not tell what it failed for
+		if err != nil && previous != nil && deadlinePassed(ctx) {
+			return nil, previous // a time-out would hide the cause of the failures
 		}
-		if err == nil || !passes(err) {
+		if err == nil || !retryable(err) {
 			return conn, err
 		}
-		before = err
-		pause.Reset(dialAgain)
+		previous = err
+		timer.Reset(dialRetryInterval)
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-pause.C:
+		case <-timer.C:
 		}
 	}
 }
 
-// over says whether a context's time is over. The system's dialer looks at the deadline
-// itself, and may see it pass before the context's own timer fires.
-func over(ctx context.Context) bool {
-	deadline, bounded := ctx.Deadline()
-	return ctx.Err() != nil || bounded && !time.Now().Before(deadline)
+// deadlinePassed reports whether a context has ended or its deadline has passed. net.Dialer
+// checks the deadline itself, and may find it passed before the context's own timer fires.
+func deadlinePassed(ctx context.Context) bool {
+	deadline, ok := ctx.Deadline()
+	return ctx.Err() != nil || ok && !time.Now().Before(deadline)
 }
 
+// dial is one attempt to connect, which waits for a connect slot first.
 func (d *Dialer) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	select {
-	case d.starts <- struct{}{}:
+	case d.connectSlots <- struct{}{}:
 	case <-ctx.Done():
 		return nil, context.Cause(ctx)
 	}
-	s := &start{Context: ctx, d: d}
-	defer s.begun()
-	nd := net.Dialer{KeepAlive: -1, ControlContext: s.control}
-	return nd.DialContext(s, network, address)
+	connectCtx := &connectContext{Context: ctx, dialer: d}
+	defer connectCtx.releaseSlot()
+	netDialer := net.Dialer{KeepAlive: -1, ControlContext: connectCtx.control}
+	return netDialer.DialContext(connectCtx, network, address)
 }
 
-// start is the context of one dial, which tells when its connect has returned: from
-// then on the standard dialer waits for the context's end beside the connection's.
-// Would it not ask, the start would be over with the dial.
-type start struct {
+// connectContext is the context of one dial. It releases the dial's connect slot once the connect
+// system call has returned: from then on net.Dialer waits for the connection and for the
+// context, and calls Done to do so. If it did not call Done, the slot would be released at the
+// end of the dial.
+type connectContext struct {
 	context.Context
-	d     *Dialer
-	armed atomic.Bool // connect comes next
-	over  atomic.Bool
+	dialer      *Dialer
+	connectNext atomic.Bool // Control has run, so connect is the next system call
+	released    atomic.Bool
 }
 
-func (s *start) control(_ context.Context, network, address string, c syscall.RawConn) error {
+// control runs the dialer's Control and notes that connect is next.
+func (c *connectContext) control(_ context.Context, network, address string, raw syscall.RawConn) error {
 	var err error
-	if s.d.Control != nil {
-		err = s.d.Control(network, address, c)
+	if c.dialer.Control != nil {
+		err = c.dialer.Control(network, address, raw)
 	}
-	s.armed.Store(true)
+	c.connectNext.Store(true)
 	return err
 }
 
 // Done implements context.Context.
-func (s *start) Done() <-chan struct{} {
-	if s.armed.Load() {
-		s.begun()
+func (c *connectContext) Done() <-chan struct{} {
+	if c.connectNext.Load() {
+		c.releaseSlot()
 	}
-	return s.Context.Done()
+	return c.Context.Done()
 }
 
-func (s *start) begun() {
-	if !s.over.Swap(true) {
-		<-s.d.starts
+// releaseSlot releases the connect slot, once.
+func (c *connectContext) releaseSlot() {
+	if !c.released.Swap(true) {
+		<-c.dialer.connectSlots
 	}
 }
--- a/internal/netio/failures_test.go
+++ b/internal/netio/failures_test.go
@@ -16,55 +16,55 @@
 
 // interrupt has the calls that look at a descriptor fail with EINTR now and then: each
 // first one after a success.
-func interrupt(t *testing.T) {
-	recv, look := recvfrom, poll
-	t.Cleanup(func() { recvfrom, poll = recv, look })
+func injectEINTR(t *testing.T) {
+	realRecvfrom, realPoll := recvfrom, poll
+	t.Cleanup(func() { recvfrom, poll = realRecvfrom, realPoll })
 	var calls atomic.Int64
 	recvfrom = func(fd int, b []byte, flags int) (int, syscall.Sockaddr, error) {
 		if calls.Add(1)%2 == 1 {
 			return -1, nil, syscall.EINTR
 		}
-		return recv(fd, b, flags)
+		return realRecvfrom(fd, b, flags)
 	}
 	poll = func(fds []unix.PollFd, timeout int) (int, error) {
 		if calls.Add(1)%2 == 1 {
 			return -1, unix.EINTR
 		}
-		return look(fds, timeout)
+		return realPoll(fds, timeout)
 	}
 }
 
 // A look that is interrupted is taken again: a client that has gone is not taken for one
 // that is there, nor what waits for nothing.
-func TestInterruptedLooksAreTakenAgain(t *testing.T) {
+func TestSocketChecksRetryAfterEINTR(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer loop.Stop()
 	l := listen(t)
-	interrupt(t)
-	c, e, peer := pair(t, loop, l)
-	if c.PeerGone() || c.Unread(false) || c.HungUp() {
+	injectEINTR(t)
+	c, e, peer := attachPair(t, loop, l)
+	if c.PeerClosed() || c.HasUnread(false) || c.AtEOF() {
 		t.Error("gone, unread or hung up before a word")
 	}
-	loop.hold(t, c, func() {
+	loop.blockReads(t, c, func() {
 		if _, err := io.WriteString(peer, "x"); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Eventually(t, "the byte is there", func() bool { return c.Unread(true) })
+		testkit.Eventually(t, "the byte is there", func() bool { return c.HasUnread(true) })
 		for range 4 {
-			if !c.Unread(true) {
+			if !c.HasUnread(true) {
 				t.Error("a byte that waits is not seen")
 			}
-			if c.EndIfQuiet() {
+			if c.CloseWriteIfIdle() {
 				t.Error("ended over a byte that waits")
 			}
 		}
 		peer.Close()
-		testkit.Eventually(t, "the end is there", c.PeerGone)
+		testkit.Eventually(t, "the end is there", c.PeerClosed)
 		for range 4 {
-			if !c.PeerGone() {
+			if !c.PeerClosed() {
 				t.Error("an end that has come is not seen")
 			}
 		}
@@ -76,18 +76,18 @@
 	}
 	defer waiting.Close()
 	for range 4 {
-		if !Waiting(l.(*net.TCPListener)) {
+		if !HasPendingConn(l.(*net.TCPListener)) {
 			t.Error("a connection that waits is not seen")
 		}
 	}
 }
 
 // hold keeps the engine from reading a connection while f runs.
-func (l *Loop) hold(t *testing.T, c *Conn, f func()) {
+func (l *Loop) blockReads(t *testing.T, c *Conn, f func()) {
 	t.Helper()
-	other, _, peer := pair(t, l, listen(t))
+	other, _, peer := attachPair(t, l, listen(t))
 	gate, held := make(chan struct{}), make(chan struct{})
-	other.h = &gated{held: held, gate: gate}
+	other.handler = &blockingHandler{entered: held, gate: gate}
 	if _, err := io.WriteString(peer, "x"); err != nil {
 		t.Fatal(err)
 	}
@@ -98,17 +98,17 @@
 }
 
 // gated holds the engine's goroutine in its Data.
-type gated struct{ held, gate chan struct{} }
+type blockingHandler struct{ entered, gate chan struct{} }
 
-func (g *gated) Data([]byte) {
-	close(g.held)
+func (g *blockingHandler) Data([]byte) {
+	close(g.entered)
 	<-g.gate
 }
-func (g *gated) Closed(error) {}
+func (g *blockingHandler) Closed(error) {}
 
 // A connection that the system has accepted is not closed for want of a descriptor, of
 // memory or of a watch: its client may have sent a request. It is taken over later.
-func TestConnectionOutlivesAFailedTakeover(t *testing.T) {
+func TestAttachRetriesWhenResourcesAreExhausted(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		failure syscall.Errno
@@ -141,16 +141,16 @@
 			times := &atomic.Int64{}
 			times.Store(3)
 			if !c.adding {
-				take := loop.take
-				loop.take = func(conn net.Conn) (*nbio.Conn, error) {
+				take := loop.wrapConn
+				loop.wrapConn = func(conn net.Conn) (*nbio.Conn, error) {
 					if times.Add(-1) >= 0 {
 						return nil, c.failure // the connection stays open
 					}
 					return take(conn)
 				}
 			} else {
-				add := loop.add
-				loop.add = func(nc *nbio.Conn) error {
+				add := loop.addConn
+				loop.addConn = func(nc *nbio.Conn) error {
 					if times.Add(-1) >= 0 {
 						_ = nc.CloseWithError(c.failure) // as the engine does
 						return c.failure
@@ -158,12 +158,12 @@
 					return add(nc)
 				}
 			}
-			e := newEar()
+			e := newRecordingHandler()
 			took, err := loop.Attach(accepted, e, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := <-e.got; got != "request" {
+			if got := <-e.data; got != "request" {
 				t.Errorf("got %q", got)
 			}
 			if _, err := took.Write([]byte("answer")); err != nil {
@@ -186,7 +186,7 @@
 }
 
 // A loop that is started while no descriptor is to be had starts once there is one.
-func TestLoopStartsWhenDescriptorsComeBack(t *testing.T) {
+func TestNewRetriesUntilDescriptorsAreAvailable(t *testing.T) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
@@ -206,8 +206,8 @@
 		t.Fatal(err)
 	}
 	l := listen(t)
-	_, e, peer := pair(t, loop, l)
-	if _, err := io.WriteString(peer, "x"); err != nil || <-e.got != "x" {
+	_, e, peer := attachPair(t, loop, l)
+	if _, err := io.WriteString(peer, "x"); err != nil || <-e.data != "x" {
 		t.Errorf("the loop does not work: %v", err)
 	}
 	loop.Stop()
@@ -215,7 +215,7 @@
 
 // The engine closes a descriptor before it tells of it, and the system gives the number to
 // the next connection at once: what is done to the first just then must not be done to that.
-func TestClosedConnectionLeavesItsNumberBeforeItIsTold(t *testing.T) {
+func TestClosedConnSparesReusedDescriptorBeforeCloseEvent(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
 		t.Fatal(err)
@@ -224,8 +224,8 @@
 	l := listen(t)
 	hits := 0
 	for range 20 {
-		old, e, peer := pair(t, loop, l)
-		number := old.nc.Hash()
+		old, e, peer := attachPair(t, loop, l)
+		number := old.nbConn.Hash()
 		gate, held := make(chan struct{}), make(chan struct{})
 		loop.engine.Async(func() { // the engine's words wait behind this one
 			close(held)
@@ -233,15 +233,15 @@
 		})
 		<-held
 		_ = peer.Close()
-		testkit.Eventually(t, "the engine has closed it", func() bool { closed, _ := old.nc.IsClosed(); return closed })
-		next, heard, other := pair(t, loop, l)
-		if next.nc.Hash() == number {
+		testkit.Eventually(t, "the engine has closed it", func() bool { closed, _ := old.nbConn.IsClosed(); return closed })
+		next, heard, other := attachPair(t, loop, l)
+		if next.nbConn.Hash() == number {
 			hits++
 		}
 		if err := old.CloseWrite(); err == nil {
 			t.Error("the stream of a closed connection was ended")
 		}
-		if old.EndIfQuiet() || !old.HungUp() || !old.PeerGone() {
+		if old.CloseWriteIfIdle() || !old.AtEOF() || !old.PeerClosed() {
 			t.Error("a closed connection counts as open")
 		}
 		if _, err := next.Write([]byte("x")); err != nil {
@@ -252,7 +252,7 @@
 			t.Fatal(err)
 		}
 		if _, err := other.Read(b); err != nil || b[0] != 'x' {
-			t.Errorf("number %d, then %d: got %q, %v", number, next.nc.Hash(), b, err)
+			t.Errorf("number %d, then %d: got %q, %v", number, next.nbConn.Hash(), b, err)
 		}
 		close(gate)
 		<-e.closed
@@ -266,50 +266,50 @@
 }
 
 // step holds the engine's goroutine in each of its Datas until it is let go.
-type step struct {
-	ear
-	held, gate chan struct{}
+type steppingHandler struct {
+	recordingHandler
+	entered, gate chan struct{}
 }
 
-func (s *step) Data([]byte) {
-	s.held <- struct{}{}
+func (s *steppingHandler) Data([]byte) {
+	s.entered <- struct{}{}
 	<-s.gate
 }
 
 // The engine takes many events from the system at once. A connection that is closed by us
 // while it is at work on them may leave its number to a new one, which must not be taken
 // for the first: the end of the first's other side is not the second's.
-func TestEventOfAClosedConnectionHitsNoOther(t *testing.T) {
+func TestEventOfClosedConnSparesReusedDescriptor(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer loop.Stop()
 	l := listen(t)
-	first := &step{ear: *newEar(), held: make(chan struct{}), gate: make(chan struct{})}
-	_, firstPeer := pairOf(t, loop, l, first)
-	second := &step{ear: *newEar(), held: make(chan struct{}), gate: make(chan struct{})}
-	_, secondPeer := pairOf(t, loop, l, second)
+	first := &steppingHandler{recordingHandler: *newRecordingHandler(), entered: make(chan struct{}), gate: make(chan struct{})}
+	_, firstPeer := attachPairTo(t, loop, l, first)
+	second := &steppingHandler{recordingHandler: *newRecordingHandler(), entered: make(chan struct{}), gate: make(chan struct{})}
+	_, secondPeer := attachPairTo(t, loop, l, second)
 	for range 10 {
-		old, e, peer := pair(t, loop, l)
+		old, e, peer := attachPair(t, loop, l)
 		if _, err := io.WriteString(firstPeer, "x"); err != nil {
 			t.Fatal(err)
 		}
-		<-first.held // what comes now is taken together
+		<-first.entered // what comes now is taken together
 		if _, err := io.WriteString(secondPeer, "x"); err != nil {
 			t.Fatal(err)
 		}
 		_ = peer.Close()
-		testkit.Eventually(t, "its end is there", old.PeerGone)
+		testkit.Eventually(t, "its end is there", old.PeerClosed)
 		first.gate <- struct{}{}
-		<-second.held // the end of old stands behind this
+		<-second.entered // the end of old stands behind this
 		old.Close()
-		next, heard, other := pair(t, loop, l)
+		next, heard, other := attachPair(t, loop, l)
 		if _, err := io.WriteString(other, "request"); err != nil {
 			t.Fatal(err)
 		}
 		second.gate <- struct{}{}
-		if got := <-heard.got; got != "request" {
+		if got := <-heard.data; got != "request" {
 			t.Errorf("got %q", got)
 		}
 		<-e.closed
@@ -331,7 +331,7 @@
 // A connection whose other side has gone already is not closed by the engine while its
 // takeover still holds a second descriptor of it: the system would go on to tell of the
 // first one's number, and so of whoever gets it next.
-func TestNoCloseDuringATakeover(t *testing.T) {
+func TestEngineDoesNotCloseConnDuringAttach(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
 		t.Fatal(err)
@@ -347,14 +347,14 @@
 		t.Fatal(err)
 	}
 	_ = peer.Close()
-	add, added, gate := loop.add, make(chan *nbio.Conn), make(chan struct{})
-	loop.add = func(nc *nbio.Conn) error {
+	add, added, gate := loop.addConn, make(chan *nbio.Conn), make(chan struct{})
+	loop.addConn = func(nc *nbio.Conn) error {
 		err := add(nc)
 		added <- nc
 		<-gate // the takeover is held up here, with both descriptors
 		return err
 	}
-	e := newEar()
+	e := newRecordingHandler()
 	over := make(chan error)
 	go func() {
 		_, err := loop.Attach(accepted, e, nil)
--- a/internal/netio/hand.go
+++ b/internal/netio/hand.go
@@ -2,64 +2,64 @@
 
 import "sync"
 
-// hand is the one goroutine that does a loop's small errands in turn: what must not
-// run under the lock of whoever asks, and system calls that may take their time. A
-// goroutine for each of them would make a thread of the system for each that the
-// system lets wait, and threads once made stay. What is queued goes with the
-// connections: two errands a connection at most.
-type hand struct {
-	mu   sync.Mutex
-	jobs []func()
-	wake chan struct{} // holds one
-	quit chan struct{}
-	done chan struct{}
+// worker runs the callbacks of a loop one after the other on a single goroutine: callbacks that
+// must not run under a lock of the caller, and system calls that may block. With a goroutine for
+// each task, each blocked system call would hold a thread, and the runtime does not end threads
+// once they exist. The queue is bounded by the number of connections: at most two tasks for
+// each.
+type worker struct {
+	mu    sync.Mutex
+	tasks []func()
+	wake  chan struct{} // capacity 1
+	quit  chan struct{}
+	done  chan struct{}
 }
 
-func newHand() *hand {
-	h := &hand{wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
-	go h.run()
-	return h
+func newWorker() *worker {
+	w := &worker{wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
+	go w.run()
+	return w
 }
 
-// do queues an errand; it may be called under any lock and does not wait.
-func (h *hand) do(f func()) {
-	h.mu.Lock()
-	h.jobs = append(h.jobs, f)
-	h.mu.Unlock()
+// enqueue queues a task. It does not block and may be called under any lock.
+func (w *worker) enqueue(task func()) {
+	w.mu.Lock()
+	w.tasks = append(w.tasks, task)
+	w.mu.Unlock()
 	select {
-	case h.wake <- struct{}{}:
+	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (h *hand) run() {
-	defer close(h.done)
+func (w *worker) run() {
+	defer close(w.done)
 	for {
-		h.mu.Lock()
-		jobs := h.jobs
-		h.jobs = nil
-		h.mu.Unlock()
-		for _, f := range jobs {
-			f()
+		w.mu.Lock()
+		tasks := w.tasks
+		w.tasks = nil
+		w.mu.Unlock()
+		for _, task := range tasks {
+			task()
 		}
-		if len(jobs) > 0 {
+		if len(tasks) > 0 {
 			continue
 		}
 		select {
-		case <-h.wake:
-		case <-h.quit:
-			h.mu.Lock()
-			left := len(h.jobs)
-			h.mu.Unlock()
-			if left == 0 {
+		case <-w.wake:
+		case <-w.quit:
+			w.mu.Lock()
+			remaining := len(w.tasks)
+			w.mu.Unlock()
+			if remaining == 0 {
 				return
 			}
 		}
 	}
 }
 
-// stop ends the goroutine once all that is queued is done.
-func (h *hand) stop() {
-	close(h.quit)
-	<-h.done
+// stop runs all queued tasks and then ends the goroutine.
+func (w *worker) stop() {
+	close(w.quit)
+	<-w.done
 }
--- a/internal/netio/listen_test.go
+++ b/internal/netio/listen_test.go
@@ -11,7 +11,7 @@
 
 // A socket, bind or listen that fails for a moment ends no start; an address that is taken
 // does, at once.
-func TestListenThatFailsForAMoment(t *testing.T) {
+func TestListenRetriesTemporaryErrors(t *testing.T) {
 	whole := openListener
 	t.Cleanup(func() { openListener = whole })
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
@@ -27,7 +27,7 @@
 			t.Errorf("%v: %v after %d tries", errno, err, tries)
 			continue
 		}
-		for name, open := range map[string]func(string) (*net.TCPListener, error){"alone": Listen, "shared": ListenShared} {
+		for name, open := range map[string]func(string) (*net.TCPListener, error){"alone": Listen, "shared": ListenReusePort} {
 			if _, err := open(l.Addr().String()); !errors.Is(err, syscall.EADDRINUSE) {
 				t.Errorf("an address that is taken, %s: %v", name, err)
 			}
@@ -37,13 +37,13 @@
 }
 
 // Two listeners share an address where both ask for it.
-func TestListenShared(t *testing.T) {
-	first, err := ListenShared("127.0.0.1:0")
+func TestListenReusePortSharesAddress(t *testing.T) {
+	first, err := ListenReusePort("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Close()
-	second, err := ListenShared(first.Addr().String())
+	second, err := ListenReusePort(first.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,25 +51,25 @@
 }
 
 // overdue is a context whose time is over before its own timer has said so.
-type overdue struct {
+type expiredContext struct {
 	context.Context
-	at time.Time
+	deadline time.Time
 }
 
-func (o overdue) Deadline() (time.Time, bool) { return o.at, true }
+func (o expiredContext) Deadline() (time.Time, bool) { return o.deadline, true }
 
 // A dial that this machine has no descriptor for until its time is over fails with that,
 // also where the system's dialer sees the end before the context's timer does.
-func TestDialThatFailsHereUntilItsTimeIsOver(t *testing.T) {
+func TestDialTimeoutReportsResourceExhaustion(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	ctx := overdue{context.Background(), time.Now().Add(5 * dialAgain / 2)}
+	ctx := expiredContext{context.Background(), time.Now().Add(5 * dialRetryInterval / 2)}
 	d := NewDialer()
 	d.Control = func(string, string, syscall.RawConn) error { return syscall.EMFILE }
-	if _, err := d.DialOnly(ctx, "tcp", l.Addr().String()); !errors.Is(err, syscall.EMFILE) {
+	if _, err := d.DialSoleAddress(ctx, "tcp", l.Addr().String()); !errors.Is(err, syscall.EMFILE) {
 		t.Errorf("got %v, want %v", err, syscall.EMFILE)
 	}
 }
--- a/internal/netio/look.go
+++ b/internal/netio/look.go
@@ -1,6 +1,6 @@
 package netio
 
-// Looks at a socket that take nothing from it.
+// Checks of a socket's state that read nothing from it.
 
 import (
 	"errors"
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// peek looks for a byte to be read, without taking it; 0 is the other side's end.
-func peek(fd uintptr) (int, error) {
+// peekByte returns the number of bytes that can be read, at most 1, without reading them. 0
+// without an error means that the peer has closed its sending side.
+func peekByte(fd uintptr) (int, error) {
 	for {
 		n, _, err := recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if !errors.Is(err, syscall.EINTR) {
@@ -19,29 +20,29 @@
 	}
 }
 
-// Waiting says whether a connection that the system has taken waits to be accepted.
-func Waiting(l syscall.Conn) bool {
+// HasPendingConn reports whether a connection is waiting in a listener's accept queue.
+func HasPendingConn(l syscall.Conn) bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return false
 	}
-	waits := false
-	err = raw.Control(func(fd uintptr) { waits = shows(fd, unix.POLLIN) })
-	return waits && err == nil
+	pending := false
+	err = raw.Control(func(fd uintptr) { pending = hasEvents(fd, unix.POLLIN) })
+	return pending && err == nil
 }
 
-// shows says whether a descriptor shows one of the events just now.
-func shows(fd uintptr, events int16) bool {
-	look := []unix.PollFd{{Fd: int32(fd), Events: events}}
+// hasEvents reports whether poll returns one of the events for a descriptor right now.
+func hasEvents(fd uintptr, events int16) bool {
+	fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	for {
-		n, err := poll(look, 0)
+		n, err := poll(fds, 0)
 		if !errors.Is(err, unix.EINTR) {
-			return err == nil && n > 0 && look[0].Revents&events != 0
+			return err == nil && n > 0 && fds[0].Revents&events != 0
 		}
 	}
 }
 
-// The system's calls that look at a descriptor; tests put others in their place.
+// The system calls that check a descriptor; tests replace them.
 var (
 	recvfrom = syscall.Recvfrom
 	poll     = unix.Poll
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,5 +1,6 @@
-// Package netio runs stream connections on one nbio engine: it delivers what
-// is read to a Handler and counts what has left for the network.
+// Package netio runs stream connections on one nbio engine: it delivers the data that it reads
+// to a Handler and counts the bytes that were written. It also opens listeners and dials with
+// retries while the system is temporarily out of resources.
 package netio
 
 import (
@@ -14,146 +15,150 @@
 	"github.com/lesismal/nbio/logging"
 )
 
-// Handler takes the events of one connection. Data comes from the engine's
-// goroutine, and b is valid during the call only; Closed comes once, from the
-// loop's hand, so that it may be caused by a Write of the handler's under a lock.
-// Neither may wait for anything but a lock: all connections wait behind it.
+// Handler receives the events of one connection. Data is called on the engine's goroutine, and
+// b is valid only during the call. Closed is called once, on the loop's worker goroutine, so
+// that a handler may cause it by a Write while it holds its own lock. Neither may block, except
+// on a lock: it would hold up all connections.
 type Handler interface {
 	Data(b []byte)
 	Closed(err error)
 }
 
-// Parting is a Handler that is told when the other side has ended its stream, from the
-// engine's goroutine and before the connection is closed for it: the other side may still
-// read. The end may also come right behind what Data is given; then PeerGone alone tells.
-type Parting interface {
+// PeerEndHandler is a Handler that is notified when the peer has closed its sending side.
+// PeerEnded is called on the engine's goroutine, before the connection is closed for that
+// reason: the peer may still read. If the end of the stream arrives together with the last
+// data, PeerEnded is not called, and only Conn.PeerClosed reports it.
+type PeerEndHandler interface {
 	Handler
 	PeerEnded()
 }
 
-// Loop is one engine with one polling goroutine, and one more for errands.
+// Loop is an engine with one polling goroutine and one worker goroutine for callbacks.
 type Loop struct {
 	engine *nbio.Engine
-	hand   *hand
-	// fence orders what Attach writes before what the engine's goroutine reads.
-	// The engine hands connections over through the kernel alone, which the Go
-	// memory model does not know.
+	worker *worker
+	// fence makes the writes of Attach happen before the reads of the engine's goroutine.
+	// The engine passes connections to that goroutine only through the kernel, which does
+	// not synchronize memory in the sense of the Go memory model.
 	fence atomic.Int64
 
-	maxWrite int // bytes that may wait at one connection
+	maxWrite int // limit of the write buffer of one connection, in bytes
 
-	taking sync.Mutex // held while a connection is taken over: one at a time, as with dials
-	// The engine's: it duplicates a connection and closes the original, and closes what it
-	// cannot add.
-	take func(net.Conn) (*nbio.Conn, error)
-	add  func(*nbio.Conn) error
+	attachMu sync.Mutex // serializes Attach: a system call that blocks holds a thread (see Dialer)
+	// The engine's functions, which tests replace. wrapConn duplicates the descriptor of a
+	// connection and closes the original; addConn closes a connection that it cannot add.
+	wrapConn func(net.Conn) (*nbio.Conn, error)
+	addConn  func(*nbio.Conn) error
 }
 
 const (
+	// readSize is the size of the engine's read buffer, in bytes.
 	readSize = 32 << 10
-	// readTimes is how often a connection is read at once. The engine closes one whose
-	// other side has ended after so many reads, whatever is still to be read: there
-	// must be more of them than the system holds for a connection.
-	readTimes = 1024
-	// Where the system lacks something that a connection needs, it is tried again every
-	// attachAgain: longer than attachWithin no client waits for it.
-	attachAgain  = 5 * time.Millisecond
-	attachWithin = 10 * time.Second
-	// closeWithin is how long the engine may take to see the end of a connection.
-	closeWithin = time.Second
-	// startWithin is how long a start may wait for the system.
-	startWithin = 3 * time.Second
-	// stopWithin is how long the engine may take to stop.
-	stopWithin = 2 * time.Second
+	// maxReadsPerEvent is the maximum number of reads for one event. If the peer has ended
+	// its stream, the engine closes the connection after that many reads and drops the data
+	// that is still unread: the limit must exceed what the system buffers for a connection.
+	maxReadsPerEvent = 1024
+	// While the system lacks the resources to attach a connection, Attach retries every
+	// attachRetryInterval. No client waits longer than attachTimeout.
+	attachRetryInterval = 5 * time.Millisecond
+	attachTimeout       = 10 * time.Second
+	// closeTimeout bounds the time in which the engine notices that a connection was shut down.
+	closeTimeout = time.Second
+	// startTimeout bounds the retries of New.
+	startTimeout = 3 * time.Second
+	// stopTimeout bounds the engine's shutdown.
+	stopTimeout = 2 * time.Second
 )
 
-// maxDescriptor bounds the engine's table of connections, which goes by descriptor:
-// else it has room for all that the system would let the process open, two million
-// of them or 16 MB, however few the broker may hold. The kernel hands out the lowest
-// number that is free.
+// maxDescriptor is the size of the engine's table of connections, which is indexed by file
+// descriptor. By default the engine sizes it for the maximum number of descriptors of the
+// process, which can be two million (16 MB), however few connections the broker may hold. A
+// smaller table suffices as the kernel always assigns the lowest free number.
 const maxDescriptor = 1 << 16
 
 func init() { nbio.MaxOpenFiles = min(nbio.MaxOpenFiles, maxDescriptor) }
 
-// New starts a loop whose write buffers hold at most maxWrite bytes a
-// connection. Where the system lacks something for a moment it tries again, for
-// startWithin.
+// New starts a loop whose write buffers hold at most maxWrite bytes per connection. While the
+// system is out of resources it retries, for up to startTimeout.
 func New(maxWrite int) (*Loop, error) {
-	for began := time.Now(); ; time.Sleep(attachAgain) {
+	for start := time.Now(); ; time.Sleep(attachRetryInterval) {
 		l, err := startLoop(maxWrite)
-		if err == nil || !LocalFailure(err) || time.Since(began) > startWithin {
+		if err == nil || !IsResourceExhausted(err) || time.Since(start) > startTimeout {
 			return l, err
 		}
 	}
 }
 
+// startLoop is one attempt of New.
 func startLoop(maxWrite int) (*Loop, error) {
-	logging.SetLevel(logging.LevelNone) // the engine's own lines bypass our log
-	l := &Loop{hand: newHand(), maxWrite: maxWrite}
-	e := nbio.NewEngine(nbio.Config{
-		Name: "gannetchute", NPoller: 1, ReadBufferSize: readSize, MaxConnReadTimesPerEventLoop: readTimes,
+	logging.SetLevel(logging.LevelNone) // the engine's log lines would bypass the broker's log
+	l := &Loop{worker: newWorker(), maxWrite: maxWrite}
+	engine := nbio.NewEngine(nbio.Config{
+		Name: "gannetchute", NPoller: 1, ReadBufferSize: readSize, MaxConnReadTimesPerEventLoop: maxReadsPerEvent,
 		MaxWriteBufferSize: maxWrite,
 	})
-	e.OnReadBufferAlloc(func(nc *nbio.Conn) *[]byte {
+	engine.OnReadBufferAlloc(func(nc *nbio.Conn) *[]byte {
 		if c := l.conn(nc); c != nil {
 			c.setReading(true)
-			c.got = false
+			c.delivered = false
 		}
-		return e.PollerBufferPtr(nc)
+		return engine.PollerBufferPtr(nc)
 	})
-	e.OnReadBufferFree(func(nc *nbio.Conn, _ *[]byte) {
+	engine.OnReadBufferFree(func(nc *nbio.Conn, _ *[]byte) {
 		if c := l.conn(nc); c != nil {
 			c.setReading(false)
-			c.part()
+			c.notifyPeerEnded()
 		}
 	})
-	e.OnData(func(nc *nbio.Conn, b []byte) {
+	engine.OnData(func(nc *nbio.Conn, b []byte) {
 		if c := l.conn(nc); c != nil && !c.closed.Load() && !c.closing.Load() {
-			c.got = true
-			c.h.Data(b)
+			c.delivered = true
+			c.handler.Data(b)
 		}
 	})
-	e.OnClose(func(nc *nbio.Conn, err error) {
+	engine.OnClose(func(nc *nbio.Conn, err error) {
 		c := l.conn(nc)
-		if c != nil && c.adding.Load() && LocalFailure(err) {
-			return // the engine had no room for it: Attach tries again
+		if c != nil && c.attaching.Load() && IsResourceExhausted(err) {
+			return // the engine lacked the resources to add it: Attach retries
 		}
-		if c != nil && c.leave() {
-			l.hand.do(func() { c.h.Closed(err) })
+		if c != nil && c.markClosed() {
+			l.worker.enqueue(func() { c.handler.Closed(err) })
 		}
 	})
-	e.OnWrittenSize(func(nc *nbio.Conn, _ []byte, n int) {
+	engine.OnWrittenSize(func(nc *nbio.Conn, _ []byte, n int) {
 		if c := l.conn(nc); c != nil && n > 0 {
-			if done := c.written.Add(int64(n)); done >= c.queued.Load() {
-				c.flushed()
+			if written := c.writtenBytes.Add(int64(n)); written >= c.queuedBytes.Load() {
+				c.notifyFlushed()
 			}
 		}
 	})
-	if err := e.Start(); err != nil {
-		l.hand.stop()
-		return nil, fmt.Errorf("starting the socket engine: %w", err)
+	if err := engine.Start(); err != nil {
+		l.worker.stop()
+		return nil, fmt.Errorf("starting the network engine: %w", err)
 	}
-	l.engine = e
-	l.take = nbio.NBConn
-	l.add = func(nc *nbio.Conn) error {
-		_, err := e.AddConn(nc)
+	l.engine = engine
+	l.wrapConn = nbio.NBConn
+	l.addConn = func(nc *nbio.Conn) error {
+		_, err := engine.AddConn(nc)
 		return err
 	}
 	return l, nil
 }
 
+// conn returns the Conn of a connection of the engine, or nil.
 func (l *Loop) conn(nc *nbio.Conn) *Conn {
 	l.fence.Load()
 	c, _ := nc.Session().(*Conn)
 	return c
 }
 
-// Stop ends the loop and closes its connections; their handlers have been told when
-// it returns. The engine forgets that it has been told to stop where its goroutine had
-// not begun yet: a start that fails at once must end all the same, with its error.
+// Stop stops the loop and closes its connections. When it returns, Closed has been called for
+// all of them. The engine loses a stop request that arrives before its goroutine runs, and its
+// shutdown would then never end: stopTimeout makes sure that a process whose start fails at once
+// still exits, with its error.
 func (l *Loop) Stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	_ = l.engine.Shutdown(ctx) // fails only then
-	l.hand.stop()
+	_ = l.engine.Shutdown(ctx) // fails only on that timeout
+	l.worker.stop()
 }
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-func threads(t *testing.T) int {
+func threadCount(t *testing.T) int {
 	t.Helper()
 	data, err := os.ReadFile("/proc/self/status")
 	if err != nil {
@@ -40,7 +40,7 @@
 }
 
 // A hundred connects that the system lets wait must not hold a hundred threads.
-func TestDialsHoldFewThreads(t *testing.T) {
+func TestBlockedConnectsHoldFewThreads(t *testing.T) {
 	const dials, own = 100, 24
 	l := listen(t)
 	d := NewDialer()
@@ -49,7 +49,7 @@
 		}
 		return nil
 	}
-	before := threads(t)
+	before := threadCount(t)
 	var all sync.WaitGroup
 	for range dials {
 		all.Go(func() {
@@ -62,14 +62,14 @@
 		})
 	}
 	all.Wait()
-	if after := threads(t); after > before+startsAtOnce+own {
+	if after := threadCount(t); after > before+maxConcurrentConnects+own {
 		t.Errorf("%d threads before, %d after %d dials", before, after, dials)
 	}
 }
 
 // A dial that waits for the other side must not hold up the next one, or a few silent
 // nodes would shut out all others.
-func TestSilentAddressesHoldUpNoDial(t *testing.T) {
+func TestUnresponsiveAddressesDoNotBlockDials(t *testing.T) {
 	full, l := listen(t), listen(t)
 	raw, err := full.(*net.TCPListener).SyscallConn()
 	if err != nil {
@@ -87,7 +87,7 @@
 	defer all.Wait()
 	defer cancel()
 	up := make(chan net.Conn, 64)
-	for range 8 * startsAtOnce { // the listener takes one or two; the others get no word
+	for range 8 * maxConcurrentConnects { // the listener takes one or two; the others get no word
 		all.Go(func() {
 			if c, err := d.Dial(ctx, "tcp", full.Addr().String()); err == nil {
 				up <- c
@@ -96,7 +96,7 @@
 	}
 	within, over := context.WithTimeout(ctx, 10*time.Second)
 	defer over()
-	for range 4 * startsAtOnce {
+	for range 4 * maxConcurrentConnects {
 		c, err := d.Dial(within, "tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -109,21 +109,21 @@
 	for c := range up {
 		_ = c.Close()
 	}
-	if n := len(d.starts); n != 0 {
+	if n := len(d.connectSlots); n != 0 {
 		t.Errorf("%d starts are still held", n)
 	}
 }
 
 // pair attaches one end of a new connection to the loop and returns the other too.
-func pair(t *testing.T, loop *Loop, l net.Listener) (*Conn, *ear, net.Conn) {
+func attachPair(t *testing.T, loop *Loop, l net.Listener) (*Conn, *recordingHandler, net.Conn) {
 	t.Helper()
-	e := newEar()
-	conn, peer := pairOf(t, loop, l, e)
+	e := newRecordingHandler()
+	conn, peer := attachPairTo(t, loop, l, e)
 	return conn, e, peer
 }
 
 // pairOf does so with a handler of the caller's.
-func pairOf(t *testing.T, loop *Loop, l net.Listener, h Handler) (*Conn, net.Conn) {
+func attachPairTo(t *testing.T, loop *Loop, l net.Listener, h Handler) (*Conn, net.Conn) {
 	t.Helper()
 	// Room for more than a few reads, though the system may allow less than is asked for.
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
@@ -145,19 +145,21 @@
 	return conn, peer
 }
 
-type ear struct {
-	got    chan string
+type recordingHandler struct {
+	data   chan string
 	closed chan struct{}
 }
 
-func newEar() *ear { return &ear{make(chan string, 8), make(chan struct{})} }
+func newRecordingHandler() *recordingHandler {
+	return &recordingHandler{make(chan string, 8), make(chan struct{})}
+}
 
-func (e *ear) Data(b []byte) { e.got <- string(b) }
-func (e *ear) Closed(error)  { close(e.closed) }
+func (e *recordingHandler) Data(b []byte) { e.data <- string(b) }
+func (e *recordingHandler) Closed(error)  { close(e.closed) }
 
 // The system gives the number of a closed connection to the next one: what is done
 // late to the first must not be done to that.
-func TestClosedConnectionLeavesItsNumber(t *testing.T) {
+func TestClosedConnSparesReusedDescriptor(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
 		t.Fatal(err)
@@ -165,30 +167,30 @@
 	defer loop.Stop()
 	l := listen(t)
 	for range 50 {
-		old, e, peer := pair(t, loop, l)
-		number := old.nc.Hash()
+		old, e, peer := attachPair(t, loop, l)
+		number := old.nbConn.Hash()
 		_ = peer.Close()
 		<-e.closed
 		old.Close()
-		next, heard, other := pair(t, loop, l)
+		next, heard, other := attachPair(t, loop, l)
 		if err := old.CloseWrite(); err == nil {
 			t.Fatal("the stream of a closed connection was ended")
 		}
-		if !old.HungUp() {
+		if !old.AtEOF() {
 			t.Fatal("a closed connection counts as open")
 		}
 		if _, err := next.Write([]byte("x")); err != nil {
-			t.Fatalf("number %d, then %d: %v", number, next.nc.Hash(), err)
+			t.Fatalf("number %d, then %d: %v", number, next.nbConn.Hash(), err)
 		}
 		if _, err := other.Write([]byte("y")); err != nil {
 			t.Fatal(err)
 		}
-		if got := <-heard.got; got != "y" {
+		if got := <-heard.data; got != "y" {
 			t.Fatalf("got %q", got)
 		}
 		b := make([]byte, 1)
 		if _, err := other.Read(b); err != nil || b[0] != 'x' {
-			t.Fatalf("number %d, then %d: got %q, %v", number, next.nc.Hash(), b, err)
+			t.Fatalf("number %d, then %d: got %q, %v", number, next.nbConn.Hash(), b, err)
 		}
 		next.Close()
 		_ = other.Close()
@@ -198,16 +200,16 @@
 
 // What many connections want done at their end is done by one goroutine, whole and
 // also while the loop stops.
-func TestEndsOfManyConnections(t *testing.T) {
+func TestStopDeliversAllCloseEvents(t *testing.T) {
 	const conns = 200
 	loop, err := New(1 << 20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := listen(t)
-	ears := make([]*ear, conns)
+	ears := make([]*recordingHandler, conns)
 	for i := range ears {
-		conn, e, peer := pair(t, loop, l)
+		conn, e, peer := attachPair(t, loop, l)
 		defer peer.Close()
 		ears[i] = e
 		flushed := make(chan struct{})
@@ -225,28 +227,28 @@
 }
 
 // slow is a handler that keeps what it is given in hand until it is let go.
-type slow struct {
-	*ear
+type delayingHandler struct {
+	*recordingHandler
 	entered, gate chan struct{}
 }
 
-func (s *slow) Data(b []byte) {
+func (s *delayingHandler) Data(b []byte) {
 	s.entered <- struct{}{}
 	<-s.gate
-	s.ear.Data(b)
+	s.recordingHandler.Data(b)
 }
 
 // Our side of a stream is not ended while the other side may have said something that the
 // handler does not know, nor while something of ours is still to leave.
-func TestEndIfQuiet(t *testing.T) {
+func TestCloseWriteIfIdle(t *testing.T) {
 	loop, err := New(64 << 20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer loop.Stop()
 	l := listen(t)
-	h := &slow{newEar(), make(chan struct{}, 8), make(chan struct{})}
-	conn, peer := pairOf(t, loop, l, h)
+	h := &delayingHandler{newRecordingHandler(), make(chan struct{}, 8), make(chan struct{})}
+	conn, peer := attachPairTo(t, loop, l, h)
 	defer peer.Close()
 	say := func(text string) {
 		t.Helper()
@@ -256,56 +258,56 @@
 	}
 	say("a")
 	<-h.entered
-	if conn.EndIfQuiet() {
+	if conn.CloseWriteIfIdle() {
 		t.Error("ended while the handler had bytes in hand")
 	}
 	say("b") // waits to be read
 	h.gate <- struct{}{}
-	if <-h.got; conn.EndIfQuiet() {
+	if <-h.data; conn.CloseWriteIfIdle() {
 		t.Error("ended while bytes waited, or were in hand")
 	}
 	<-h.entered
 	h.gate <- struct{}{}
-	<-h.got
+	<-h.data
 	big := make([]byte, 32<<20) // more than the sockets hold
 	if _, err := conn.Write(big); err != nil {
 		t.Fatal(err)
 	}
-	if conn.Backlog() == 0 || conn.EndIfQuiet() {
+	if conn.Backlog() == 0 || conn.CloseWriteIfIdle() {
 		t.Error("ended while bytes of ours waited")
 	}
 	if _, err := io.ReadFull(peer, big); err != nil {
 		t.Fatal(err)
 	}
-	for !conn.EndIfQuiet() { // the handler's goroutine may not be through yet
+	for !conn.CloseWriteIfIdle() { // the handler's goroutine may not be through yet
 		time.Sleep(time.Millisecond)
 	}
 	if n, err := peer.Read(big); n != 0 || err != io.EOF {
 		t.Errorf("%d bytes and %v, want the end", n, err)
 	}
-	if conn.PeerGone() {
+	if conn.PeerClosed() {
 		t.Error("the other side counts as gone")
 	}
 	say("c")
-	if _ = peer.Close(); !conn.PeerGone() { // with its last byte unread
+	if _ = peer.Close(); !conn.PeerClosed() { // with its last byte unread
 		t.Error("the other side's end is not seen")
 	}
 	close(h.gate)
 }
 
 // All that the other side has sent before its end is read, however much it is.
-func TestAllBeforeAnEndIsRead(t *testing.T) {
+func TestAllDataBeforeEOFIsDelivered(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer loop.Stop()
 	l := listen(t)
-	h := &slow{newEar(), make(chan struct{}, 1), make(chan struct{})}
-	_, first := pairOf(t, loop, l, h)
+	h := &delayingHandler{newRecordingHandler(), make(chan struct{}, 1), make(chan struct{})}
+	_, first := attachPairTo(t, loop, l, h)
 	defer first.Close()
-	count := &counter{closed: make(chan struct{})}
-	conn, peer := pairOf(t, loop, l, count)
+	count := &byteCounter{closed: make(chan struct{})}
+	conn, peer := attachPairTo(t, loop, l, count)
 	if _, err := first.Write([]byte("x")); err != nil { // holds up the reads till all has come
 		t.Fatal(err)
 	}
@@ -315,28 +317,28 @@
 		t.Fatal(err)
 	}
 	_ = peer.Close()
-	for over := time.Now().Add(20 * time.Second); !conn.PeerGone(); time.Sleep(time.Millisecond) {
+	for over := time.Now().Add(20 * time.Second); !conn.PeerClosed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(over) {
 			t.Fatal("its end has not come")
 		}
 	}
 	close(h.gate)
-	if <-count.closed; count.n != size {
-		t.Errorf("%d of %d bytes were read", count.n, size)
+	if <-count.closed; count.bytes != size {
+		t.Errorf("%d of %d bytes were read", count.bytes, size)
 	}
 }
 
-type counter struct {
-	n      int
+type byteCounter struct {
+	bytes  int
 	closed chan struct{}
 }
 
-func (c *counter) Data(b []byte) { c.n += len(b) }
-func (c *counter) Closed(error)  { close(c.closed) }
+func (c *byteCounter) Data(b []byte) { c.bytes += len(b) }
+func (c *byteCounter) Closed(error)  { close(c.closed) }
 
 // Small writes leave at once on every connection: one that the system held back would go
 // with a connection that is closed.
-func TestSmallWritesAreNotHeldBack(t *testing.T) {
+func TestConnectionsSetNoDelay(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
 		t.Fatal(err)
@@ -352,12 +354,12 @@
 		t.Fatal(err)
 	}
 	for _, nc := range []net.Conn{dialled, accepted} {
-		conn, err := loop.Attach(nc, newEar(), nil)
+		conn, err := loop.Attach(nc, newRecordingHandler(), nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		set := 0
-		if err := conn.control(func(fd uintptr) { set, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY) }); err != nil || set == 0 {
+		if err := conn.withFD(func(fd uintptr) { set, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY) }); err != nil || set == 0 {
 			t.Errorf("TCP_NODELAY %d, %v", set, err)
 		}
 	}
@@ -365,7 +367,7 @@
 
 // A loop that is stopped before its engine's goroutine has begun, as by a start that
 // fails at once, stops all the same.
-func TestStopBeforeTheEngineHasBegun(t *testing.T) {
+func TestStopBeforeEngineGoroutineRuns(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so that it begins no sooner than we wait
 	loop, err := New(1 << 20)
 	if err != nil {
--- a/nodeclient/client.go
+++ b/nodeclient/client.go
@@ -259,7 +259,7 @@
 		c.opts.Log.Info().Str("event", "connect").Str("node", n.id).Str("addr", cn.addr).Err(err).
 			Msg("a node could not be reached")
 		c.mu.Lock()
-		cn.local = netio.LocalFailure(err)
+		cn.local = netio.IsResourceExhausted(err)
 		c.mu.Unlock()
 		cn.fail()
 	}()
--- a/nodeclient/conn.go
+++ b/nodeclient/conn.go
@@ -63,7 +63,7 @@
 func (n *node) pick(streams int, calls []broker.Attempt, alone bool) *conn {
 	for {
 		cn := n.choose(streams, calls, alone)
-		if cn == nil || cn.sock == nil || !cn.sock.HungUp() {
+		if cn == nil || cn.sock == nil || !cn.sock.AtEOF() {
 			return cn
 		}
 		cn.spoilt = true
--- a/nodeclient/delivery.go
+++ b/nodeclient/delivery.go
@@ -10,7 +10,7 @@
 // delivered says whether the node's system has confirmed all bytes up to a position. Where
 // our system does not tell, it counts as confirmed what has left.
 func (cn *conn) delivered(end int64) bool {
-	return end <= cn.sock.Written()-cn.sock.Unconfirmed()
+	return end <= cn.sock.Written()-cn.sock.UnackedBytes()
 }
 
 // watchDelivery resets the connection where the frame of a part that has been given up is
@@ -34,7 +34,7 @@
 // hangUp closes the connection by ourselves. What the node has not got yet it never gets.
 func (cn *conn) hangUp() {
 	cn.ours = true
-	if cn.sock.Unconfirmed() > 0 {
+	if cn.sock.UnackedBytes() > 0 {
 		cn.sock.Abort()
 		return
 	}
--- a/nodeclient/race.go
+++ b/nodeclient/race.go
@@ -121,7 +121,7 @@
 	} else {
 		ctx, cancel := context.WithTimeout(c.ctx, c.opts.ConnectTimeout)
 		defer cancel()
-		nc, err = c.opts.Dialer.DialOnly(ctx, "tcp", cn.addr)
+		nc, err = c.opts.Dialer.DialSoleAddress(ctx, "tcp", cn.addr)
 	}
 	if err != nil {
 		return nil, err
