--- a/internal/address/address.go
+++ b/internal/address/address.go
@@ -1,5 +1,5 @@
-// Package address reads the addresses at which nodes can be reached: over IPv4,
-// IPv6 and Unix sockets, by frames or by Arrow Flight.
+// Package address parses the addresses of nodes: IPv4, IPv6, host names and Unix sockets, for the
+// frame protocol or for Arrow Flight.
 package address
 
 import (
@@ -12,39 +12,41 @@
 	"strings"
 )
 
-// Family is the kind of socket that an address needs.
+// Family is the address family of an Address.
 type Family uint8
 
-// The families.
+// The address families.
 const (
 	IPv4 Family = iota
 	IPv6
 	Unix
-	Hostname // a host by its name, which the system looks up
+	Hostname // a host name, which the system resolves
 )
 
+// String returns the name of the family.
 func (f Family) String() string { return [...]string{"ipv4", "ipv6", "unix", "name"}[f] }
 
-// Address is one address in its canonical form; equal ones compare equal.
+// Address is an address in its canonical form, so that equal addresses compare equal with ==.
 type Address struct {
-	Flight bool // it speaks Arrow Flight, not frames
+	Flight bool // Arrow Flight instead of the frame protocol
 	Family Family
-	Target string // host:port, or a path
+	Target string // host:port, or the path of a Unix socket
 }
 
-// Schemes of a Flight location (Arrow Flight RPC, "Connection semantics"), and
-// of a path for frames.
+// The schemes of Flight locations (Arrow Flight RPC, "Connection semantics"), and of a Unix socket
+// for the frame protocol.
 const (
 	flightTCPScheme  = "grpc+tcp://"
 	flightUnixScheme = "grpc+unix:"
 	unixScheme       = "unix:"
 )
 
-// maxPath is the longest path of a Unix socket, its closing zero apart (unix(7)).
+// maxUnixPathLen is the maximum length of the path of a Unix socket in bytes, without the
+// terminating null byte (unix(7)).
 const maxUnixPathLen = 107
 
-// Parse reads "host:port", "[v6]:port", "unix:/path", "grpc+tcp://host:port"
-// and "grpc+unix:/path", the last also with "//" before the path.
+// Parse parses an address of the form "host:port", "[v6]:port", "unix:/path",
+// "grpc+tcp://host:port", "grpc+unix:/path" or "grpc+unix:///path".
 func Parse(s string) (Address, error) {
 	if rest, ok := strings.CutPrefix(s, flightUnixScheme); ok {
 		if strings.HasPrefix(rest, "///") {
@@ -62,18 +64,20 @@
 	return parseTCP(rest, flight)
 }
 
+// parseUnix checks the path of a Unix socket.
 func parseUnix(socketPath string, flight bool) (Address, error) {
 	switch {
 	case !strings.HasPrefix(socketPath, "/") || path.Clean(socketPath) != socketPath || socketPath == "/":
-		return Address{}, fmt.Errorf("address: path %.120q: want an absolute one in its shortest form", socketPath)
+		return Address{}, fmt.Errorf("address: path %.120q: want an absolute path in its shortest form", socketPath)
 	case len(socketPath) > maxUnixPathLen:
 		return Address{}, fmt.Errorf("address: path of %d bytes, want %d at most", len(socketPath), maxUnixPathLen)
 	case strings.ContainsFunc(socketPath, func(r rune) bool { return r < ' ' || r == 0x7f }):
-		return Address{}, fmt.Errorf("address: path %.120q: has a control character", socketPath)
+		return Address{}, fmt.Errorf("address: path %.120q: contains a control character", socketPath)
 	}
 	return Address{Flight: flight, Family: Unix, Target: socketPath}, nil
 }
 
+// parseTCP parses "host:port" and brings the host into its canonical form.
 func parseTCP(s string, flight bool) (Address, error) {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil {
@@ -93,7 +97,7 @@
 		a.Family = Hostname
 		a.Target = net.JoinHostPort(strings.ToLower(host), port)
 	case ip.Zone() != "":
-		return Address{}, fmt.Errorf("address %.80q: a zone holds on one machine only", s)
+		return Address{}, fmt.Errorf("address %.80q: an IPv6 zone is valid on one machine only", s)
 	case ip.Unmap().Is4():
 		a.Target = netip.AddrPortFrom(ip.Unmap(), uint16(portNumber)).String()
 	default:
@@ -103,7 +107,7 @@
 	return a, nil
 }
 
-// checkName holds a host's name against RFC 1123, section 2.1.
+// checkHostname checks that host is a valid host name by RFC 1123, section 2.1.
 func checkHostname(host string) error {
 	if host == "" || len(host) > 253 {
 		return errors.New("host: want 1 to 253 characters")
@@ -115,13 +119,13 @@
 			ok = ok && (c >= 'a' && c <= 'z' || label[i] >= '0' && label[i] <= '9' || label[i] == '-')
 		}
 		if !ok {
-			return fmt.Errorf("host %.80q: neither an address nor a name", host)
+			return fmt.Errorf("host %.80q: neither an IP address nor a valid host name", host)
 		}
 	}
 	return nil
 }
 
-// String gives the address in the form that Parse reads.
+// String returns the address in the form that Parse accepts.
 func (a Address) String() string {
 	switch {
 	case a.Family == Unix && a.Flight:
@@ -134,7 +138,7 @@
 	return a.Target
 }
 
-// Network is the name of the address's kind in package net.
+// Network returns the name of the network for package net: "unix" or "tcp".
 func (a Address) Network() string {
 	if a.Family == Unix {
 		return "unix"
--- a/internal/address/address_test.go
+++ b/internal/address/address_test.go
@@ -5,12 +5,14 @@
 	"testing"
 )
 
+// Each form must be parsed into its canonical form and formatted so that Parse returns the same
+// address. Malformed addresses must be rejected.
 func TestParse(t *testing.T) {
 	for in, want := range map[string]Address{
 		"127.0.0.1:80":                     {Target: "127.0.0.1:80"},
 		"[::1]:80":                         {Family: IPv6, Target: "[::1]:80"},
 		"[0:0:0:0:0:0:0:1]:80":             {Family: IPv6, Target: "[::1]:80"},
-		"[::ffff:127.0.0.1]:80":            {Target: "127.0.0.1:80"}, // the same socket as the first
+		"[::ffff:127.0.0.1]:80":            {Target: "127.0.0.1:80"}, // the same address as 127.0.0.1:80
 		"Node-1.example:8000":              {Family: Hostname, Target: "node-1.example:8000"},
 		"unix:/run/n.sock":                 {Family: Unix, Target: "/run/n.sock"},
 		"grpc+tcp://127.0.0.1:80":          {Flight: true, Target: "127.0.0.1:80"},
@@ -21,10 +23,10 @@
 	} {
 		got, err := Parse(in)
 		if err != nil || got != want {
-			t.Errorf("%s: %+v, %v", in, got, err)
+			t.Errorf("%s: got %+v, %v", in, got, err)
 		}
 		if reparsed, err := Parse(got.String()); err != nil || reparsed != got {
-			t.Errorf("%s comes back from %s as %+v, %v", in, got, reparsed, err)
+			t.Errorf("%s: parsing its String %s gives %+v, %v", in, got, reparsed, err)
 		}
 	}
 	for in, want := range map[string]string{
@@ -34,11 +36,12 @@
 		"unix:///a": "path", "grpc+unix:a": "path", "http://a:80": "want host:port", "grpc+tls://a:80": "want host:port", "grpc+tcp://unix:/a": "port",
 	} {
 		if got, err := Parse(in); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %+v, %v, want an error on %q", in, got, err, want)
+			t.Errorf("%q: got %+v, %v, want an error with %q", in, got, err, want)
 		}
 	}
 }
 
+// The String of a parsed address must parse to the same address.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"127.0.0.1:80", "[::1]:80", "unix:/a", "grpc+tcp://a:1", "grpc+unix:///a"} {
 		f.Add(s)
@@ -49,7 +52,7 @@
 			return
 		}
 		if reparsed, err := Parse(a.String()); err != nil || reparsed != a {
-			t.Fatalf("%q: %+v comes back as %+v, %v", s, a, reparsed, err)
+			t.Fatalf("%q: got %+v, and from its String %+v, %v", s, a, reparsed, err)
 		}
 	})
 }
--- a/internal/netio/failures_test.go
+++ b/internal/netio/failures_test.go
@@ -14,8 +14,8 @@
 	"onyxsail/internal/testkit"
 )
 
-// interrupt has the calls that look at a descriptor fail with EINTR now and then: each
-// first one after a success.
+// injectEINTR makes every other system call that checks a descriptor fail with EINTR: the first
+// call, and each call after a success.
 func injectEINTR(t *testing.T) {
 	realRecvfrom, realPoll := recvfrom, poll
 	t.Cleanup(func() { recvfrom, poll = realRecvfrom, realPoll })
@@ -34,8 +34,8 @@
 	}
 }
 
-// A look that is interrupted is taken again: a client that has gone is not taken for one
-// that is there, nor what waits for nothing.
+// A check of a socket that a signal interrupts must be repeated. Otherwise a client that has
+// disconnected would count as connected, and waiting data or connections would be overlooked.
 func TestSocketChecksRetryAfterEINTR(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
@@ -44,75 +44,75 @@
 	defer loop.Stop()
 	l := listen(t)
 	injectEINTR(t)
-	c, e, peer := attachPair(t, loop, l)
-	if c.PeerClosed() || c.HasUnread(false) || c.AtEOF() {
-		t.Error("gone, unread or hung up before a word")
+	conn, handler, peer := attachPair(t, loop, l)
+	if conn.PeerClosed() || conn.HasUnread(false) || conn.AtEOF() {
+		t.Error("a new connection is reported as closed, with unread data or at its end")
 	}
-	loop.blockReads(t, c, func() {
+	loop.blockReads(t, conn, func() {
 		if _, err := io.WriteString(peer, "x"); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Eventually(t, "the byte is there", func() bool { return c.HasUnread(true) })
+		testkit.Eventually(t, "a byte to be readable", func() bool { return conn.HasUnread(true) })
 		for range 4 {
-			if !c.HasUnread(true) {
-				t.Error("a byte that waits is not seen")
+			if !conn.HasUnread(true) {
+				t.Error("unread byte not reported")
 			}
-			if c.CloseWriteIfIdle() {
-				t.Error("ended over a byte that waits")
+			if conn.CloseWriteIfIdle() {
+				t.Error("sending side closed despite an unread byte")
 			}
 		}
 		peer.Close()
-		testkit.Eventually(t, "the end is there", c.PeerClosed)
+		testkit.Eventually(t, "the end of the peer's stream", conn.PeerClosed)
 		for range 4 {
-			if !c.PeerClosed() {
-				t.Error("an end that has come is not seen")
+			if !conn.PeerClosed() {
+				t.Error("end of the peer's stream not reported")
 			}
 		}
 	})
-	<-e.closed
-	waiting, err := net.Dial("tcp", l.Addr().String())
+	<-handler.closed
+	pending, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer waiting.Close()
+	defer pending.Close()
 	for range 4 {
 		if !HasPendingConn(l.(*net.TCPListener)) {
-			t.Error("a connection that waits is not seen")
+			t.Error("pending connection not reported")
 		}
 	}
 }
 
-// hold keeps the engine from reading a connection while f runs.
+// blockReads runs f while the engine's goroutine is blocked and so reads no connection.
 func (l *Loop) blockReads(t *testing.T, c *Conn, f func()) {
 	t.Helper()
 	other, _, peer := attachPair(t, l, listen(t))
-	gate, held := make(chan struct{}), make(chan struct{})
-	other.handler = &blockingHandler{entered: held, gate: gate}
+	release, entered := make(chan struct{}), make(chan struct{})
+	other.handler = &blockingHandler{entered: entered, release: release}
 	if _, err := io.WriteString(peer, "x"); err != nil {
 		t.Fatal(err)
 	}
-	<-held
+	<-entered
 	defer peer.Close()
-	defer close(gate)
+	defer close(release)
 	f()
 }
 
-// gated holds the engine's goroutine in its Data.
-type blockingHandler struct{ entered, gate chan struct{} }
+// blockingHandler blocks the engine's goroutine in its first Data until release is closed.
+type blockingHandler struct{ entered, release chan struct{} }
 
-func (g *blockingHandler) Data([]byte) {
-	close(g.entered)
-	<-g.gate
+func (h *blockingHandler) Data([]byte) {
+	close(h.entered)
+	<-h.release
 }
-func (g *blockingHandler) Closed(error) {}
+func (h *blockingHandler) Closed(error) {}
 
-// A connection that the system has accepted is not closed for want of a descriptor, of
-// memory or of a watch: its client may have sent a request. It is taken over later.
+// An accepted connection must not be closed because the system is out of descriptors, memory or
+// epoll watches, as its client may already have sent a request. Attach must retry.
 func TestAttachRetriesWhenResourcesAreExhausted(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		failure syscall.Errno
-		adding  bool // it comes when the engine adds the connection
+		adding  bool // the failure occurs when the engine adds the connection
 	}{
 		{"EMFILE", syscall.EMFILE, false},
 		{"ENFILE", syscall.ENFILE, false},
@@ -138,35 +138,35 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			times := &atomic.Int64{}
-			times.Store(3)
+			failuresLeft := &atomic.Int64{}
+			failuresLeft.Store(3)
 			if !c.adding {
-				take := loop.wrapConn
+				realWrap := loop.wrapConn
 				loop.wrapConn = func(conn net.Conn) (*nbio.Conn, error) {
-					if times.Add(-1) >= 0 {
+					if failuresLeft.Add(-1) >= 0 {
 						return nil, c.failure // the connection stays open
 					}
-					return take(conn)
+					return realWrap(conn)
 				}
 			} else {
-				add := loop.addConn
+				realAdd := loop.addConn
 				loop.addConn = func(nc *nbio.Conn) error {
-					if times.Add(-1) >= 0 {
+					if failuresLeft.Add(-1) >= 0 {
 						_ = nc.CloseWithError(c.failure) // as the engine does
 						return c.failure
 					}
-					return add(nc)
+					return realAdd(nc)
 				}
 			}
-			e := newRecordingHandler()
-			took, err := loop.Attach(accepted, e, nil)
+			handler := newRecordingHandler()
+			conn, err := loop.Attach(accepted, handler, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := <-e.data; got != "request" {
+			if got := <-handler.data; got != "request" {
 				t.Errorf("got %q", got)
 			}
-			if _, err := took.Write([]byte("answer")); err != nil {
+			if _, err := conn.Write([]byte("answer")); err != nil {
 				t.Error(err)
 			}
 			if err := peer.SetReadDeadline(time.Now().Add(20 * time.Second)); err != nil {
@@ -177,44 +177,45 @@
 				t.Error(err)
 			}
 			select {
-			case <-e.closed:
-				t.Error("told as closed")
+			case <-handler.closed:
+				t.Error("Closed was called for an open connection")
 			default:
 			}
 		})
 	}
 }
 
-// A loop that is started while no descriptor is to be had starts once there is one.
+// A loop that is started while the process is out of descriptors must start once one is free.
 func TestNewRetriesUntilDescriptorsAreAvailable(t *testing.T) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	none := limit
-	none.Cur = 0
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
+	noDescriptors := limit
+	noDescriptors.Cur = 0
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &noDescriptors); err != nil {
 		t.Fatal(err)
 	}
-	back := time.AfterFunc(100*time.Millisecond, func() { _ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) })
+	restore := time.AfterFunc(100*time.Millisecond, func() { _ = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) })
 	loop, err := New(1 << 20)
-	back.Stop()
-	if failed := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); failed != nil {
-		t.Fatal(failed)
+	restore.Stop()
+	if restoreErr := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); restoreErr != nil {
+		t.Fatal(restoreErr)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := listen(t)
-	_, e, peer := attachPair(t, loop, l)
-	if _, err := io.WriteString(peer, "x"); err != nil || <-e.data != "x" {
-		t.Errorf("the loop does not work: %v", err)
+	_, handler, peer := attachPair(t, loop, l)
+	if _, err := io.WriteString(peer, "x"); err != nil || <-handler.data != "x" {
+		t.Errorf("the loop does not deliver data: %v", err)
 	}
 	loop.Stop()
 }
 
-// The engine closes a descriptor before it tells of it, and the system gives the number to
-// the next connection at once: what is done to the first just then must not be done to that.
+// The engine closes a descriptor before it reports the close, and the system may assign the
+// number to the next connection at once. Calls on the closed connection in between must not
+// affect the new one.
 func TestClosedConnSparesReusedDescriptorBeforeCloseEvent(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
@@ -222,63 +223,64 @@
 	}
 	defer loop.Stop()
 	l := listen(t)
-	hits := 0
+	reused := 0
 	for range 20 {
-		old, e, peer := attachPair(t, loop, l)
-		number := old.nbConn.Hash()
-		gate, held := make(chan struct{}), make(chan struct{})
-		loop.engine.Async(func() { // the engine's words wait behind this one
-			close(held)
-			<-gate
+		old, oldHandler, oldPeer := attachPair(t, loop, l)
+		fd := old.nbConn.Hash()
+		release, entered := make(chan struct{}), make(chan struct{})
+		loop.engine.Async(func() { // the engine's close events queue up behind this function
+			close(entered)
+			<-release
 		})
-		<-held
-		_ = peer.Close()
-		testkit.Eventually(t, "the engine has closed it", func() bool { closed, _ := old.nbConn.IsClosed(); return closed })
-		next, heard, other := attachPair(t, loop, l)
-		if next.nbConn.Hash() == number {
-			hits++
+		<-entered
+		_ = oldPeer.Close()
+		testkit.Eventually(t, "the engine to close the connection", func() bool { closed, _ := old.nbConn.IsClosed(); return closed })
+		next, nextHandler, nextPeer := attachPair(t, loop, l)
+		if next.nbConn.Hash() == fd {
+			reused++
 		}
 		if err := old.CloseWrite(); err == nil {
-			t.Error("the stream of a closed connection was ended")
+			t.Error("CloseWrite succeeded on a closed connection")
 		}
 		if old.CloseWriteIfIdle() || !old.AtEOF() || !old.PeerClosed() {
-			t.Error("a closed connection counts as open")
+			t.Error("a closed connection is reported as open")
 		}
 		if _, err := next.Write([]byte("x")); err != nil {
-			t.Errorf("number %d: %v", number, err)
+			t.Errorf("descriptor %d: %v", fd, err)
 		}
 		b := make([]byte, 1)
-		if err := other.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		if err := nextPeer.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := other.Read(b); err != nil || b[0] != 'x' {
-			t.Errorf("number %d, then %d: got %q, %v", number, next.nbConn.Hash(), b, err)
+		if _, err := nextPeer.Read(b); err != nil || b[0] != 'x' {
+			t.Errorf("descriptor %d, then %d: got %q, %v", fd, next.nbConn.Hash(), b, err)
 		}
-		close(gate)
-		<-e.closed
+		close(release)
+		<-oldHandler.closed
 		next.Close()
-		_ = other.Close()
-		<-heard.closed
+		_ = nextPeer.Close()
+		<-nextHandler.closed
 	}
-	if hits == 0 {
-		t.Log("no number came again: the test has shown nothing")
+	if reused == 0 {
+		t.Log("no descriptor number was reused: the test was not effective")
 	}
 }
 
-// step holds the engine's goroutine in each of its Datas until it is let go.
+// steppingHandler blocks the engine's goroutine in each Data until it receives from release.
 type steppingHandler struct {
 	recordingHandler
-	entered, gate chan struct{}
+	entered, release chan struct{}
 }
 
-func (s *steppingHandler) Data([]byte) {
-	s.entered <- struct{}{}
-	<-s.gate
+func (h *steppingHandler) Data([]byte) {
+	h.entered <- struct{}{}
+	<-h.release
 }
 
-// The engine takes many events from the system at once. A connection that is closed by us
-// while it is at work on them may leave its number to a new one, which must not be taken
-// for the first: the end of the first's other side is not the second's.
+// The engine fetches events from the system in batches. If a connection is closed by the broker
+// while the engine processes a batch, and a new connection reuses its descriptor number, an
+// event in the batch for the old one must not be applied to the new one: the end of the old
+// peer's stream would close it.
 func TestEventOfClosedConnSparesReusedDescriptor(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
@@ -286,51 +288,51 @@
 	}
 	defer loop.Stop()
 	l := listen(t)
-	first := &steppingHandler{recordingHandler: *newRecordingHandler(), entered: make(chan struct{}), gate: make(chan struct{})}
+	first := &steppingHandler{recordingHandler: *newRecordingHandler(), entered: make(chan struct{}), release: make(chan struct{})}
 	_, firstPeer := attachPairTo(t, loop, l, first)
-	second := &steppingHandler{recordingHandler: *newRecordingHandler(), entered: make(chan struct{}), gate: make(chan struct{})}
+	second := &steppingHandler{recordingHandler: *newRecordingHandler(), entered: make(chan struct{}), release: make(chan struct{})}
 	_, secondPeer := attachPairTo(t, loop, l, second)
 	for range 10 {
-		old, e, peer := attachPair(t, loop, l)
+		old, oldHandler, oldPeer := attachPair(t, loop, l)
 		if _, err := io.WriteString(firstPeer, "x"); err != nil {
 			t.Fatal(err)
 		}
-		<-first.entered // what comes now is taken together
+		<-first.entered // events from here on are fetched as one batch
 		if _, err := io.WriteString(secondPeer, "x"); err != nil {
 			t.Fatal(err)
 		}
-		_ = peer.Close()
-		testkit.Eventually(t, "its end is there", old.PeerClosed)
-		first.gate <- struct{}{}
-		<-second.entered // the end of old stands behind this
+		_ = oldPeer.Close()
+		testkit.Eventually(t, "the end of the old peer's stream", old.PeerClosed)
+		first.release <- struct{}{}
+		<-second.entered // the event of old comes later in this batch
 		old.Close()
-		next, heard, other := attachPair(t, loop, l)
-		if _, err := io.WriteString(other, "request"); err != nil {
+		next, nextHandler, nextPeer := attachPair(t, loop, l)
+		if _, err := io.WriteString(nextPeer, "request"); err != nil {
 			t.Fatal(err)
 		}
-		second.gate <- struct{}{}
-		if got := <-heard.data; got != "request" {
+		second.release <- struct{}{}
+		if got := <-nextHandler.data; got != "request" {
 			t.Errorf("got %q", got)
 		}
-		<-e.closed
+		<-oldHandler.closed
 		if _, err := next.Write([]byte("answer")); err != nil {
 			t.Errorf("the next connection was closed: %v", err)
 		}
-		if err := other.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
+		if err := nextPeer.SetReadDeadline(time.Now().Add(10 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
 		answer := make([]byte, len("answer"))
-		if _, err := io.ReadFull(other, answer); err != nil {
+		if _, err := io.ReadFull(nextPeer, answer); err != nil {
 			t.Errorf("no answer: %v", err)
 		}
-		_ = other.Close()
-		<-heard.closed
+		_ = nextPeer.Close()
+		<-nextHandler.closed
 	}
 }
 
-// A connection whose other side has gone already is not closed by the engine while its
-// takeover still holds a second descriptor of it: the system would go on to tell of the
-// first one's number, and so of whoever gets it next.
+// A connection whose peer has already disconnected must not be closed by the engine while Attach
+// still holds a duplicate of its descriptor: epoll would keep reporting events for the closed
+// descriptor's number, and so for the connection that reuses it.
 func TestEngineDoesNotCloseConnDuringAttach(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
@@ -347,27 +349,27 @@
 		t.Fatal(err)
 	}
 	_ = peer.Close()
-	add, added, gate := loop.addConn, make(chan *nbio.Conn), make(chan struct{})
+	realAdd, added, release := loop.addConn, make(chan *nbio.Conn), make(chan struct{})
 	loop.addConn = func(nc *nbio.Conn) error {
-		err := add(nc)
+		err := realAdd(nc)
 		added <- nc
-		<-gate // the takeover is held up here, with both descriptors
+		<-release // blocks Attach while both descriptors are open
 		return err
 	}
-	e := newRecordingHandler()
-	over := make(chan error)
+	handler := newRecordingHandler()
+	attached := make(chan error)
 	go func() {
-		_, err := loop.Attach(accepted, e, nil)
-		over <- err
+		_, err := loop.Attach(accepted, handler, nil)
+		attached <- err
 	}()
 	nc := <-added
-	time.Sleep(100 * time.Millisecond) // the engine has seen its end long since
+	time.Sleep(100 * time.Millisecond) // ample time for the engine to see the peer's end
 	if closed, _ := nc.IsClosed(); closed {
-		t.Error("closed while its takeover holds a second descriptor")
+		t.Error("the engine closed the connection while Attach held a duplicate descriptor")
 	}
-	close(gate)
-	if err := <-over; err != nil {
+	close(release)
+	if err := <-attached; err != nil {
 		t.Error(err)
 	}
-	<-e.closed
+	<-handler.closed
 }
--- a/internal/netio/listen_test.go
+++ b/internal/netio/listen_test.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// A socket, bind or listen that fails for a moment ends no start; an address that is taken
-// does, at once.
+// A temporary failure to open a listener must not make a start fail. An address in use must fail
+// at once.
 func TestListenRetriesTemporaryErrors(t *testing.T) {
-	whole := openListener
-	t.Cleanup(func() { openListener = whole })
+	realOpen := openListener
+	t.Cleanup(func() { openListener = realOpen })
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL} {
 		tries := 0
 		openListener = func(config net.ListenConfig, addr string) (net.Listener, error) {
 			if tries++; tries < 4 {
 				return nil, &net.OpError{Op: "listen", Net: "tcp", Err: errno}
 			}
-			return whole(config, addr)
+			return realOpen(config, addr)
 		}
 		l, err := Listen("127.0.0.1:0")
 		if err != nil {
@@ -29,14 +29,14 @@
 		}
 		for name, open := range map[string]func(string) (*net.TCPListener, error){"alone": Listen, "shared": ListenReusePort} {
 			if _, err := open(l.Addr().String()); !errors.Is(err, syscall.EADDRINUSE) {
-				t.Errorf("an address that is taken, %s: %v", name, err)
+				t.Errorf("address in use, %s: %v", name, err)
 			}
 		}
 		_ = l.Close()
 	}
 }
 
-// Two listeners share an address where both ask for it.
+// Two listeners that both set SO_REUSEPORT must be able to share an address.
 func TestListenReusePortSharesAddress(t *testing.T) {
 	first, err := ListenReusePort("127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 	defer second.Close()
 }
 
-// overdue is a context whose time is over before its own timer has said so.
+// expiredContext is a context whose deadline has passed, but whose timer has not fired.
 type expiredContext struct {
 	context.Context
 	deadline time.Time
@@ -58,8 +58,8 @@
 
 func (o expiredContext) Deadline() (time.Time, bool) { return o.deadline, true }
 
-// A dial that this machine has no descriptor for until its time is over fails with that,
-// also where the system's dialer sees the end before the context's timer does.
+// A dial for which this machine has no descriptor until the deadline must return that error and
+// not a time-out, even if net.Dialer notices the deadline before the context's timer fires.
 func TestDialTimeoutReportsResourceExhaustion(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -15,6 +15,7 @@
 	"time"
 )
 
+// threadCount returns the number of threads of this process.
 func threadCount(t *testing.T) int {
 	t.Helper()
 	data, err := os.ReadFile("/proc/self/status")
@@ -39,20 +40,21 @@
 	return l
 }
 
-// A hundred connects that the system lets wait must not hold a hundred threads.
+// 100 connects that block in the system must not occupy 100 threads: the runtime would never end
+// them.
 func TestBlockedConnectsHoldFewThreads(t *testing.T) {
-	const dials, own = 100, 24
+	const dials, margin = 100, 24
 	l := listen(t)
 	d := NewDialer()
-	d.Control = func(string, string, syscall.RawConn) error { // stands for a connect that takes its time
+	d.Control = func(string, string, syscall.RawConn) error { // simulates a connect that blocks in the system
 		for left := (syscall.Timespec{Nsec: 2e6}); syscall.Nanosleep(&left, &left) != nil; {
 		}
 		return nil
 	}
 	before := threadCount(t)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range dials {
-		all.Go(func() {
+		wg.Go(func() {
 			c, err := d.Dial(context.Background(), "tcp", l.Addr().String())
 			if err != nil {
 				t.Error(err)
@@ -61,14 +63,14 @@
 			_ = c.Close()
 		})
 	}
-	all.Wait()
-	if after := threadCount(t); after > before+maxConcurrentConnects+own {
+	wg.Wait()
+	if after := threadCount(t); after > before+maxConcurrentConnects+margin {
 		t.Errorf("%d threads before, %d after %d dials", before, after, dials)
 	}
 }
 
-// A dial that waits for the other side must not hold up the next one, or a few silent
-// nodes would shut out all others.
+// A dial that waits for its peer must not delay other dials: otherwise a few unresponsive nodes
+// would make all others unreachable.
 func TestUnresponsiveAddressesDoNotBlockDials(t *testing.T) {
 	full, l := listen(t), listen(t)
 	raw, err := full.(*net.TCPListener).SyscallConn()
@@ -83,52 +85,52 @@
 	}
 	d := NewDialer()
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	defer all.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
-	up := make(chan net.Conn, 64)
-	for range 8 * maxConcurrentConnects { // the listener takes one or two; the others get no word
-		all.Go(func() {
+	connected := make(chan net.Conn, 64)
+	for range 8 * maxConcurrentConnects { // the accept queue takes one or two; the others get no reply
+		wg.Go(func() {
 			if c, err := d.Dial(ctx, "tcp", full.Addr().String()); err == nil {
-				up <- c
+				connected <- c
 			}
 		})
 	}
-	within, over := context.WithTimeout(ctx, 10*time.Second)
-	defer over()
+	timeoutCtx, cancelTimeout := context.WithTimeout(ctx, 10*time.Second)
+	defer cancelTimeout()
 	for range 4 * maxConcurrentConnects {
-		c, err := d.Dial(within, "tcp", l.Addr().String())
+		c, err := d.Dial(timeoutCtx, "tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		_ = c.Close()
 	}
 	cancel()
-	all.Wait()
-	close(up)
-	for c := range up {
+	wg.Wait()
+	close(connected)
+	for c := range connected {
 		_ = c.Close()
 	}
 	if n := len(d.connectSlots); n != 0 {
-		t.Errorf("%d starts are still held", n)
+		t.Errorf("%d connect slots were not released", n)
 	}
 }
 
-// pair attaches one end of a new connection to the loop and returns the other too.
+// attachPair opens a connection, attaches its client end to the loop and returns both ends.
 func attachPair(t *testing.T, loop *Loop, l net.Listener) (*Conn, *recordingHandler, net.Conn) {
 	t.Helper()
-	e := newRecordingHandler()
-	conn, peer := attachPairTo(t, loop, l, e)
-	return conn, e, peer
+	handler := newRecordingHandler()
+	conn, peer := attachPairTo(t, loop, l, handler)
+	return conn, handler, peer
 }
 
-// pairOf does so with a handler of the caller's.
-func attachPairTo(t *testing.T, loop *Loop, l net.Listener, h Handler) (*Conn, net.Conn) {
+// attachPairTo is like attachPair with the given handler.
+func attachPairTo(t *testing.T, loop *Loop, l net.Listener, handler Handler) (*Conn, net.Conn) {
 	t.Helper()
-	// Room for more than a few reads, though the system may allow less than is asked for.
+	// A receive buffer for several reads; the system may grant less than requested.
 	d := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) (err error) {
-		failed := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1<<20) })
-		return errors.Join(err, failed)
+		controlErr := raw.Control(func(fd uintptr) { err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 1<<20) })
+		return errors.Join(err, controlErr)
 	}}
 	c, err := d.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -138,13 +140,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := loop.Attach(c, h, nil)
+	conn, err := loop.Attach(c, handler, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return conn, peer
 }
 
+// recordingHandler records the events of a connection.
 type recordingHandler struct {
 	data   chan string
 	closed chan struct{}
@@ -154,11 +157,11 @@
 	return &recordingHandler{make(chan string, 8), make(chan struct{})}
 }
 
-func (e *recordingHandler) Data(b []byte) { e.data <- string(b) }
-func (e *recordingHandler) Closed(error)  { close(e.closed) }
+func (h *recordingHandler) Data(b []byte) { h.data <- string(b) }
+func (h *recordingHandler) Closed(error)  { close(h.closed) }
 
-// The system gives the number of a closed connection to the next one: what is done
-// late to the first must not be done to that.
+// The system may assign the descriptor number of a closed connection to the next one. Late calls
+// on the closed connection must not affect the new one.
 func TestClosedConnSparesReusedDescriptor(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
@@ -167,39 +170,39 @@
 	defer loop.Stop()
 	l := listen(t)
 	for range 50 {
-		old, e, peer := attachPair(t, loop, l)
-		number := old.nbConn.Hash()
-		_ = peer.Close()
-		<-e.closed
+		old, oldHandler, oldPeer := attachPair(t, loop, l)
+		fd := old.nbConn.Hash()
+		_ = oldPeer.Close()
+		<-oldHandler.closed
 		old.Close()
-		next, heard, other := attachPair(t, loop, l)
+		next, nextHandler, nextPeer := attachPair(t, loop, l)
 		if err := old.CloseWrite(); err == nil {
-			t.Fatal("the stream of a closed connection was ended")
+			t.Fatal("CloseWrite succeeded on a closed connection")
 		}
 		if !old.AtEOF() {
-			t.Fatal("a closed connection counts as open")
+			t.Fatal("a closed connection is reported as open")
 		}
 		if _, err := next.Write([]byte("x")); err != nil {
-			t.Fatalf("number %d, then %d: %v", number, next.nbConn.Hash(), err)
+			t.Fatalf("descriptor %d, then %d: %v", fd, next.nbConn.Hash(), err)
 		}
-		if _, err := other.Write([]byte("y")); err != nil {
+		if _, err := nextPeer.Write([]byte("y")); err != nil {
 			t.Fatal(err)
 		}
-		if got := <-heard.data; got != "y" {
+		if got := <-nextHandler.data; got != "y" {
 			t.Fatalf("got %q", got)
 		}
 		b := make([]byte, 1)
-		if _, err := other.Read(b); err != nil || b[0] != 'x' {
-			t.Fatalf("number %d, then %d: got %q, %v", number, next.nbConn.Hash(), b, err)
+		if _, err := nextPeer.Read(b); err != nil || b[0] != 'x' {
+			t.Fatalf("descriptor %d, then %d: got %q, %v", fd, next.nbConn.Hash(), b, err)
 		}
 		next.Close()
-		_ = other.Close()
-		<-heard.closed
+		_ = nextPeer.Close()
+		<-nextHandler.closed
 	}
 }
 
-// What many connections want done at their end is done by one goroutine, whole and
-// also while the loop stops.
+// The callbacks of all connections run on one goroutine. Stop must run all that are queued, or
+// handlers would miss their Closed.
 func TestStopDeliversAllCloseEvents(t *testing.T) {
 	const conns = 200
 	loop, err := New(1 << 20)
@@ -207,39 +210,39 @@
 		t.Fatal(err)
 	}
 	l := listen(t)
-	ears := make([]*recordingHandler, conns)
-	for i := range ears {
-		conn, e, peer := attachPair(t, loop, l)
+	handlers := make([]*recordingHandler, conns)
+	for i := range handlers {
+		conn, handler, peer := attachPair(t, loop, l)
 		defer peer.Close()
-		ears[i] = e
+		handlers[i] = handler
 		flushed := make(chan struct{})
 		conn.AfterFlush(func() { close(flushed) })
 		<-flushed
 	}
 	loop.Stop()
-	for i, e := range ears {
+	for i, handler := range handlers {
 		select {
-		case <-e.closed:
+		case <-handler.closed:
 		default:
-			t.Fatalf("connection %d was not told of its end", i)
+			t.Fatalf("connection %d: Closed was not called", i)
 		}
 	}
 }
 
-// slow is a handler that keeps what it is given in hand until it is let go.
+// delayingHandler blocks in each Data until it receives from release, then records the data.
 type delayingHandler struct {
 	*recordingHandler
-	entered, gate chan struct{}
+	entered, release chan struct{}
 }
 
-func (s *delayingHandler) Data(b []byte) {
-	s.entered <- struct{}{}
-	<-s.gate
-	s.recordingHandler.Data(b)
+func (h *delayingHandler) Data(b []byte) {
+	h.entered <- struct{}{}
+	<-h.release
+	h.recordingHandler.Data(b)
 }
 
-// Our side of a stream is not ended while the other side may have said something that the
-// handler does not know, nor while something of ours is still to leave.
+// CloseWriteIfIdle must not close the sending side while the peer may have sent data that the
+// handler has not processed, nor while queued data is not written.
 func TestCloseWriteIfIdle(t *testing.T) {
 	loop, err := New(64 << 20)
 	if err != nil {
@@ -247,55 +250,56 @@
 	}
 	defer loop.Stop()
 	l := listen(t)
-	h := &delayingHandler{newRecordingHandler(), make(chan struct{}, 8), make(chan struct{})}
-	conn, peer := attachPairTo(t, loop, l, h)
+	handler := &delayingHandler{newRecordingHandler(), make(chan struct{}, 8), make(chan struct{})}
+	conn, peer := attachPairTo(t, loop, l, handler)
 	defer peer.Close()
-	say := func(text string) {
+	send := func(text string) {
 		t.Helper()
 		if _, err := peer.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	say("a")
-	<-h.entered
+	send("a")
+	<-handler.entered
 	if conn.CloseWriteIfIdle() {
-		t.Error("ended while the handler had bytes in hand")
+		t.Error("sending side closed while the handler was processing data")
 	}
-	say("b") // waits to be read
-	h.gate <- struct{}{}
-	if <-h.data; conn.CloseWriteIfIdle() {
-		t.Error("ended while bytes waited, or were in hand")
+	send("b") // stays unread
+	handler.release <- struct{}{}
+	if <-handler.data; conn.CloseWriteIfIdle() {
+		t.Error("sending side closed while data was unread or being processed")
 	}
-	<-h.entered
-	h.gate <- struct{}{}
-	<-h.data
-	big := make([]byte, 32<<20) // more than the sockets hold
+	<-handler.entered
+	handler.release <- struct{}{}
+	<-handler.data
+	big := make([]byte, 32<<20) // more than the socket buffers hold
 	if _, err := conn.Write(big); err != nil {
 		t.Fatal(err)
 	}
 	if conn.Backlog() == 0 || conn.CloseWriteIfIdle() {
-		t.Error("ended while bytes of ours waited")
+		t.Error("sending side closed while written data was still queued")
 	}
 	if _, err := io.ReadFull(peer, big); err != nil {
 		t.Fatal(err)
 	}
-	for !conn.CloseWriteIfIdle() { // the handler's goroutine may not be through yet
+	for !conn.CloseWriteIfIdle() { // the engine's goroutine may still be in the handler
 		time.Sleep(time.Millisecond)
 	}
 	if n, err := peer.Read(big); n != 0 || err != io.EOF {
-		t.Errorf("%d bytes and %v, want the end", n, err)
+		t.Errorf("got %d bytes and %v, want io.EOF", n, err)
 	}
 	if conn.PeerClosed() {
-		t.Error("the other side counts as gone")
+		t.Error("an open peer is reported as closed")
 	}
-	say("c")
-	if _ = peer.Close(); !conn.PeerClosed() { // with its last byte unread
-		t.Error("the other side's end is not seen")
+	send("c")
+	if _ = peer.Close(); !conn.PeerClosed() { // while its last byte is unread
+		t.Error("a closed peer is not reported")
 	}
-	close(h.gate)
+	close(handler.release)
 }
 
-// All that the other side has sent before its end is read, however much it is.
+// All data that a peer sent before it closed the connection must be delivered, even if it takes
+// several reads.
 func TestAllDataBeforeEOFIsDelivered(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
@@ -303,31 +307,32 @@
 	}
 	defer loop.Stop()
 	l := listen(t)
-	h := &delayingHandler{newRecordingHandler(), make(chan struct{}, 1), make(chan struct{})}
-	_, first := attachPairTo(t, loop, l, h)
-	defer first.Close()
-	count := &byteCounter{closed: make(chan struct{})}
-	conn, peer := attachPairTo(t, loop, l, count)
-	if _, err := first.Write([]byte("x")); err != nil { // holds up the reads till all has come
+	blocker := &delayingHandler{newRecordingHandler(), make(chan struct{}, 1), make(chan struct{})}
+	_, blockedPeer := attachPairTo(t, loop, l, blocker)
+	defer blockedPeer.Close()
+	counter := &byteCounter{closed: make(chan struct{})}
+	conn, peer := attachPairTo(t, loop, l, counter)
+	if _, err := blockedPeer.Write([]byte("x")); err != nil { // blocks the reads until all data has arrived
 		t.Fatal(err)
 	}
-	<-h.entered
+	<-blocker.entered
 	const size = 5 * readSize
 	if _, err := peer.Write(make([]byte, size)); err != nil {
 		t.Fatal(err)
 	}
 	_ = peer.Close()
-	for over := time.Now().Add(20 * time.Second); !conn.PeerClosed(); time.Sleep(time.Millisecond) {
-		if time.Now().After(over) {
-			t.Fatal("its end has not come")
+	for deadline := time.Now().Add(20 * time.Second); !conn.PeerClosed(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("the end of the peer's stream did not arrive")
 		}
 	}
-	close(h.gate)
-	if <-count.closed; count.bytes != size {
-		t.Errorf("%d of %d bytes were read", count.bytes, size)
+	close(blocker.release)
+	if <-counter.closed; counter.bytes != size {
+		t.Errorf("got %d of %d bytes", counter.bytes, size)
 	}
 }
 
+// byteCounter is a Handler that counts the bytes received.
 type byteCounter struct {
 	bytes  int
 	closed chan struct{}
@@ -336,8 +341,8 @@
 func (c *byteCounter) Data(b []byte) { c.bytes += len(b) }
 func (c *byteCounter) Closed(error)  { close(c.closed) }
 
-// Small writes leave at once on every connection: one that the system held back would go
-// with a connection that is closed.
+// All connections must have TCP_NODELAY set: a small write that the system held back would be
+// lost when the connection is closed.
 func TestConnectionsSetNoDelay(t *testing.T) {
 	loop, err := New(1 << 20)
 	if err != nil {
@@ -358,17 +363,19 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		set := 0
-		if err := conn.withFD(func(fd uintptr) { set, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY) }); err != nil || set == 0 {
-			t.Errorf("TCP_NODELAY %d, %v", set, err)
+		noDelay := 0
+		if err := conn.withFD(func(fd uintptr) {
+			noDelay, err = syscall.GetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_NODELAY)
+		}); err != nil || noDelay == 0 {
+			t.Errorf("TCP_NODELAY: got %d, %v, want it set", noDelay, err)
 		}
 	}
 }
 
-// A loop that is stopped before its engine's goroutine has begun, as by a start that
-// fails at once, stops all the same.
+// Stop must return even if it is called before the engine's goroutine runs, as happens when the
+// broker's start fails at once.
 func TestStopBeforeEngineGoroutineRuns(t *testing.T) {
-	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so that it begins no sooner than we wait
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1)) // so that the goroutine runs only once this one waits
 	loop, err := New(1 << 20)
 	if err != nil {
 		t.Fatal(err)
@@ -381,6 +388,6 @@
 	select {
 	case <-stopped:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the loop does not stop")
+		t.Fatal("Stop did not return")
 	}
 }
