--- a/internal/netio/listen.go
+++ b/internal/netio/listen.go
@@ -33,6 +33,7 @@
 	return listenWithRetry(net.ListenConfig{Control: setReusePort}, addr)
 }
 
+// listenWithRetry opens a listener and retries on temporary errors.
 func listenWithRetry(config net.ListenConfig, addr string) (*net.TCPListener, error) {
 	for start := time.Now(); ; time.Sleep(listenRetryInterval) {
 		l, err := openListener(config, addr)
@@ -46,6 +47,7 @@
 	}
 }
 
+// setReusePort is the Control of a net.ListenConfig that sets SO_REUSEPORT.
 func setReusePort(_, _ string, c syscall.RawConn) error {
 	var optErr error
 	if err := c.Control(func(fd uintptr) {
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -214,6 +214,7 @@
 
 // ---- Frame protocol
 
+// acceptFrameConns serves the connections of a listener until that is closed.
 func (n *Node) acceptFrameConns(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -235,7 +236,7 @@
 		defer writeMu.Unlock()
 		_, _ = io.WriteString(c, text) // the peer may have disconnected
 	}
-	send := func(letter byte, payload string) { write(Frame(letter, payload)) }
+	send := func(frameType byte, payload string) { write(Frame(frameType, payload)) }
 	reader := bufio.NewReader(c)
 	for {
 		var size uint32
@@ -249,9 +250,9 @@
 		switch payload := string(frame[1:]); frame[0] {
 		case 'H', 'M':
 			send(frame[0], Done)
-		case 'C':
+		case 'C': // cancel
 			n.update(func() { n.cancelled = append(n.cancelled, payload) })
-		case 'S':
+		case 'S': // parts
 			for payload != "" {
 				line, after, _ := strings.Cut(payload, "\n")
 				part, size, err := parsePartHeader(line)
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -70,10 +70,10 @@
 	after, waitMs := r.URL.Query().Get("after"), r.URL.Query().Get("wait_ms")
 	d.mu.Lock()
 	d.requests = append(d.requests, r.URL.String())
-	seen, _ := strconv.Atoi(after)
+	seenVersion, _ := strconv.Atoi(after)
 	wait, _ := strconv.Atoi(waitMs)
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
-	for waiting := wait > 0; waiting && d.version <= seen || d.stalled[r]; {
+	for waiting := wait > 0; waiting && d.version <= seenVersion || d.stalled[r]; {
 		d.stalled[r] = d.stalled[r] || d.stallWatches
 		changed := d.changed
 		if d.stalled[r] {
@@ -89,10 +89,10 @@
 		}
 		d.mu.Lock()
 	}
-	full := after == "" || seen < d.replacedVersion
+	full := after == "" || seenVersion < d.replacedVersion
 	response := map[string]any{"version": d.version, "full": full, "servers": d.entries}
 	if !full {
-		response["servers"] = d.updates[seen+1:]
+		response["servers"] = d.updates[seenVersion+1:]
 	}
 	version, fault := d.version, ""
 	if len(d.faults) > 0 {
@@ -257,7 +257,7 @@
 	}
 	data, err := json.Marshal(file)
 	if err != nil {
-		panic(fmt.Sprintf("rendering a configuration: %v", err))
+		panic(fmt.Sprintf("encoding a configuration: %v", err))
 	}
 	return data
 }
