--- a/broker/answers.go
+++ b/broker/answers.go
@@ -1,6 +1,6 @@
 package broker
 
-// Final answers: how a query ends, by the module, by time or with the process.
+// Final replies: how a query ends, by decision of the module, by timeout or at shutdown.
 
 import (
 	"slices"
@@ -9,84 +9,89 @@
 	"onyxsail/decide"
 )
 
-func (c *Core) conclude(a *decide.Action, now time.Time) {
-	q := c.byEvent[a.ID]
+// applyFinalAction ends a query with the module's Answer, Refuse or Abort action.
+func (c *Core) applyFinalAction(action *decide.Action, now time.Time) {
+	q := c.byModuleID[action.ID]
 	if q == nil {
-		return // it ended in this turn, or a part was named, which owes no answer
+		return // already ended in this turn, or the action names a part, which has no reply of its own
 	}
-	r := Reply{Verdict: Failed}
-	need, floor := c.shares(q)
-	switch a.Kind {
+	reply := Reply{Verdict: Failed}
+	need, floor := c.requiredShares(q)
+	switch action.Kind {
 	case decide.Answer:
-		if share := q.share(); share < floor || share == 0 { // never from less than the least share
+		if share := q.answeredShare(); share < floor || share == 0 { // never answer below the class's minimum share
 			break
 		}
-		r.Verdict, r.Whole = Served, a.Whole
+		reply.Verdict, reply.Whole = Served, action.Whole
 		for _, p := range q.parts {
-			if p.in {
-				r.Values = append(r.Values, Value{Shard: p.shard, Data: p.value})
+			if p.answered {
+				reply.Values = append(reply.Values, Value{Shard: p.shard, Data: p.value})
 			}
 		}
-		// Never call an answer whole that is missing a part a whole one needs.
-		r.Whole = r.Whole && q.share() >= need
+		// Never report an answer as whole if it lacks a share that a whole one requires.
+		reply.Whole = reply.Whole && q.answeredShare() >= need
 	case decide.Refuse:
-		r.Verdict, r.RetryAfter = Refused, duration(a.Ms)
+		reply.Verdict, reply.RetryAfter = Refused, durationFromMs(action.Ms)
 	case decide.Abort:
-		if c.outOfTime(q, now) {
-			r.Verdict = Expired
+		if c.budgetExhausted(q, now) {
+			reply.Verdict = Expired
 		}
 	}
-	c.drop(q, now)
-	c.finish(q, r, now)
+	c.removeQuery(q, now)
+	c.sendReply(q, reply, now)
 }
 
-// outOfTime says whether a query's time is over, less the reserve that the module keeps.
-func (c *Core) outOfTime(q *query, now time.Time) bool {
+// budgetExhausted reports whether the query's time budget has run out, not counting the
+// reserve that the module holds back at its end.
+func (c *Core) budgetExhausted(q *queryState, now time.Time) bool {
 	budgetMs := float64(q.Budget.Microseconds()) / 1000
-	return now.Sub(q.Came) >= duration(c.opts.Settings.GivenUpAfter(budgetMs))-lateTimer
+	return now.Sub(q.ArrivedAt) >= durationFromMs(c.opts.Settings.GivenUpAfter(budgetMs))-timerTolerance
 }
 
-// shareSlack is how much the parts' shares may fall short of a sum, as they are rounded.
-const shareSlack = 1e-4
+// shareTolerance is by how much a sum of shares may fall short (a fraction of the whole
+// answer), as each share is rounded.
+const shareTolerance = 1e-4
 
-// shares are what a whole answer of a query's class needs, and what any answer does.
-func (c *Core) shares(q *query) (need, floor float64) {
+// requiredShares returns the share that a whole answer of the query's class needs and the
+// minimum share (floor) that any answer needs.
+func (c *Core) requiredShares(q *queryState) (need, floor float64) {
 	if q.Class >= len(c.opts.Settings.Classes) {
-		return 1 - shareSlack, 1 - shareSlack
+		return 1 - shareTolerance, 1 - shareTolerance
 	}
 	class := &c.opts.Settings.Classes[q.Class]
-	return class.Need - shareSlack, class.Floor - shareSlack
+	return class.Need - shareTolerance, class.Floor - shareTolerance
 }
 
-// share is the share of the answer that is in.
-func (q *query) share() (in float64) {
+// answeredShare returns the total share of the parts that have been answered.
+func (q *queryState) answeredShare() (sum float64) {
 	for i, p := range q.parts {
-		if p.in {
-			in += q.Parts[i].Share
+		if p.answered {
+			sum += q.Parts[i].Share
 		}
 	}
-	return in
+	return sum
 }
 
-// drop forgets a query; attempts still out are given up, and each keeps its
-// one outcome to come.
-func (c *Core) drop(q *query, now time.Time) {
+// removeQuery removes a query and cancels its outstanding attempts. The outcome of each of
+// these still follows, exactly once.
+func (c *Core) removeQuery(q *queryState, now time.Time) {
 	delete(c.queries, q.id)
-	delete(c.open, q.Name)
-	delete(c.byEvent, q.event)
-	c.held -= 1 + len(q.parts)
-	c.stats.open.Add(-1) // before any node hears that its part is given up
+	delete(c.byRequestID, q.RequestID)
+	delete(c.byModuleID, q.moduleID)
+	c.heldCount -= 1 + len(q.parts)
+	c.stats.open.Add(-1) // before any node is told that its attempt is cancelled
 	for _, p := range q.parts {
-		for _, t := range p.tries {
-			c.giveUp(t, now)
+		for _, t := range p.attempts {
+			c.cancelAttempt(t, now)
 		}
 		delete(c.parts, p.id)
 	}
 }
 
-func (c *Core) finish(q *query, r Reply, now time.Time) {
-	c.counters(q.Class).count(r.Verdict)
-	switch r.Verdict {
+// sendReply counts the verdict, notifies the observer and passes the reply to the front.
+func (c *Core) sendReply(q *queryState, reply Reply, now time.Time) {
+	c.countersOf(q.Class).count(reply.Verdict)
+	switch reply.Verdict {
 	case Served:
 		c.stats.served.Add(1)
 	case Refused:
@@ -97,53 +102,54 @@
 		c.stats.expired.Add(1)
 	}
 	if c.opts.Observer != nil {
-		c.opts.Observer.Final(q.id, &r, now)
+		c.opts.Observer.QueryEnded(q.id, &reply, now)
 	}
-	q.replier.Reply(q.id, r)
+	q.replier.Reply(q.id, reply)
 }
 
-// endBy cuts a query's time to end at a moment, if one is given.
-func (q *query) endBy(at time.Time) {
-	if !at.IsZero() {
-		q.Budget = min(q.Budget, at.Sub(q.Came))
+// capBudget shortens the query's time budget to end no later than deadline, unless that is
+// zero.
+func (q *queryState) capBudget(deadline time.Time) {
+	if !deadline.IsZero() {
+		q.Budget = min(q.Budget, deadline.Sub(q.ArrivedAt))
 	}
 }
 
-// endAll answers every query that is open; the module hears of it as of a client that
-// has left.
-func (c *Core) endAll(now time.Time) {
+// answerAllOpen answers every open query. The module is told that the client has left.
+func (c *Core) answerAllOpen(now time.Time) {
 	for _, q := range c.queries {
-		r := Reply{Verdict: Refused}
+		reply := Reply{Verdict: Refused}
 		if c.opts.Settings.Classes[q.Class].Effect == decide.Unsafe && q.mayHaveRun() {
-			r.Verdict = Expired
+			reply.Verdict = Expired
 		}
-		c.events = append(c.events, decide.Event{Kind: decide.ClientLeft, ID: q.event})
-		c.drop(q, now)
-		c.finish(q, r, now)
+		c.events = append(c.events, decide.Event{Kind: decide.ClientLeft, ID: q.moduleID})
+		c.removeQuery(q, now)
+		c.sendReply(q, reply, now)
 	}
 }
 
-// mayHaveRun says whether a part of the query may have run, or may yet.
-func (q *query) mayHaveRun() bool {
+// mayHaveRun reports whether a part of the query may have run or may still run.
+func (q *queryState) mayHaveRun() bool {
 	for _, p := range q.parts {
-		if slices.ContainsFunc(p.tries, func(t *try) bool { return !t.unrun }) {
+		if slices.ContainsFunc(p.attempts, func(t *attemptState) bool { return !t.neverRan }) {
 			return true
 		}
 	}
 	return false
 }
 
-// abandon ends every query still open when the core is stopped.
-func (c *Core) abandon() {
+// shutDown refuses the queries that are still queued and fails those that are open when the
+// core is stopped.
+func (c *Core) shutDown() {
 	for _, in := range c.queue.close() {
-		if in.kind == inQuery {
-			c.counters(in.query.Class).count(Refused)
-			in.replier.Reply(in.id, Reply{Verdict: Refused})
+		if in.kind == inputQuery {
+			c.countersOf(in.query.Class).count(Refused)
+			in.replier.Reply(in.queryID, Reply{Verdict: Refused})
 		}
 	}
 	now := time.Now()
 	for _, q := range c.queries {
-		c.drop(q, now)
-		c.finish(q, Reply{Verdict: Failed}, now)
+		c.removeQuery(q, now)
+		c.sendReply(q, Reply{Verdict: Failed}, now)
 	}
 }
--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -1,6 +1,6 @@
 package broker
 
-// Attempts: how they are opened, sent in calls, given up and ended.
+// Attempts: opening, sending in calls, cancelling and ending them.
 
 import (
 	"cmp"
@@ -11,164 +11,171 @@
 	"onyxsail/decide"
 )
 
-type try struct {
-	id   AttemptID
-	part *part
-	n    int
-	addr decide.Addr
-	node string
-	sent time.Time
-	off  bool // given up: its outcome is on its way to the module
-	// unrun: its outcome proves that it never ran.
-	unrun bool
+// attemptState is an attempt as the core tracks it.
+type attemptState struct {
+	id        AttemptID
+	part      *partState
+	index     int
+	addr      decide.Addr
+	nodeID    string
+	sentAt    time.Time
+	cancelled bool // its Cancelled outcome is queued for the module
+	// neverRan is set if the outcome proves that the attempt never ran.
+	neverRan bool
 }
 
-// ended gives the module the one outcome of an attempt.
-func (c *Core) ended(a *try, o decide.Outcome, by Cause, began, now time.Time) {
-	delete(c.tries, a.id)
-	a.unrun = o == decide.Rejected || o == decide.Unreachable || o == decide.NotSent
+// endAttempt reports the single outcome of an attempt to the module.
+func (c *Core) endAttempt(attempt *attemptState, outcome decide.Outcome, cause EndCause, firstByteAt, now time.Time) {
+	delete(c.attempts, attempt.id)
+	attempt.neverRan = outcome == decide.Rejected || outcome == decide.Unreachable || outcome == decide.NotSent
 	if c.opts.Observer != nil {
-		c.opts.Observer.Ended(a.id, o, by, began, now)
+		c.opts.Observer.AttemptEnded(attempt.id, outcome, cause, firstByteAt, now)
 	}
 	c.events = append(c.events, decide.Event{
-		Kind: decide.AttemptDone, ID: a.part.id, Attempt: a.n, Addr: a.addr, Outcome: o,
-		TookMs: float64(now.Sub(a.sent).Microseconds()) / 1000,
+		Kind: decide.AttemptDone, ID: attempt.part.id, Attempt: attempt.index, Addr: attempt.addr, Outcome: outcome,
+		TookMs: float64(now.Sub(attempt.sentAt).Microseconds()) / 1000,
 	})
 }
 
-// send opens an attempt. What a rule forbids is not sent and comes back as an
-// outcome that proves it never ran: the core holds the rules whatever is asked.
-func (c *Core) send(a *decide.Action, now time.Time) {
-	p := c.parts[a.ID]
-	if p == nil {
+// openAttempt opens an attempt. The core enforces the sending rules itself, whatever the
+// module asks for: a forbidden attempt is not sent and ends with an outcome that proves that
+// it never ran.
+func (c *Core) openAttempt(action *decide.Action, now time.Time) {
+	part := c.parts[action.ID]
+	if part == nil {
 		return
 	}
-	c.lastTry++
-	t := &try{id: c.lastTry, part: p, n: len(p.tries), addr: a.Addr, sent: now}
-	p.tries = append(p.tries, t)
-	c.tries[t.id] = t
-	n, q := c.nodes[a.Addr], p.q
-	left := q.Budget - now.Sub(q.Came)
+	c.lastAttemptID++
+	attempt := &attemptState{id: c.lastAttemptID, part: part, index: len(part.attempts), addr: action.Addr, sentAt: now}
+	part.attempts = append(part.attempts, attempt)
+	c.attempts[attempt.id] = attempt
+	node, q := c.nodes[action.Addr], part.query
+	remaining := q.Budget - now.Sub(q.ArrivedAt)
 	if c.opts.Observer != nil {
-		c.observe(t, n, a.Doubt, min(left, cmp.Or(duration(a.Ms), left)))
+		c.notifyAttemptOpened(attempt, node, action.Doubt, min(remaining, cmp.Or(durationFromMs(action.Ms), remaining)))
 	}
-	attempts := c.opts.Settings.MaxAttempts
-	latest := c.latest(t, now.Add(left))
+	maxAttempts := c.opts.Settings.MaxAttempts
+	latestStart := c.latestStart(attempt, now.Add(remaining))
 	switch {
-	case c.queries[q.id] != q, !now.Before(latest), attempts > 0 && t.n >= attempts, c.departed(q, now):
-		c.queue.put(input{kind: inOutcome, attempt: t.id, outcome: decide.NotSent, ours: true})
+	case c.queries[q.id] != q, !now.Before(latestStart), maxAttempts > 0 && attempt.index >= maxAttempts, c.clientGone(q, now):
+		c.queue.put(input{kind: inputAttemptOutcome, attemptID: attempt.id, outcome: decide.NotSent, fromCore: true})
 		return
-	case n == nil, !n.left.IsZero() && now.Sub(n.left) > c.drainGuard():
-		c.queue.put(input{kind: inOutcome, attempt: t.id, outcome: decide.Unreachable, ours: true})
+	case node == nil, !node.leftAt.IsZero() && now.Sub(node.leftAt) > c.drainSendWindow():
+		c.queue.put(input{kind: inputAttemptOutcome, attemptID: attempt.id, outcome: decide.Unreachable, fromCore: true})
 		return
 	}
-	wait := left
-	if a.Ms > 0 {
-		wait = min(wait, duration(a.Ms))
+	timeout := remaining
+	if action.Ms > 0 {
+		timeout = min(timeout, durationFromMs(action.Ms))
 	}
-	t.node, n.sent = n.ID, now
+	attempt.nodeID, node.lastSentAt = node.ID, now
 	c.stats.attempts.Add(1)
-	heap.Push(&c.timers, timer{at: now.Add(wait), try: t.id})
-	c.batch = append(c.batch, Attempt{
-		ID: t.id, Node: n.ID, Query: q.Name, Shard: p.shard, Key: q.Key, Text: q.Text, Wait: wait, Latest: latest,
-		Sent: now, Client: q.client,
+	heap.Push(&c.timers, timer{at: now.Add(timeout), attemptID: attempt.id})
+	c.sendBatch = append(c.sendBatch, Attempt{
+		ID: attempt.id, Node: node.ID, RequestID: q.RequestID, Shard: part.shard, IdempotencyKey: q.IdempotencyKey,
+		Text: q.Text, Timeout: timeout, LatestStart: latestStart, SentAt: now, Client: q.client,
 	})
 }
 
-// departed says whether a query's client has left, though the news of it may still be on
-// its way; then the query ends in the next turn.
-func (c *Core) departed(q *query, now time.Time) bool {
-	if q.client == nil || now.Sub(q.there) <= presentFor {
+// clientGone reports whether the query's client has disconnected, even if the front has not
+// called Leave yet. In that case it queues the input itself, and the query ends in the next
+// turn.
+func (c *Core) clientGone(q *queryState, now time.Time) bool {
+	if q.client == nil || now.Sub(q.clientSeenAt) <= clientPresenceTTL {
 		return false
 	}
-	if q.client.Gone() {
+	if q.client.ClientGone() {
 		c.Leave(q.id)
 		return true
 	}
-	q.there = now
+	q.clientSeenAt = now
 	return false
 }
 
-// latest is until when an attempt may begin: within its query's time, and, where
-// an earlier one of its part may have run or may yet, within the time in which
-// the class allows a repeat. For a connection it may wait longer than that.
-func (c *Core) latest(t *try, end time.Time) time.Time {
-	q := t.part.q
+// latestStart returns the latest time at which an attempt may start running: within the
+// query's time budget and, if an earlier attempt of the part may have run or may still run,
+// within the time in which the class allows a repeat. The limit is needed because the wait
+// for a connection can take longer than that.
+func (c *Core) latestStart(attempt *attemptState, queryDeadline time.Time) time.Time {
+	q := attempt.part.query
 	if q.Class >= len(c.opts.Settings.Classes) {
-		return end
+		return queryDeadline
 	}
 	class := &c.opts.Settings.Classes[q.Class]
-	for _, earlier := range t.part.tries[:t.n] {
-		if earlier.unrun {
+	for _, earlier := range attempt.part.attempts[:attempt.index] {
+		if earlier.neverRan {
 			continue
 		}
 		switch class.Effect {
 		case decide.Unsafe:
 			return time.Time{}
 		case decide.Keyed:
-			if over := earlier.sent.Add(duration(class.WindowMs - c.opts.Settings.TickMs)); over.Before(end) {
-				return over
+			if windowEnd := earlier.sentAt.Add(durationFromMs(class.WindowMs - c.opts.Settings.TickMs)); windowEnd.Before(queryDeadline) {
+				return windowEnd
 			}
 		}
 	}
-	return end
+	return queryDeadline
 }
 
-// observe tells the observer of an attempt that is being opened.
-func (c *Core) observe(t *try, n *node, doubt bool, wait time.Duration) {
-	o := Opening{ID: t.id, Query: t.part.q.id, Shard: t.part.shard, N: t.n, Doubt: doubt, Wait: wait, At: t.sent}
-	if n != nil {
-		o.Node, o.Cell = n.ID, n.Cell
+// notifyAttemptOpened notifies the observer of an attempt that is being opened.
+func (c *Core) notifyAttemptOpened(attempt *attemptState, node *nodeState, suspected bool, timeout time.Duration) {
+	info := AttemptInfo{
+		ID: attempt.id, QueryID: attempt.part.query.id, Shard: attempt.part.shard, Index: attempt.index, Suspected: suspected,
+		Timeout: timeout, OpenedAt: attempt.sentAt,
+	}
+	if node != nil {
+		info.Node, info.Cell = node.ID, node.Cell
 	}
 	switch {
-	case t.n == 0 && doubt:
-		o.Why = Trial
-	case t.n > 0:
-		o.Why = Retry
-		for _, earlier := range t.part.tries[:t.n] {
-			if c.tries[earlier.id] == earlier && !earlier.off {
-				o.Why = Copy
+	case attempt.index == 0 && suspected:
+		info.Reason = ReasonProbation
+	case attempt.index > 0:
+		info.Reason = ReasonRetry
+		for _, earlier := range attempt.part.attempts[:attempt.index] {
+			if c.attempts[earlier.id] == earlier && !earlier.cancelled {
+				info.Reason = ReasonCopy
 			}
 		}
 	}
-	c.opts.Observer.Opened(o)
+	c.opts.Observer.AttemptOpened(info)
 }
 
-// flush hands this turn's attempts to the node client, those of one node as
-// calls of the settings' size.
-func (c *Core) flush() {
-	size := max(1, c.opts.Settings.BundleMax)
-	out := slices.DeleteFunc(c.batch, func(a Attempt) bool { // given up in the turn that sent it
-		t := c.tries[a.ID]
-		return t == nil || t.off
+// flushSendBatch hands this turn's attempts to the node client, grouped by node into calls
+// of at most BundleMax parts.
+func (c *Core) flushSendBatch() {
+	maxPerCall := max(1, c.opts.Settings.BundleMax)
+	pending := slices.DeleteFunc(c.sendBatch, func(a Attempt) bool { // cancelled in the turn that opened it
+		t := c.attempts[a.ID]
+		return t == nil || t.cancelled
 	})
-	for i := range out {
-		if out[i].ID == 0 {
+	for i := range pending {
+		if pending[i].ID == 0 {
 			continue
 		}
-		calls := []Attempt{out[i]}
-		for j := i + 1; j < len(out) && len(calls) < size; j++ {
-			if out[j].ID != 0 && out[j].Node == out[i].Node {
-				calls = append(calls, out[j])
-				out[j].ID = 0
+		calls := []Attempt{pending[i]}
+		for j := i + 1; j < len(pending) && len(calls) < maxPerCall; j++ {
+			if pending[j].ID != 0 && pending[j].Node == pending[i].Node {
+				calls = append(calls, pending[j])
+				pending[j].ID = 0
 			}
 		}
 		c.opts.Nodes.Send(calls[0].Node, calls)
 	}
-	clear(out)
-	c.batch = c.batch[:0]
+	clear(pending)
+	c.sendBatch = c.sendBatch[:0]
 }
 
-// giveUp ends an attempt that is out. The module hears of it in a later turn,
-// as it does of every outcome.
-func (c *Core) giveUp(t *try, now time.Time) {
-	if c.tries[t.id] != t || t.off {
+// cancelAttempt cancels an outstanding attempt. Like every outcome, its Cancelled outcome
+// reaches the module in a later turn.
+func (c *Core) cancelAttempt(attempt *attemptState, now time.Time) {
+	if c.attempts[attempt.id] != attempt || attempt.cancelled {
 		return
 	}
-	t.off = true
+	attempt.cancelled = true
 	if c.opts.Observer != nil {
-		c.opts.Observer.Cancelled(t.id, now)
+		c.opts.Observer.AttemptCancelled(attempt.id, now)
 	}
-	c.opts.Nodes.Cancel(t.node, t.id)
-	c.queue.put(input{kind: inOutcome, attempt: t.id, outcome: decide.Cancelled, ours: true})
+	c.opts.Nodes.Cancel(attempt.nodeID, attempt.id)
+	c.queue.put(input{kind: inputAttemptOutcome, attemptID: attempt.id, outcome: decide.Cancelled, fromCore: true})
 }
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -11,147 +11,154 @@
 	"onyxsail/decide"
 )
 
-// lateTimer is how late a timer must fire for the core to take itself as
-// having stood still; settleFor is how long it then lets the socket goroutines
-// read what came meanwhile, so that the module sees stored answers before it
-// judges parts that are merely unread.
+// timerTolerance is how late a timer must fire for the core to conclude that the process
+// was stalled. settleDelay is how long it then waits for the socket goroutines to read what
+// arrived during the stall, so that the module receives buffered answers before it judges
+// parts whose answers have merely not been read yet.
 const (
-	lateTimer = 10 * time.Millisecond
-	settleFor = time.Millisecond
+	timerTolerance = 10 * time.Millisecond
+	settleDelay    = time.Millisecond
 )
 
-// Options make a Core.
+// Options configures a Core.
 type Options struct {
 	Settings decide.Settings
 	Seed     uint64
 	Limits   Limits
 	Nodes    NodeClient
-	Lister   Lister   // nil: the list comes on its own
-	Observer Observer // nil: nobody is told
+	Lister   Lister   // nil: the list of nodes is pushed without being asked for
+	Observer Observer // nil: no observer
 	Log      zerolog.Logger
 }
 
-// Stats are counts since the start.
+// Stats holds counts since the start, except for Open, the number of queries open now.
 type Stats struct {
 	Queries, Served, Refused, Failed, Expired, Left, Attempts, Turns int64
 	Open                                                             int64
 }
 
-// Core owns the decision module, its timers and the tables of queries and
-// attempts. One goroutine, Run, touches them.
+// Core owns the decision module, its timers and the tables of queries and attempts. Only
+// the goroutine of Run accesses them.
 type Core struct {
 	opts    Options
 	root    *decide.Root
-	queue   *queue
-	start   time.Time // with the monotonic reading that all times are taken from
-	startMs float64
+	queue   *inputQueue
+	start   time.Time // has the monotonic clock reading that all times are relative to
+	startMs float64   // start in Unix milliseconds
 
-	names    map[string]decide.Addr // node ids, interned
-	named    decide.Addr            // the latest of them
-	nodes    map[decide.Addr]*node
-	queries  map[QueryID]*query
-	open     map[string]*query // by the client's id
-	byEvent  map[uint64]*query // by the module's id
-	parts    map[uint64]*part
-	tries    map[AttemptID]*try
-	timers   timers
-	starts   startTimes
-	endBy    time.Time // when all that is open must have its answer; zero: each in its own time
-	lastID   uint64
-	lastTry  AttemptID
-	number   float64
-	held     int // queries and parts
-	events   []decide.Event
-	actions  []decide.Action
-	batch    []Attempt
-	classes  atomic.Pointer[[]*classCounters] // by the class's index
-	surveyed atomic.Pointer[Survey]           // the latest one
-	stats    struct {
+	addrs            map[string]decide.Addr // by node ID
+	lastAddr         decide.Addr            // last one assigned
+	nodes            map[decide.Addr]*nodeState
+	queries          map[QueryID]*queryState
+	byRequestID      map[string]*queryState // by the client's request ID
+	byModuleID       map[uint64]*queryState // by the ID in the module's events
+	parts            map[uint64]*partState  // by the ID in the module's events
+	attempts         map[AttemptID]*attemptState
+	timers           timerHeap
+	startTimes       startTimeEstimator
+	answerDeadline   time.Time // every query must be answered by then; zero: no common deadline
+	lastModuleID     uint64
+	lastAttemptID    AttemptID
+	lastNumber       float64
+	heldCount        int // open queries and their parts
+	events           []decide.Event
+	actions          []decide.Action
+	sendBatch        []Attempt
+	classCounters    atomic.Pointer[[]*classCounters] // by class index
+	lastRosterCounts atomic.Pointer[RosterCounts]     // last result of RosterCounts
+	stats            struct {
 		queries, served, refused, failed, expired, left, attempts, turns, open atomic.Int64
 	}
 }
 
-type query struct {
+// queryState is an open query.
+type queryState struct {
 	Query
-	id      QueryID
-	event   uint64 // the module's id of it
-	replier Replier
-	client  Departure // replier, where it can tell of its client
-	there   time.Time // when the client was there for certain
-	parts   []*part
+	id           QueryID
+	moduleID     uint64 // its ID in the module's events
+	replier      Replier
+	client       DisconnectChecker // the replier if it implements DisconnectChecker, else nil
+	clientSeenAt time.Time         // when the client was last known to be connected
+	parts        []*partState
 }
 
-type part struct {
-	id    uint64
-	q     *query
-	shard int
-	tries []*try
-	value []byte
-	in    bool
+// partState is one part of an open query.
+type partState struct {
+	id       uint64
+	query    *queryState
+	shard    int
+	attempts []*attemptState
+	value    []byte
+	answered bool
 }
 
-// New returns a core that Run starts.
-func New(o Options) *Core {
-	if o.Limits.QueueLimit <= 0 {
-		o.Limits.QueueLimit = 4096
+// New returns a core, which is started with Run.
+func New(opts Options) *Core {
+	if opts.Limits.QueueLimit <= 0 {
+		opts.Limits.QueueLimit = 4096
 	}
 	now := time.Now()
 	c := &Core{
-		opts: o, root: decide.New(o.Settings, o.Seed), queue: newQueue(o.Limits.QueueLimit),
-		start: now, startMs: float64(now.UnixMicro()) / 1000, starts: startTimes{warmUp: duration(o.Settings.ColdMs)},
-		names: map[string]decide.Addr{}, nodes: map[decide.Addr]*node{},
-		queries: map[QueryID]*query{}, open: map[string]*query{}, byEvent: map[uint64]*query{}, parts: map[uint64]*part{}, tries: map[AttemptID]*try{},
+		opts: opts, root: decide.New(opts.Settings, opts.Seed), queue: newInputQueue(opts.Limits.QueueLimit),
+		start: now, startMs: float64(now.UnixMicro()) / 1000, startTimes: startTimeEstimator{warmUp: durationFromMs(opts.Settings.ColdMs)},
+		addrs: map[string]decide.Addr{}, nodes: map[decide.Addr]*nodeState{},
+		queries: map[QueryID]*queryState{}, byRequestID: map[string]*queryState{}, byModuleID: map[uint64]*queryState{},
+		parts: map[uint64]*partState{}, attempts: map[AttemptID]*attemptState{},
 	}
-	c.growCounters(len(o.Settings.Classes))
+	c.growCounters(len(opts.Settings.Classes))
 	return c
 }
 
-// Submit hands a query to the core. If it returns false, the core has not
-// taken the query, and the front refuses it; otherwise r gets one Reply.
-func (c *Core) Submit(q *Query, r Replier) (QueryID, bool) {
-	id, ok := c.queue.offer(input{kind: inQuery, query: q, replier: r})
+// Submit hands a query to the core. If it returns false, the queue is full or closed and the
+// front must refuse the query itself; otherwise replier gets exactly one Reply, unless Leave
+// is called first.
+func (c *Core) Submit(q *Query, replier Replier) (QueryID, bool) {
+	id, ok := c.queue.offer(input{kind: inputQuery, query: q, replier: replier})
 	if !ok {
-		c.counters(q.Class).count(Refused)
+		c.countersOf(q.Class).count(Refused)
 	}
 	if !ok && c.opts.Observer != nil {
-		c.opts.Observer.TurnedAway(q, time.Now())
+		c.opts.Observer.QueryTurnedAway(q, time.Now())
 	}
 	return id, ok
 }
 
-// Leave says that the client of a query has gone. No Reply follows unless one
-// is on its way.
-func (c *Core) Leave(id QueryID) { c.queue.put(input{kind: inLeave, id: id}) }
+// Leave tells the core that the client of a query has disconnected. No Reply follows unless
+// one is already under way.
+func (c *Core) Leave(id QueryID) { c.queue.put(input{kind: inputClientLeft, queryID: id}) }
 
-// Outcome implements Sink.
-func (c *Core) Outcome(id AttemptID, o decide.Outcome, a Answer) {
-	c.queue.put(input{kind: inOutcome, attempt: id, outcome: o, answer: a})
+// AttemptOutcome implements ResultSink.
+func (c *Core) AttemptOutcome(id AttemptID, outcome decide.Outcome, response Response) {
+	c.queue.put(input{kind: inputAttemptOutcome, attemptID: id, outcome: outcome, response: response})
 }
 
-// Probed implements Sink.
-func (c *Core) Probed(node string, o decide.Outcome, took time.Duration) {
-	c.queue.put(input{kind: inProbed, node: node, outcome: o, took: took})
+// ProbeOutcome implements ResultSink.
+func (c *Core) ProbeOutcome(node string, outcome decide.Outcome, took time.Duration) {
+	c.queue.put(input{kind: inputProbeOutcome, nodeID: node, outcome: outcome, took: took})
 }
 
-// Roster hands news of the list to the core.
-func (c *Core) Roster(r Roster) { c.queue.put(input{kind: inRoster, roster: r}) }
+// UpdateRoster hands an update of the list of nodes to the core.
+func (c *Core) UpdateRoster(roster Roster) { c.queue.put(input{kind: inputRoster, roster: roster}) }
 
-// EndBy tells by when all that is open, and what comes from now on, must have its final
-// answer, though its client would wait longer: the process may be killed then.
-func (c *Core) EndBy(at time.Time) { c.queue.put(input{kind: inEndBy, at: at}) }
+// SetAnswerDeadline sets the time by which every open query and every later one must have
+// its final reply, even if its client would wait longer, as the process may be killed then.
+func (c *Core) SetAnswerDeadline(deadline time.Time) {
+	c.queue.put(input{kind: inputAnswerDeadline, deadline: deadline})
+}
 
-// Reconfigure takes further classes and another limit of attempts into use: for what is
-// submitted once it has returned, and the limit for what is under way too. Classes keep
-// their places: all begins with those that the core has, unchanged. One caller at a time.
-func (c *Core) Reconfigure(all []decide.Class, maxAttempts int) {
-	c.growCounters(len(all))
-	c.queue.put(input{kind: inReconfigure, classes: all, attempts: maxAttempts})
+// Reconfigure adds classes and changes the limit of attempts per part. Both apply to queries
+// that are submitted after it returns; the limit applies to open queries too. Classes keep
+// their indexes: classes must begin with those that the core has, unchanged. Calls must not
+// be concurrent.
+func (c *Core) Reconfigure(classes []decide.Class, maxAttempts int) {
+	c.growCounters(len(classes))
+	c.queue.put(input{kind: inputReconfigure, classes: classes, maxAttempts: maxAttempts})
 }
 
-// SetLimits changes the limits at the next turn's boundary.
-func (c *Core) SetLimits(l Limits) { c.queue.put(input{kind: inLimits, limits: l}) }
+// SetLimits changes the limits from the next turn on.
+func (c *Core) SetLimits(limits Limits) { c.queue.put(input{kind: inputLimits, limits: limits}) }
 
-// Stats returns the counts; any goroutine may call it.
+// Stats returns the current counts. It may be called from any goroutine.
 func (c *Core) Stats() Stats {
 	s := &c.stats
 	return Stats{
@@ -161,9 +168,9 @@
 	}
 }
 
-// Run is the loop: it gathers what is ready, hands it to the module in one
-// Step and carries out what came back, until ctx ends. Then every query still
-// open gets a final answer.
+// Run is the core's event loop. Each turn it collects the waiting inputs, passes them to the
+// module in one Step and executes the returned actions. When ctx ends, every query that is
+// still open gets its final reply and Run returns.
 func (c *Core) Run(ctx context.Context) {
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
@@ -175,187 +182,191 @@
 		}
 		select {
 		case <-ctx.Done():
-			c.abandon()
+			c.shutDown()
 			return
 		case <-c.queue.ready:
 		case <-wake.C:
 		}
-		if len(c.timers) > 0 && time.Since(c.timers[0].at) > lateTimer {
-			time.Sleep(settleFor)
+		if len(c.timers) > 0 && time.Since(c.timers[0].at) > timerTolerance {
+			time.Sleep(settleDelay)
 		}
-		c.turn()
+		c.runTurn()
 	}
 }
 
-func (c *Core) turn() {
+// runTurn processes the waiting inputs and the timers that are due.
+func (c *Core) runTurn() {
 	now := time.Now()
 	c.events = c.events[:0]
-	for _, in := range c.queue.take() {
-		c.gather(in, now)
+	for _, in := range c.queue.takeAll() {
+		c.handleInput(in, now)
 	}
 	for len(c.timers) > 0 && !c.timers[0].at.After(now) {
-		t := heap.Pop(&c.timers).(timer)
-		if t.end {
-			c.endAll(now)
-		} else if t.try == 0 {
-			c.events = append(c.events, decide.Event{Kind: decide.TimerFired, Token: t.token})
-		} else if a := c.tries[t.try]; a != nil {
-			c.opts.Nodes.Cancel(a.node, a.id)
-			c.ended(a, decide.TimedOut, ByTime, time.Time{}, now)
+		fired := heap.Pop(&c.timers).(timer)
+		if fired.answerDeadline {
+			c.answerAllOpen(now)
+		} else if fired.attemptID == 0 {
+			c.events = append(c.events, decide.Event{Kind: decide.TimerFired, Token: fired.token})
+		} else if attempt := c.attempts[fired.attemptID]; attempt != nil {
+			c.opts.Nodes.Cancel(attempt.nodeID, attempt.id)
+			c.endAttempt(attempt, decide.TimedOut, EndedByTimeout, time.Time{}, now)
 		}
 	}
 	if len(c.events) == 0 {
 		return
 	}
 	c.stats.turns.Add(1)
-	c.actions = c.root.Step(c.ms(now), c.events, c.actions[:0])
+	c.actions = c.root.Step(c.moduleTimeMs(now), c.events, c.actions[:0])
 	for i := range c.actions {
-		c.carryOut(&c.actions[i], now)
+		c.executeAction(&c.actions[i], now)
 	}
-	c.flush()
+	c.flushSendBatch()
 }
 
-// ms is a time on the module's clock: Unix milliseconds that never step.
-func (c *Core) ms(t time.Time) float64 {
+// moduleTimeMs converts a time to the module's clock: Unix milliseconds counted from the
+// core's start by the monotonic clock, so that steps of the wall clock have no effect.
+func (c *Core) moduleTimeMs(t time.Time) float64 {
 	return c.startMs + float64(t.Sub(c.start).Microseconds())/1000
 }
 
-func (c *Core) gather(in input, now time.Time) {
+// handleInput updates the core's tables by one input and queues its events for the module.
+func (c *Core) handleInput(in input, now time.Time) {
 	switch in.kind {
-	case inQuery:
-		c.take(in, now)
-	case inLeave:
-		if q := c.queries[in.id]; q != nil {
+	case inputQuery:
+		c.admitQuery(in, now)
+	case inputClientLeft:
+		if q := c.queries[in.queryID]; q != nil {
 			c.stats.left.Add(1)
-			c.events = append(c.events, decide.Event{Kind: decide.ClientLeft, ID: q.event})
-			c.drop(q, now)
+			c.events = append(c.events, decide.Event{Kind: decide.ClientLeft, ID: q.moduleID})
+			c.removeQuery(q, now)
 			if c.opts.Observer != nil {
-				c.opts.Observer.Final(q.id, &Reply{Verdict: Left}, now)
+				c.opts.Observer.QueryEnded(q.id, &Reply{Verdict: ClientLeft}, now)
 			}
 		}
-	case inOutcome:
-		if a := c.tries[in.attempt]; a != nil {
-			if in.outcome == decide.OK && !a.part.in {
-				a.part.in, a.part.value = true, in.answer.Value
+	case inputAttemptOutcome:
+		if attempt := c.attempts[in.attemptID]; attempt != nil {
+			if in.outcome == decide.OK && !attempt.part.answered {
+				attempt.part.answered, attempt.part.value = true, in.response.Value
 			}
-			by := ByNode
-			if in.ours {
-				by = ByCore
+			cause := EndedByNode
+			if in.fromCore {
+				cause = EndedByCore
 			}
-			c.ended(a, in.outcome, by, in.answer.Began, now)
+			c.endAttempt(attempt, in.outcome, cause, in.response.FirstByteAt, now)
 		}
-	case inProbed:
-		if addr, ok := c.names[in.node]; ok {
+	case inputProbeOutcome:
+		if addr, ok := c.addrs[in.nodeID]; ok {
 			c.events = append(c.events, decide.Event{Kind: decide.ProbeDone, Addr: addr, Outcome: in.outcome,
 				TookMs: float64(in.took.Microseconds()) / 1000})
 		}
-	case inRoster:
-		c.roster(in.roster, now)
-	case inEndBy:
-		c.endBy = in.at
+	case inputRoster:
+		c.applyRoster(in.roster, now)
+	case inputAnswerDeadline:
+		c.answerDeadline = in.deadline
 		for _, q := range c.queries {
-			q.endBy(c.endBy)
+			q.capBudget(c.answerDeadline)
 		}
-		heap.Push(&c.timers, timer{at: in.at, end: true})
-	case inReconfigure:
-		c.opts.Settings.Classes, c.opts.Settings.MaxAttempts = in.classes, in.attempts
-		c.root.Reconfigure(in.classes, in.attempts)
-	case inSurvey:
-		in.survey <- c.survey(now)
-	case inLimits:
+		heap.Push(&c.timers, timer{at: in.deadline, answerDeadline: true})
+	case inputReconfigure:
+		c.opts.Settings.Classes, c.opts.Settings.MaxAttempts = in.classes, in.maxAttempts
+		c.root.Reconfigure(in.classes, in.maxAttempts)
+	case inputRosterCounts:
+		in.rosterCounts <- c.countRoster(now)
+	case inputLimits:
 		c.opts.Limits = in.limits
 		c.queue.setLimit(in.limits.QueueLimit)
 		c.root.Beside(in.limits.Processes)
 	}
 }
 
-// take turns a query into the module's events. What the core has no room for
-// is refused before the module hears of it, as the settings demand.
-func (c *Core) take(in input, now time.Time) {
+// admitQuery turns a query into events for the module. Queries over the MaxOpen limit are
+// refused before they reach the module, as the settings demand.
+func (c *Core) admitQuery(in input, now time.Time) {
 	c.stats.queries.Add(1)
-	q := &query{Query: *in.query, id: in.id, replier: in.replier, there: in.query.Came}
-	q.client, _ = in.replier.(Departure)
+	q := &queryState{Query: *in.query, id: in.queryID, replier: in.replier, clientSeenAt: in.query.ArrivedAt}
+	q.client, _ = in.replier.(DisconnectChecker)
 	if c.opts.Observer != nil {
-		c.opts.Observer.Taken(q.id, &q.Query, now)
+		c.opts.Observer.QueryReceived(q.id, &q.Query, now)
 	}
-	q.endBy(c.endBy)
-	left := q.Budget - now.Sub(q.Came)
-	// The parts' ids are made of the query's: under one id the answers of two
-	// open queries could be mixed up. Only the newcomer pays for that.
-	if c.open[q.Name] != nil {
-		c.finish(q, Reply{Verdict: Duplicate}, now)
+	q.capBudget(c.answerDeadline)
+	remaining := q.Budget - now.Sub(q.ArrivedAt)
+	// Part IDs are derived from the request ID, so the answers of two open queries with the
+	// same ID could be mixed up. Only the later query is rejected.
+	if c.byRequestID[q.RequestID] != nil {
+		c.sendReply(q, Reply{Verdict: Duplicate}, now)
 		return
 	}
-	if room := c.opts.Limits.MaxOpen; room > 0 && c.held+1+len(q.Parts) > room {
-		c.finish(q, Reply{Verdict: Refused}, now)
+	if maxOpen := c.opts.Limits.MaxOpen; maxOpen > 0 && c.heldCount+1+len(q.Parts) > maxOpen {
+		c.sendReply(q, Reply{Verdict: Refused}, now)
 		return
 	}
-	if left <= 0 {
+	if remaining <= 0 {
 		verdict := Expired
-		if !c.endBy.IsZero() && !now.Before(c.endBy) { // nothing of it was sent: another broker may take it
+		if !c.answerDeadline.IsZero() && !now.Before(c.answerDeadline) { // no part was sent, so it is safe to ask another broker
 			verdict = Refused
 		}
-		c.finish(q, Reply{Verdict: verdict}, now)
+		c.sendReply(q, Reply{Verdict: verdict}, now)
 		return
 	}
-	c.held += 1 + len(q.Parts)
+	c.heldCount += 1 + len(q.Parts)
 	c.stats.open.Add(1)
-	c.queries[q.id], c.open[q.Name] = q, q
-	c.number++
-	c.lastID++
-	q.event = c.lastID
-	c.byEvent[q.event] = q
-	e := decide.Event{
-		Kind: decide.QueryCame, ID: q.event, Class: q.Class, Number: c.number, Retry: q.Retry,
-		LeftMs: float64(left.Microseconds()) / 1000, Parts: len(q.Parts), Hinted: true,
+	c.queries[q.id], c.byRequestID[q.RequestID] = q, q
+	c.lastNumber++
+	c.lastModuleID++
+	q.moduleID = c.lastModuleID
+	c.byModuleID[q.moduleID] = q
+	event := decide.Event{
+		Kind: decide.QueryCame, ID: q.moduleID, Class: q.Class, Number: c.lastNumber, Retry: q.Retry,
+		LeftMs: float64(remaining.Microseconds()) / 1000, Parts: len(q.Parts), Hinted: true,
 	}
 	for _, p := range q.Parts {
-		e.WorkMs += p.WorkMs
-		e.Hinted = e.Hinted && p.Hinted
+		event.WorkMs += p.WorkMs
+		event.Hinted = event.Hinted && p.Hinted
 	}
-	if !e.Hinted {
-		e.WorkMs = 0
+	if !event.Hinted {
+		event.WorkMs = 0
 	}
-	c.events = append(c.events, e)
+	c.events = append(c.events, event)
 	for _, p := range q.Parts {
-		c.lastID++
-		own := &part{id: c.lastID, q: q, shard: p.Shard}
-		c.parts[own.id] = own
-		q.parts = append(q.parts, own)
-		e.Kind, e.ID, e.Parts, e.Shard, e.Weight, e.Key = decide.PartCame, own.id, 0, p.Shard, p.Share, p.Route
-		e.WorkMs, e.Hinted = p.WorkMs, p.Hinted
-		c.events = append(c.events, e)
+		c.lastModuleID++
+		part := &partState{id: c.lastModuleID, query: q, shard: p.Shard}
+		c.parts[part.id] = part
+		q.parts = append(q.parts, part)
+		event.Kind, event.ID, event.Parts, event.Shard, event.Weight, event.Key = decide.PartCame, part.id, 0, p.Shard, p.Share, p.Route
+		event.WorkMs, event.Hinted = p.WorkMs, p.Hinted
+		c.events = append(c.events, event)
 	}
 }
 
-func (c *Core) carryOut(a *decide.Action, now time.Time) {
-	switch a.Kind {
+// executeAction executes one action of the module.
+func (c *Core) executeAction(action *decide.Action, now time.Time) {
+	switch action.Kind {
 	case decide.Send:
-		c.send(a, now)
+		c.openAttempt(action, now)
 	case decide.Cancel:
-		if p := c.parts[a.ID]; p != nil && a.Attempt < len(p.tries) {
-			c.giveUp(p.tries[a.Attempt], now)
+		if p := c.parts[action.ID]; p != nil && action.Attempt < len(p.attempts) {
+			c.cancelAttempt(p.attempts[action.Attempt], now)
 		}
 	case decide.Timer:
-		heap.Push(&c.timers, timer{at: now.Add(duration(a.Ms)), token: a.Token})
+		heap.Push(&c.timers, timer{at: now.Add(durationFromMs(action.Ms)), token: action.Token})
 	case decide.Answer, decide.Refuse, decide.Abort:
-		c.conclude(a, now)
+		c.applyFinalAction(action, now)
 	case decide.Probe:
-		if n := c.nodes[a.Addr]; n != nil {
+		if n := c.nodes[action.Addr]; n != nil {
 			c.opts.Nodes.Probe(n.ID)
 		}
 	case decide.CloseIdle:
-		if n := c.nodes[a.Addr]; n != nil {
+		if n := c.nodes[action.Addr]; n != nil {
 			c.opts.Nodes.CloseIdle(n.ID)
 		}
 	case decide.Log:
-		c.opts.Log.Info().Str("event", "decision").Msg(a.Text)
-		if n := c.nodes[a.Addr]; n != nil && c.opts.Observer != nil {
-			c.opts.Observer.Doubted(n.ID, a.Doubt, now)
+		c.opts.Log.Info().Str("event", "decision").Msg(action.Text)
+		if n := c.nodes[action.Addr]; n != nil && c.opts.Observer != nil {
+			c.opts.Observer.NodeSuspected(n.ID, action.Doubt, now)
 		}
 	case decide.Subscribe:
 		if c.opts.Lister != nil {
-			c.opts.Lister.Subscribe(a.Whole)
+			c.opts.Lister.Subscribe(action.Whole)
 		}
 	case decide.FetchList:
 		if c.opts.Lister != nil {
@@ -364,4 +375,4 @@
 	}
 }
 
-func duration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func durationFromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -18,14 +18,14 @@
 	mu        sync.Mutex
 	sent      []Attempt
 	cancelled []AttemptID
-	seen      chan struct{}
+	sendCalls chan struct{}
 }
 
 func (f *fakeNodes) Send(_ string, calls []Attempt) {
 	f.mu.Lock()
 	f.sent = append(f.sent, calls...)
 	f.mu.Unlock()
-	f.seen <- struct{}{}
+	f.sendCalls <- struct{}{}
 }
 
 func (f *fakeNodes) Cancel(_ string, id AttemptID) {
@@ -41,84 +41,84 @@
 
 func (r replies) Reply(_ QueryID, reply Reply) { r <- reply }
 
-func newCore(attempts int) (*Core, *fakeNodes) {
-	nodes := &fakeNodes{seen: make(chan struct{}, 100)}
+func newTestCore(maxAttempts int) (*Core, *fakeNodes) {
+	nodes := &fakeNodes{sendCalls: make(chan struct{}, 100)}
 	c := New(Options{Nodes: nodes, Log: zerolog.New(io.Discard), Settings: decide.Settings{
-		Cells: 1, InARow: 1, Shards: 8, TickMs: 5, MaxAttempts: attempts, SecondCopies: true, MayCancel: true, RetryAfter: true,
+		Cells: 1, InARow: 1, Shards: 8, TickMs: 5, MaxAttempts: maxAttempts, SecondCopies: true, MayCancel: true, RetryAfter: true,
 		MaxRetryAfterMs: 2000, BundleMax: 1, ColdFrom: 1, FallTimes: 3, FallMs: 2000, DrainMs: 500,
 		Classes: []decide.Class{{AimMs: 1000, DeadlineMs: 2000, Worth: 1, Need: 1, Floor: 1}},
 	}})
-	c.Roster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y"}}})
+	c.UpdateRoster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y"}}})
 	return c, nodes
 }
 
-func ask() *Query {
-	return &Query{Name: "q", Parts: []Part{{Shard: 0, Share: 0.5}, {Shard: 1, Share: 0.5}}, Came: time.Now(), Budget: 2 * time.Second}
+func newQuery() *Query {
+	return &Query{RequestID: "q", Parts: []Part{{Shard: 0, Share: 0.5}, {Shard: 1, Share: 0.5}}, ArrivedAt: time.Now(), Budget: 2 * time.Second}
 }
 
 // An overfull queue refuses queries and takes everything else.
-func TestOverfullQueue(t *testing.T) {
-	q := newQueue(2)
+func TestFullQueueRejectsOnlyQueries(t *testing.T) {
+	q := newInputQueue(2)
 	for i := range 3 {
-		if _, ok := q.offer(input{kind: inQuery}); ok != (i < 2) {
+		if _, ok := q.offer(input{kind: inputQuery}); ok != (i < 2) {
 			t.Errorf("offer %d: %v", i, ok)
 		}
 	}
-	q.put(input{kind: inOutcome})
-	if n := len(q.take()); n != 3 {
+	q.put(input{kind: inputAttemptOutcome})
+	if n := len(q.takeAll()); n != 3 {
 		t.Errorf("%d inputs, want 3", n)
 	}
-	if _, ok := q.offer(input{kind: inQuery}); !ok {
+	if _, ok := q.offer(input{kind: inputQuery}); !ok {
 		t.Error("refused with room again")
 	}
 	q.close()
-	if _, ok := q.offer(input{kind: inQuery}); ok {
+	if _, ok := q.offer(input{kind: inputQuery}); ok {
 		t.Error("taken after the end")
 	}
 }
 
 // A query gets one answer and an attempt one outcome, also where more comes.
-func TestOneAnswerOneOutcome(t *testing.T) {
-	c, nodes := newCore(3)
+func TestRepeatedOutcomesDoNotChangeTheReply(t *testing.T) {
+	c, nodes := newTestCore(3)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
 	got := make(replies, 10)
-	id, ok := c.Submit(ask(), got)
+	id, ok := c.Submit(newQuery(), got)
 	if !ok {
 		t.Fatal("not taken")
 	}
-	<-nodes.seen
-	<-nodes.seen
+	<-nodes.sendCalls
+	<-nodes.sendCalls
 	nodes.mu.Lock()
 	first, second := nodes.sent[0], nodes.sent[1]
 	nodes.mu.Unlock()
-	c.Outcome(first.ID, decide.OK, Answer{Value: []byte("1")})
-	c.Outcome(first.ID, decide.Failed, Answer{})                   // a second outcome
-	c.Outcome(first.ID, decide.OK, Answer{Value: []byte("other")}) // and a third
-	c.Outcome(second.ID, decide.OK, Answer{Value: []byte("2")})
+	c.AttemptOutcome(first.ID, decide.OK, Response{Value: []byte("1")})
+	c.AttemptOutcome(first.ID, decide.Failed, Response{})                   // a second outcome
+	c.AttemptOutcome(first.ID, decide.OK, Response{Value: []byte("other")}) // and a third
+	c.AttemptOutcome(second.ID, decide.OK, Response{Value: []byte("2")})
 	r := <-got
 	if r.Verdict != Served || !r.Whole || len(r.Values) != 2 || string(r.Values[0].Data) != "1" {
 		t.Errorf("got %+v", r)
 	}
-	c.Outcome(second.ID, decide.OK, Answer{Value: []byte("2")})
+	c.AttemptOutcome(second.ID, decide.OK, Response{Value: []byte("2")})
 	c.Leave(id)
 	cancel()
 	<-ended
-	if len(got) != 0 || c.Stats().Served != 1 || len(c.tries)+len(c.parts)+len(c.queries)+c.held != 0 {
+	if len(got) != 0 || c.Stats().Served != 1 || len(c.attempts)+len(c.parts)+len(c.queries)+c.heldCount != 0 {
 		t.Errorf("more answers or state left: %d, %+v", len(got), c.Stats())
 	}
 }
 
 // What is open when the core is stopped still gets its answer.
-func TestStopAnswersAll(t *testing.T) {
-	c, nodes := newCore(3)
+func TestShutdownLeavesNoQueryUnanswered(t *testing.T) {
+	c, nodes := newTestCore(3)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
 	got := make(replies, 1)
-	c.Submit(ask(), got)
-	<-nodes.seen
+	c.Submit(newQuery(), got)
+	<-nodes.sendCalls
 	cancel()
 	<-ended
 	if r := <-got; r.Verdict == Served {
@@ -129,106 +129,106 @@
 // The core holds the rules whatever the module asks: nothing to a node whose
 // drain was told, no fourth attempt, nothing for a query that has ended, and
 // each refused attempt still gets an outcome that proves it never ran.
-func TestGuards(t *testing.T) {
-	c, _ := newCore(1)
-	c.turn()
+func TestActionsThatBreakCoreRulesAreNotExecuted(t *testing.T) {
+	c, _ := newTestCore(1)
+	c.runTurn()
 	now := time.Now()
-	c.take(input{id: 1, query: ask(), replier: make(replies, 1)}, now)
+	c.admitQuery(input{queryID: 1, query: newQuery(), replier: make(replies, 1)}, now)
 	p := c.queries[1].parts[0]
 	outcome := func() decide.Outcome {
-		for _, in := range c.queue.take() {
+		for _, in := range c.queue.takeAll() {
 			return in.outcome
 		}
 		return decide.OK
 	}
-	c.nodes[1].depart(decide.Draining, now.Add(-drainGuard-time.Millisecond))
+	c.nodes[1].markUnavailable(decide.Draining, now.Add(-maxDrainSendWindow-time.Millisecond))
 	send := decide.Action{Kind: decide.Send, ID: p.id, Addr: 1}
-	if c.send(&send, now); len(c.batch) != 0 || outcome() != decide.Unreachable {
+	if c.openAttempt(&send, now); len(c.sendBatch) != 0 || outcome() != decide.Unreachable {
 		t.Error("sent to a node whose drain was told")
 	}
-	p.tries = nil
+	p.attempts = nil
 	send.Addr = 9
-	if c.send(&send, now); len(c.batch) != 0 || outcome() != decide.Unreachable {
+	if c.openAttempt(&send, now); len(c.sendBatch) != 0 || outcome() != decide.Unreachable {
 		t.Error("sent to a node that is not listed")
 	}
-	p.tries = nil
+	p.attempts = nil
 	send.Addr = 2
-	if c.send(&send, now); len(c.batch) != 1 || c.batch[0].Node != "b" {
-		t.Errorf("not sent: %+v", c.batch)
+	if c.openAttempt(&send, now); len(c.sendBatch) != 1 || c.sendBatch[0].Node != "b" {
+		t.Errorf("not sent: %+v", c.sendBatch)
 	}
-	if c.send(&send, now); len(c.batch) != 1 || outcome() != decide.NotSent {
+	if c.openAttempt(&send, now); len(c.sendBatch) != 1 || outcome() != decide.NotSent {
 		t.Error("sent more attempts than allowed")
 	}
 	whole := make(replies, 1)
 	c.queries[1].replier = whole
-	p.in, p.value = true, []byte("1")
+	p.answered, p.value = true, []byte("1")
 	c.opts.Settings.Classes[0].Floor = 0.5 // an answer of one part may be given, but not as a whole one
-	c.conclude(&decide.Action{Kind: decide.Answer, ID: c.queries[1].event, Whole: true}, now)
+	c.applyFinalAction(&decide.Action{Kind: decide.Answer, ID: c.queries[1].moduleID, Whole: true}, now)
 	if r := <-whole; r.Whole || len(r.Values) != 1 {
 		t.Errorf("an answer that misses a part is called whole: %+v", r)
 	}
 }
 
 // New limits hold from the next turn on.
-func TestLimitsAtTurnBoundary(t *testing.T) {
-	c, _ := newCore(3)
-	c.turn()
+func TestLimitsTakeEffectOnlyAtTurnBoundary(t *testing.T) {
+	c, _ := newTestCore(3)
+	c.runTurn()
 	got := make(replies, 1)
 	c.SetLimits(Limits{QueueLimit: 100, MaxOpen: 2})
 	if c.opts.Limits.MaxOpen != 0 {
 		t.Fatal("applied outside a turn")
 	}
-	c.Submit(ask(), got)
-	c.turn()
+	c.Submit(newQuery(), got)
+	c.runTurn()
 	if r := <-got; r.Verdict != Refused {
 		t.Errorf("got %+v, want a refusal: three would be held", r)
 	}
 }
 
 // Nodes that left long ago are forgotten, and their numbers not used again.
-func TestGoneNodesAreForgotten(t *testing.T) {
-	c, _ := newCore(3)
-	c.turn()
+func TestGoneNodesAreRemovedAndAddrsNotReused(t *testing.T) {
+	c, _ := newTestCore(3)
+	c.runTurn()
 	now := time.Now()
-	c.roster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "b", Addr: "y"}}}, now)
-	c.roster(Roster{Kind: decide.ListDelta}, now.Add(forgetAfter/2))
+	c.applyRoster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "b", Addr: "y"}}}, now)
+	c.applyRoster(Roster{Kind: decide.ListDelta}, now.Add(nodeRetention/2))
 	if len(c.nodes) != 2 {
 		t.Errorf("%d nodes, want the one that left still known", len(c.nodes))
 	}
-	c.roster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "c", Addr: "z"}}}, now.Add(forgetAfter+time.Second))
-	if _, ok := c.names["a"]; ok || len(c.nodes) != 2 || c.names["c"] != 3 {
-		t.Errorf("names %v", c.names)
+	c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "c", Addr: "z"}}}, now.Add(nodeRetention+time.Second))
+	if _, ok := c.addrs["a"]; ok || len(c.nodes) != 2 || c.addrs["c"] != 3 {
+		t.Errorf("names %v", c.addrs)
 	}
 }
 
 // A query under the id of an open one gets its answer at once and harms nobody.
-func TestDuplicateID(t *testing.T) {
-	c, nodes := newCore(3)
+func TestDuplicateRequestIDDoesNotAffectOpenQuery(t *testing.T) {
+	c, nodes := newTestCore(3)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended }()
 	first, second := make(replies, 2), make(replies, 2)
 	submit := func(r replies) {
-		if _, ok := c.Submit(ask(), r); !ok {
+		if _, ok := c.Submit(newQuery(), r); !ok {
 			t.Fatal("not taken")
 		}
 	}
 	submit(first)
-	<-nodes.seen
-	<-nodes.seen
+	<-nodes.sendCalls
+	<-nodes.sendCalls
 	submit(second)
 	if r := <-second; r.Verdict != Duplicate {
 		t.Errorf("the newcomer got %+v", r)
 	}
 	for _, a := range nodes.sent {
-		c.Outcome(a.ID, decide.OK, Answer{Value: []byte("v")})
+		c.AttemptOutcome(a.ID, decide.OK, Response{Value: []byte("v")})
 	}
 	if r := <-first; r.Verdict != Served || !r.Whole || len(r.Values) != 2 {
 		t.Errorf("the open query got %+v", r)
 	}
 	submit(second) // its id is free again
-	<-nodes.seen
+	<-nodes.sendCalls
 	if len(second) != 0 {
 		t.Errorf("after the first had ended: %+v", <-second)
 	}
@@ -236,26 +236,26 @@
 
 // What a turn sends and gives up again must take nothing with it: the other parts of
 // its call leave, and it does not, neither as the first of them nor as a later one.
-func TestCallWithoutThePartsThatAreGivenUp(t *testing.T) {
+func TestAttemptsCancelledInTheirOwnTurnAreNotSent(t *testing.T) {
 	for _, off := range [][]int{{0}, {1}, {2}, {0, 1}, {0, 1, 2}} {
-		c, nodes := newCore(3)
+		c, nodes := newTestCore(3)
 		c.opts.Settings.BundleMax = 4
-		c.turn()
+		c.runTurn()
 		now := time.Now()
 		want := map[AttemptID]bool{}
 		for i := range 3 {
-			q := ask()
-			q.Name = string(rune('a' + i))
-			c.take(input{id: QueryID(i + 1), query: q, replier: make(replies, 1)}, now)
-			c.send(&decide.Action{Kind: decide.Send, ID: c.queries[QueryID(i+1)].parts[0].id, Addr: 1}, now)
-			want[c.lastTry] = true
+			q := newQuery()
+			q.RequestID = string(rune('a' + i))
+			c.admitQuery(input{queryID: QueryID(i + 1), query: q, replier: make(replies, 1)}, now)
+			c.openAttempt(&decide.Action{Kind: decide.Send, ID: c.queries[QueryID(i+1)].parts[0].id, Addr: 1}, now)
+			want[c.lastAttemptID] = true
 		}
 		for _, i := range off {
 			q := c.queries[QueryID(i+1)]
-			delete(want, q.parts[0].tries[0].id)
-			c.drop(q, now)
+			delete(want, q.parts[0].attempts[0].id)
+			c.removeQuery(q, now)
 		}
-		c.flush()
+		c.flushSendBatch()
 		got := map[AttemptID]bool{}
 		for _, a := range nodes.sent {
 			got[a.ID] = true
@@ -269,7 +269,7 @@
 // Until when an attempt may begin is told with it, as it may wait for a connection
 // that long: within its query's time, and a repeat of what may have run within the
 // class's window from the first such attempt, or not at all.
-func TestAttemptsAreToldTheirLatestBeginning(t *testing.T) {
+func TestRetriesDoNotStartAfterIdempotencyWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	for _, c := range []struct {
 		effect decide.Effect
@@ -285,23 +285,23 @@
 		{decide.Unsafe, decide.Rejected, 0, false},
 		{decide.Unsafe, decide.Broken, 0, true},
 	} {
-		core, _ := newCore(3)
+		core, _ := newTestCore(3)
 		class := &core.opts.Settings.Classes[0]
 		class.Effect, class.WindowMs = c.effect, float64(window.Milliseconds())
-		core.turn()
+		core.runTurn()
 		first := time.Now()
-		q := ask()
-		q.Came = first
-		core.take(input{id: 1, query: q, replier: make(replies, 1)}, first)
+		q := newQuery()
+		q.ArrivedAt = first
+		core.admitQuery(input{queryID: 1, query: q, replier: make(replies, 1)}, first)
 		p := core.queries[1].parts[0]
 		send := decide.Action{Kind: decide.Send, ID: p.id, Addr: 1}
-		core.send(&send, first)
-		core.ended(p.tries[0], c.first, ByNode, time.Time{}, first)
-		core.batch = core.batch[:0]
-		core.queue.take()
-		core.send(&send, first.Add(window/2))
+		core.openAttempt(&send, first)
+		core.endAttempt(p.attempts[0], c.first, EndedByNode, time.Time{}, first)
+		core.sendBatch = core.sendBatch[:0]
+		core.queue.takeAll()
+		core.openAttempt(&send, first.Add(window/2))
 		if c.never {
-			if in := core.queue.take(); len(core.batch) != 0 || len(in) != 1 || in[0].outcome != decide.NotSent {
+			if in := core.queue.takeAll(); len(core.sendBatch) != 0 || len(in) != 1 || in[0].outcome != decide.NotSent {
 				t.Errorf("%+v: sent", c)
 			}
 			continue
@@ -310,41 +310,41 @@
 		if c.want == 0 {
 			want = first.Add(q.Budget)
 		}
-		if len(core.batch) != 1 || !core.batch[0].Latest.Equal(want) {
-			t.Errorf("%+v: %+v, want until %v", c, core.batch, want)
+		if len(core.sendBatch) != 1 || !core.sendBatch[0].LatestStart.Equal(want) {
+			t.Errorf("%+v: %+v, want until %v", c, core.sendBatch, want)
 		}
-		core.batch = core.batch[:0]
-		core.ended(p.tries[1], decide.Unreachable, ByNode, time.Time{}, first)
-		if core.send(&send, first.Add(window)); (len(core.batch) == 0) != (c.want != 0) {
-			t.Errorf("%+v: after the window: %+v", c, core.batch)
+		core.sendBatch = core.sendBatch[:0]
+		core.endAttempt(p.attempts[1], decide.Unreachable, EndedByNode, time.Time{}, first)
+		if core.openAttempt(&send, first.Add(window)); (len(core.sendBatch) == 0) != (c.want != 0) {
+			t.Errorf("%+v: after the window: %+v", c, core.sendBatch)
 		}
 	}
 }
 
 // heardNodes keeps the list that the node clients were told.
-type heardNodes struct {
+type nodeListRecorder struct {
 	*fakeNodes
 	list []Node
 }
 
-func (h *heardNodes) Update(list []Node) { h.list = list }
+func (h *nodeListRecorder) Update(list []Node) { h.list = list }
 
 // The node clients are told until when work may begin at a node whose drain has been
 // told, by the first telling, and never later than half of the grace.
-func TestDrainsAreToldWithTheirLatestBeginning(t *testing.T) {
-	for grace, guard := range map[float64]time.Duration{500: drainGuard, 1000: drainGuard, 100: 50 * time.Millisecond} {
-		c, nodes := newCore(3)
-		heard := &heardNodes{fakeNodes: nodes}
+func TestRepeatedDrainNoticeDoesNotExtendLatestStart(t *testing.T) {
+	for grace, guard := range map[float64]time.Duration{500: maxDrainSendWindow, 1000: maxDrainSendWindow, 100: 50 * time.Millisecond} {
+		c, nodes := newTestCore(3)
+		heard := &nodeListRecorder{fakeNodes: nodes}
 		c.opts.Nodes, c.opts.Settings.DrainMs = heard, grace
 		now := time.Now()
-		c.roster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y", State: decide.Draining}}}, now)
-		c.roster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y", State: decide.Draining}}}, now.Add(time.Second))
+		c.applyRoster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y", State: decide.Draining}}}, now)
+		c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y", State: decide.Draining}}}, now.Add(time.Second))
 		for _, n := range heard.list {
 			if want := now.Add(guard); n.ID == "a" && !n.Latest.IsZero() || n.ID == "b" && !n.Latest.Equal(want) {
 				t.Errorf("grace %v ms: %+v, told %v", grace, n, now)
 			}
 		}
-		c.roster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y"}}}, now.Add(2*time.Second))
+		c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y"}}}, now.Add(2*time.Second))
 		for _, n := range heard.list {
 			if !n.Latest.IsZero() {
 				t.Errorf("grace %v ms, back in service: %+v", grace, n)
@@ -355,15 +355,15 @@
 
 // A client that leaves in the turn in which an outcome would start a further attempt, or
 // its own query's first, in either order: nothing begins for it.
-func TestNothingBeginsForAClientThatLeftInTheSameTurn(t *testing.T) {
+func TestNoAttemptStartsForClientThatLeftInSameTurn(t *testing.T) {
 	for _, first := range []bool{true, false} {
-		c, nodes := newCore(3)
-		c.turn()
-		id, ok := c.Submit(ask(), make(replies, 1))
+		c, nodes := newTestCore(3)
+		c.runTurn()
+		id, ok := c.Submit(newQuery(), make(replies, 1))
 		if !ok {
 			t.Fatal("not taken")
 		}
-		c.turn()
+		c.runTurn()
 		out := len(nodes.sent)
 		if out != 2 {
 			t.Fatalf("%d attempts", out)
@@ -371,21 +371,21 @@
 		if first {
 			c.Leave(id)
 		}
-		c.Outcome(nodes.sent[0].ID, decide.Failed, Answer{})
-		c.Outcome(nodes.sent[1].ID, decide.Rejected, Answer{})
+		c.AttemptOutcome(nodes.sent[0].ID, decide.Failed, Response{})
+		c.AttemptOutcome(nodes.sent[1].ID, decide.Rejected, Response{})
 		if !first {
 			c.Leave(id)
 		}
-		late := ask()
-		late.Name = "late"
+		late := newQuery()
+		late.RequestID = "late"
 		other, ok := c.Submit(late, make(replies, 1))
 		if !ok {
 			t.Fatal("not taken")
 		}
 		c.Leave(other)
-		c.turn()
-		c.turn()
-		if len(nodes.sent) != out || len(c.queries)+len(c.tries)+c.held != 0 {
+		c.runTurn()
+		c.runTurn()
+		if len(nodes.sent) != out || len(c.queries)+len(c.attempts)+c.heldCount != 0 {
 			t.Errorf("left first %v: %d attempts more; state left", first, len(nodes.sent)-out)
 		}
 	}
@@ -393,67 +393,67 @@
 
 // absent is a client of whom the front can tell that it has left, though the news of it
 // has not come to the core yet.
-type absent struct {
+type clientStub struct {
 	replies
 	gone bool
 }
 
 // Gone says so.
-func (a *absent) Gone() bool { return a.gone }
+func (a *clientStub) ClientGone() bool { return a.gone }
 
 // A core that has been held up hears of an outcome before the front has read the end of
 // the client's connection: no further attempt begins for a client that has gone, nor does
 // one that waits for its connection.
-func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
-	c, nodes := newCore(3)
-	c.turn()
-	client := &absent{replies: make(replies, 1)}
-	q := ask()
-	q.Came = q.Came.Add(-100 * time.Millisecond)
+func TestNoAttemptStartsForDisconnectedClient(t *testing.T) {
+	c, nodes := newTestCore(3)
+	c.runTurn()
+	client := &clientStub{replies: make(replies, 1)}
+	q := newQuery()
+	q.ArrivedAt = q.ArrivedAt.Add(-100 * time.Millisecond)
 	if _, ok := c.Submit(q, client); !ok {
 		t.Fatal("not taken")
 	}
-	c.turn()
+	c.runTurn()
 	out := len(nodes.sent)
 	if out != 2 {
 		t.Fatalf("%d attempts", out)
 	}
 	later := time.Now().Add(time.Second)
 	waits := nodes.sent[0]
-	if waits.Late(time.Time{}, later) {
+	if waits.MustNotStart(time.Time{}, later) {
 		t.Error("late while the client is there")
 	}
 	for _, q := range c.queries {
-		q.there = q.there.Add(-time.Second) // the core is held up
+		q.clientSeenAt = q.clientSeenAt.Add(-time.Second) // the core is held up
 	}
 	client.gone = true
-	if !waits.Late(time.Time{}, later) {
+	if !waits.MustNotStart(time.Time{}, later) {
 		t.Error("an attempt that has waited for its connection begins for a client that has gone")
 	}
-	c.Outcome(nodes.sent[0].ID, decide.Failed, Answer{})
-	c.Outcome(nodes.sent[1].ID, decide.Rejected, Answer{})
-	c.turn()
-	c.turn()
+	c.AttemptOutcome(nodes.sent[0].ID, decide.Failed, Response{})
+	c.AttemptOutcome(nodes.sent[1].ID, decide.Rejected, Response{})
+	c.runTurn()
+	c.runTurn()
 	if len(nodes.sent) != out {
 		t.Errorf("%d attempts more", len(nodes.sent)-out)
 	}
-	if len(c.queries)+len(c.tries)+c.held != 0 {
+	if len(c.queries)+len(c.attempts)+c.heldCount != 0 {
 		t.Error("state is left")
 	}
 }
 
 // An answer of less than the class's least share is none, whatever the module says.
-func TestNoAnswerUnderTheLeastShare(t *testing.T) {
+func TestNoAnswerBelowMinimumShare(t *testing.T) {
 	for in, want := range []Verdict{Failed, Failed, Served} { // parts that are in, of two
-		c, _ := newCore(3)
+		c, _ := newTestCore(3)
 		c.opts.Settings.Classes[0].Floor = 0.7
-		c.turn()
+		c.runTurn()
 		now, got := time.Now(), make(replies, 1)
-		c.take(input{id: 1, query: ask(), replier: got}, now)
+		c.admitQuery(input{queryID: 1, query: newQuery(), replier: got}, now)
 		for _, p := range c.queries[1].parts[:in] {
-			p.in, p.value = true, []byte("1")
+			p.answered, p.value = true, []byte("1")
 		}
-		c.conclude(&decide.Action{Kind: decide.Answer, ID: c.queries[1].event}, now)
+		c.applyFinalAction(&decide.Action{Kind: decide.Answer, ID: c.queries[1].moduleID}, now)
 		if r := <-got; r.Verdict != want || want == Failed && len(r.Values) != 0 {
 			t.Errorf("%d parts in: %+v, want %v", in, r, want)
 		}
@@ -463,13 +463,13 @@
 // An answer of discovery may name a node more than once; what it says last holds, and a
 // drain among it is told anew. What a whole list leaves out is gone, though a change that
 // was on its way names it: that one is newer and brings it back.
-func TestEntriesInARow(t *testing.T) {
+func TestLastRosterEntryForNodeWins(t *testing.T) {
 	in, draining, gone := Node{ID: "a", Addr: "x"}, Node{ID: "a", Addr: "x", State: decide.Draining}, Node{ID: "a", Addr: "x", State: decide.Gone}
 	moved := Node{ID: "a", Addr: "z"}
-	c, nodes := newCore(3)
-	heard := &heardNodes{fakeNodes: nodes}
+	c, nodes := newTestCore(3)
+	heard := &nodeListRecorder{fakeNodes: nodes}
 	c.opts.Nodes = heard
-	c.turn()
+	c.runTurn()
 	now := time.Now()
 	for i, step := range []struct {
 		kind    decide.ListKind
@@ -488,8 +488,8 @@
 		{decide.ListFull, []Node{draining, in}, decide.Ready, "x", false},
 	} {
 		at := now.Add(time.Duration(i) * time.Second)
-		c.roster(Roster{Kind: step.kind, Nodes: step.entries}, at)
-		if s := c.nodes[c.names["a"]].State; s != step.state {
+		c.applyRoster(Roster{Kind: step.kind, Nodes: step.entries}, at)
+		if s := c.nodes[c.addrs["a"]].State; s != step.state {
 			t.Errorf("step %d: state %v, want %v", i, s, step.state)
 		}
 		listed := ""
@@ -497,7 +497,7 @@
 			if n.ID != "a" {
 				continue
 			}
-			if listed = n.Addr; n.Latest.IsZero() == step.drains || step.drains && n.Latest.After(at.Add(drainGuard)) {
+			if listed = n.Addr; n.Latest.IsZero() == step.drains || step.drains && n.Latest.After(at.Add(maxDrainSendWindow)) {
 				t.Errorf("step %d: work may begin until %v, now %v", i, n.Latest, at)
 			}
 		}
--- a/broker/counts.go
+++ b/broker/counts.go
@@ -8,17 +8,17 @@
 	"onyxsail/decide"
 )
 
-// ClassCounts are the final answers to queries of one class since the start.
+// ClassCounts counts the final replies to queries of one class since the start.
 type ClassCounts struct {
-	// Fulfilled ended with an answer, Throttled with a refusal, Faulted in any other way but
-	// that the client left.
+	// Fulfilled counts answers, Throttled refusals, and Faulted all other ends except for
+	// disconnected clients, which are not counted.
 	Fulfilled, Throttled, Faulted int64
 }
 
-// classCounters are the counters behind ClassCounts.
+// classCounters holds the counters behind ClassCounts.
 type classCounters struct{ fulfilled, throttled, faulted atomic.Int64 }
 
-// count adds one final answer.
+// count adds one final reply.
 func (c *classCounters) count(v Verdict) {
 	switch v {
 	case Served:
@@ -30,80 +30,80 @@
 	}
 }
 
-// counters returns the counters of a class, by its index in the settings; any goroutine
-// may call it.
-func (c *Core) counters(class int) *classCounters {
-	all := *c.classes.Load()
-	if uint(class) >= uint(len(all)) {
-		return &classCounters{} // of no class that the settings have
+// countersOf returns the counters of a class, given its index in the settings. It may be
+// called from any goroutine.
+func (c *Core) countersOf(class int) *classCounters {
+	counters := *c.classCounters.Load()
+	if uint(class) >= uint(len(counters)) {
+		return &classCounters{} // no such class: counts are discarded
 	}
-	return all[class]
+	return counters[class]
 }
 
-// growCounters makes room for the classes of the settings; those that are there go on.
-func (c *Core) growCounters(classes int) {
-	var all []*classCounters
-	if before := c.classes.Load(); before != nil {
-		all = append(all, *before...)
+// growCounters adds counters up to classCount classes. The existing ones are kept.
+func (c *Core) growCounters(classCount int) {
+	var counters []*classCounters
+	if existing := c.classCounters.Load(); existing != nil {
+		counters = append(counters, *existing...)
 	}
-	for len(all) < classes {
-		all = append(all, &classCounters{})
+	for len(counters) < classCount {
+		counters = append(counters, &classCounters{})
 	}
-	c.classes.Store(&all)
+	c.classCounters.Store(&counters)
 }
 
-// Classes returns the counts of each class of the settings, by its index; any goroutine
-// may call it.
-func (c *Core) Classes() []ClassCounts {
-	all := *c.classes.Load()
-	counts := make([]ClassCounts, len(all))
-	for i, own := range all {
-		counts[i] = ClassCounts{own.fulfilled.Load(), own.throttled.Load(), own.faulted.Load()}
+// ClassCounts returns the counts of each class, by its index in the settings. It may be
+// called from any goroutine.
+func (c *Core) ClassCounts() []ClassCounts {
+	counters := *c.classCounters.Load()
+	counts := make([]ClassCounts, len(counters))
+	for i, counter := range counters {
+		counts[i] = ClassCounts{counter.fulfilled.Load(), counter.throttled.Load(), counter.faulted.Load()}
 	}
 	return counts
 }
 
-// Survey is the core's view of the list of nodes.
-type Survey struct {
-	Listed  int // nodes of the list that are not gone
-	Avoided int // of these, the ones that drain, or are in doubt and were sent nothing lately
+// RosterCounts summarizes the core's view of the list of nodes.
+type RosterCounts struct {
+	Listed        int // nodes on the list that are not gone
+	OutOfRotation int // of these, draining ones and suspected ones that got no attempts lately
 }
 
-// avoidedFor is how long a node in doubt must have been sent nothing to count as avoided:
-// one that gets its trials is not left out.
-const avoidedFor = 500 * time.Millisecond
+// outOfRotationAfter is how long a suspected node must have been sent nothing to count as
+// out of rotation: one that gets probation attempts does not count.
+const outOfRotationAfter = 500 * time.Millisecond
 
-// Survey asks the core's goroutine for its view of the list. It returns the latest one
-// that it has had where the core has not answered when ctx ends.
-func (c *Core) Survey(ctx context.Context) Survey {
-	answer := make(chan Survey, 1)
-	c.queue.put(input{kind: inSurvey, survey: answer})
+// RosterCounts asks the core's goroutine for the counts. If the core has not answered when
+// ctx ends, it returns the last counts received.
+func (c *Core) RosterCounts(ctx context.Context) RosterCounts {
+	result := make(chan RosterCounts, 1)
+	c.queue.put(input{kind: inputRosterCounts, rosterCounts: result})
 	select {
-	case s := <-answer:
-		c.surveyed.Store(&s)
-		return s
+	case counts := <-result:
+		c.lastRosterCounts.Store(&counts)
+		return counts
 	case <-ctx.Done():
 	}
-	if s := c.surveyed.Load(); s != nil {
-		return *s
+	if counts := c.lastRosterCounts.Load(); counts != nil {
+		return *counts
 	}
-	return Survey{}
+	return RosterCounts{}
 }
 
-// survey is the answer to Survey.
-func (c *Core) survey(now time.Time) (s Survey) {
+// countRoster computes the result of RosterCounts.
+func (c *Core) countRoster(now time.Time) (counts RosterCounts) {
 	for addr, n := range c.nodes {
 		if n.State == decide.Gone {
 			continue
 		}
-		s.Listed++
-		if n.State != decide.Ready || c.root.InDoubt(addr) && now.Sub(n.sent) > avoidedFor {
-			s.Avoided++
+		counts.Listed++
+		if n.State != decide.Ready || c.root.InDoubt(addr) && now.Sub(n.lastSentAt) > outOfRotationAfter {
+			counts.OutOfRotation++
 		}
 	}
-	return s
+	return counts
 }
 
-// SurveyWithin is how long a caller should let Survey wait, in time: a turn of the core
+// RosterCountsTimeout is how long a caller should let RosterCounts wait. A turn of the core
 // takes milliseconds.
-const SurveyWithin = 300 * time.Millisecond
+const RosterCountsTimeout = 300 * time.Millisecond
--- a/broker/observe.go
+++ b/broker/observe.go
@@ -6,92 +6,93 @@
 	"onyxsail/decide"
 )
 
-// TraceContext is what a caller said of its own trace, by W3C Trace Context
-// (https://www.w3.org/TR/trace-context/). The zero value says nothing.
+// TraceContext is the trace context that a caller sent, as defined by W3C Trace Context
+// (https://www.w3.org/TR/trace-context/). The zero value means that none was sent.
 type TraceContext struct {
-	ID      [16]byte // the trace; zero: none was given
-	Parent  [8]byte  // the caller's span
-	Sampled bool     // the caller asks for the trace to be kept
-	State   string   // tracestate, to be carried on unchanged
+	TraceID    [16]byte // zero: none was sent
+	ParentID   [8]byte  // the caller's span
+	Sampled    bool     // the caller asks for the trace to be recorded
+	TraceState string   // the tracestate header, propagated unchanged
 }
 
-// Reason says why an attempt was opened.
-type Reason uint8
+// AttemptReason is why an attempt was opened.
+type AttemptReason uint8
 
-// The reasons of an attempt.
+// The reasons for an attempt.
 const (
-	First Reason = iota // the part's first attempt
-	Copy                // an earlier attempt of the part is still out
-	Retry               // all earlier attempts of the part have ended
-	Trial               // a first attempt at a node in doubt, to learn whether it is back
+	ReasonFirst     AttemptReason = iota // the part's first attempt
+	ReasonCopy                           // an earlier attempt of the part is still outstanding (hedged request)
+	ReasonRetry                          // all earlier attempts of the part have ended
+	ReasonProbation                      // a first attempt at a suspected node, to find out whether it has recovered
 )
 
-// Opening is an attempt as the core opens it.
-type Opening struct {
-	ID    AttemptID
-	Query QueryID
-	Shard int
-	N     int    // the part's attempts before it
-	Node  string // "": none, as the list has lost it
-	Cell  int    // of the node
-	Why   Reason
-	Doubt bool          // the module holds the node in doubt
-	Wait  time.Duration // how long the core will wait
-	At    time.Time
+// AttemptInfo describes an attempt as it is opened.
+type AttemptInfo struct {
+	ID        AttemptID
+	QueryID   QueryID
+	Shard     int
+	Index     int    // number of earlier attempts of the part
+	Node      string // "": the node is no longer listed
+	Cell      int    // the node's cell
+	Reason    AttemptReason
+	Suspected bool          // the module suspects the node
+	Timeout   time.Duration // how long the core waits for the outcome
+	OpenedAt  time.Time
 }
 
-// Cause says who ended an attempt.
-type Cause uint8
+// EndCause is what ended an attempt.
+type EndCause uint8
 
 // The causes of an attempt's end.
 const (
-	ByNode Cause = iota // the node's answer, or the connection's end
-	ByTime              // the core waited no longer
-	ByCore              // it was given up, or a rule forbade it
+	EndedByNode    EndCause = iota // the node answered or the connection ended
+	EndedByTimeout                 // its timeout expired in the core
+	EndedByCore                    // it was cancelled, or a sending rule forbade it
 )
 
-// Observer is told what becomes of queries and attempts. The core calls it from
-// its own goroutine, TurnedAway apart, and waits: it must neither block nor
-// keep what is passed by pointer. Without an observer the core spends nothing.
+// Observer is notified of the life cycle of queries and attempts. Except for
+// QueryTurnedAway, the core calls it synchronously from its own goroutine, so it must not
+// block; nor may it retain what is passed by pointer. Without an observer there is no
+// overhead.
 type Observer interface {
-	// Taken begins a query. Final follows exactly once.
-	Taken(id QueryID, q *Query, at time.Time)
-	// TurnedAway tells of a query that found the core's queue full; nothing
-	// follows. It is called from the front's goroutine.
-	TurnedAway(q *Query, at time.Time)
-	// Opened begins an attempt.
-	Opened(o Opening)
-	// Cancelled says that an attempt which is out is given up.
-	Cancelled(id AttemptID, at time.Time)
-	// Ended brings the attempt's one outcome; began is when the first byte of its
-	// answer came, zero if none did. That of an attempt which was out when its
-	// query ended comes after Final.
-	Ended(id AttemptID, o decide.Outcome, by Cause, began, at time.Time)
-	// Doubted says that the module holds a node in doubt from now on, or no
-	// longer does.
-	Doubted(node string, doubted bool, at time.Time)
-	// Final ends a query; Left is the verdict where the client went first.
-	Final(id QueryID, r *Reply, at time.Time)
+	// QueryReceived starts a query. QueryEnded follows exactly once.
+	QueryReceived(id QueryID, q *Query, at time.Time)
+	// QueryTurnedAway reports a query that was refused because the core's queue is full.
+	// No other call follows for it. It is called from the front's goroutine.
+	QueryTurnedAway(q *Query, at time.Time)
+	// AttemptOpened starts an attempt.
+	AttemptOpened(info AttemptInfo)
+	// AttemptCancelled reports that an outstanding attempt is cancelled.
+	AttemptCancelled(id AttemptID, at time.Time)
+	// AttemptEnded reports the attempt's single outcome; firstByteAt is when the first byte
+	// of the response arrived, zero if none did. For an attempt that was outstanding when
+	// its query ended, it follows QueryEnded.
+	AttemptEnded(id AttemptID, outcome decide.Outcome, cause EndCause, firstByteAt, at time.Time)
+	// NodeSuspected reports that the module suspects a node from now on, or no longer does.
+	NodeSuspected(node string, suspected bool, at time.Time)
+	// QueryEnded ends a query. The verdict is ClientLeft if the client disconnected first.
+	QueryEnded(id QueryID, reply *Reply, at time.Time)
 }
 
-// WirePhase is a step of an attempt that only its wire sees.
+// WirePhase is a phase of an attempt that only the node client can observe.
 type WirePhase uint8
 
-// The steps of an attempt on its wire.
+// The phases of an attempt on the wire.
 const (
-	WireDialing WirePhase = iota // it waits for a connection whose making began then, maybe before the attempt
-	WireUp                       // that connection is up
-	WireGone                     // the last byte has left: from here on it may run
+	WireConnecting WirePhase = iota // it waits for a connection; the time is when dialing began, which may precede the attempt
+	WireConnected                   // the connection is established
+	WireSent                        // the last byte was written: the node may run it from here on
 )
 
-// WireObserver is told by node clients what only they know. Its methods may be
-// called from any goroutine, under a client's lock, and must not block.
+// WireObserver is notified by node clients of what only they can observe. Its methods may be
+// called from any goroutine while a client's lock is held, and must not block.
 type WireObserver interface {
-	// Wire tells a step; addr is the address that the attempt goes to.
-	Wire(id AttemptID, phase WirePhase, addr string, at time.Time)
-	// Late tells the outcome of an attempt that had been given up.
-	Late(id AttemptID, o decide.Outcome, at time.Time)
-	// Carry gives the headers that tell the next hop of the attempt's trace;
-	// empty where there is none.
-	Carry(id AttemptID) (traceparent, tracestate string)
+	// PhaseReached reports that an attempt has entered a phase; addr is the address that it
+	// is sent to.
+	PhaseReached(id AttemptID, phase WirePhase, addr string, at time.Time)
+	// LateOutcome reports the outcome of an attempt that had already been cancelled.
+	LateOutcome(id AttemptID, o decide.Outcome, at time.Time)
+	// TraceHeaders returns the headers that propagate the attempt's trace to the next hop;
+	// empty if there is none.
+	TraceHeaders(id AttemptID) (traceparent, tracestate string)
 }
--- a/broker/queue.go
+++ b/broker/queue.go
@@ -7,81 +7,82 @@
 	"onyxsail/decide"
 )
 
+// inputKind says which fields of an input are set.
 type inputKind uint8
 
 const (
-	inQuery inputKind = iota
-	inLeave
-	inOutcome
-	inProbed
-	inRoster
-	inLimits
-	inEndBy
-	inSurvey
-	inReconfigure
+	inputQuery inputKind = iota
+	inputClientLeft
+	inputAttemptOutcome
+	inputProbeOutcome
+	inputRoster
+	inputLimits
+	inputAnswerDeadline
+	inputRosterCounts
+	inputReconfigure
 )
 
-// input is one thing that reached the core from another goroutine.
+// input is a message to the core from another goroutine.
 type input struct {
-	kind     inputKind
-	query    *Query
-	replier  Replier
-	id       QueryID
-	attempt  AttemptID
-	outcome  decide.Outcome
-	ours     bool // with inOutcome: the core made it up itself
-	answer   Answer
-	node     string
-	took     time.Duration
-	roster   Roster
-	limits   Limits
-	at       time.Time      // with inEndBy
-	classes  []decide.Class // with inReconfigure
-	attempts int            // the same
-	survey   chan<- Survey  // with inSurvey; has room for the answer
+	kind         inputKind
+	query        *Query
+	replier      Replier
+	queryID      QueryID
+	attemptID    AttemptID
+	outcome      decide.Outcome
+	fromCore     bool // with inputAttemptOutcome: produced by the core, not by a node client
+	response     Response
+	nodeID       string
+	took         time.Duration
+	roster       Roster
+	limits       Limits
+	deadline     time.Time           // with inputAnswerDeadline
+	classes      []decide.Class      // with inputReconfigure
+	maxAttempts  int                 // with inputReconfigure
+	rosterCounts chan<- RosterCounts // with inputRosterCounts; buffered, so that the core does not block
 }
 
-// queue holds what waits for the next turn. Only queries can be refused: each
-// other input answers something the core has out itself (an attempt, a query, a
-// probe) or is one of the few of the roster and the operator, so room for it is
-// bounded by what was let in before, and it is never dropped. A mutex and no
-// channel, so that a socket goroutine never blocks on the core while the core
+// inputQueue holds the inputs that wait for the next turn. Only queries can be refused. Every
+// other input is either a response to something that the core has outstanding (an attempt, a
+// query, a probe) or one of the few from discovery and the operator, so their number is
+// bounded by what was admitted before, and they are never dropped. The queue uses a mutex
+// rather than a channel so that a socket goroutine never blocks on the core while the core
 // waits for that socket's lock.
-type queue struct {
-	mu    sync.Mutex
-	items []input
-	spare []input
-	limit int
-	next  QueryID
-	shut  bool
-	ready chan struct{}
+type inputQueue struct {
+	mu          sync.Mutex
+	items       []input
+	spare       []input // last result of takeAll, for reuse
+	limit       int
+	lastQueryID QueryID
+	closed      bool
+	ready       chan struct{} // signals that inputs are waiting
 }
 
-func newQueue(limit int) *queue {
-	return &queue{limit: limit, ready: make(chan struct{}, 1)}
+func newInputQueue(limit int) *inputQueue {
+	return &inputQueue{limit: limit, ready: make(chan struct{}, 1)}
 }
 
-// offer adds a query and names it; it refuses when the queue is full.
-func (q *queue) offer(in input) (QueryID, bool) {
+// offer adds a query and assigns its ID. It returns false if the queue is full or closed.
+func (q *inputQueue) offer(in input) (QueryID, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.shut || len(q.items) >= q.limit {
+	if q.closed || len(q.items) >= q.limit {
 		return 0, false
 	}
-	q.next++
-	in.id = q.next
+	q.lastQueryID++
+	in.queryID = q.lastQueryID
 	q.push(in)
-	return in.id, true
+	return in.queryID, true
 }
 
-// put adds anything else.
-func (q *queue) put(in input) {
+// put adds an input other than a query.
+func (q *inputQueue) put(in input) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.push(in)
 }
 
-func (q *queue) push(in input) {
+func (q *inputQueue) push(in input) {
 	q.items = append(q.items, in)
 	select {
 	case q.ready <- struct{}{}:
@@ -89,8 +90,8 @@
 	}
 }
 
-// take returns all that waits. The slice is valid until the next call.
-func (q *queue) take() []input {
+// takeAll removes and returns all waiting inputs. The slice is valid until the next call.
+func (q *inputQueue) takeAll() []input {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	clear(q.spare)
@@ -99,7 +100,7 @@
 	return items
 }
 
-func (q *queue) setLimit(n int) {
+func (q *inputQueue) setLimit(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if n > 0 {
@@ -107,10 +108,10 @@
 	}
 }
 
-// close refuses all later queries and returns what still waits.
-func (q *queue) close() []input {
+// close makes the queue refuse all later queries and returns the inputs that are waiting.
+func (q *inputQueue) close() []input {
 	q.mu.Lock()
-	q.shut = true
+	q.closed = true
 	q.mu.Unlock()
-	return q.take()
+	return q.takeAll()
 }
--- a/broker/roster.go
+++ b/broker/roster.go
@@ -1,6 +1,6 @@
 package broker
 
-// The list of nodes, as the core has it.
+// The core's copy of the list of nodes.
 
 import (
 	"time"
@@ -8,86 +8,92 @@
 	"onyxsail/decide"
 )
 
-// drainGuard is how long after its drain was told a node may still be sent
-// work, whatever the module says, or half of what the settings allow if that is
-// less: the frame has its way to go. The module stops at once.
-const drainGuard = 250 * time.Millisecond
+// maxDrainSendWindow is how long after the announcement of its drain a node may still be
+// sent attempts, whatever the module asks for, unless half of the drain grace is less. The
+// rest of the grace is left for the frame to reach the node. The module itself stops at once.
+const maxDrainSendWindow = 250 * time.Millisecond
 
-// forgetAfter is when a node that has left is forgotten: no attempt lives so
-// long, and on a long day each release brings new ids.
-const forgetAfter = 30 * time.Second
+// nodeRetention is how long a node that is gone is kept. It is longer than any attempt lasts.
+// Gone nodes must be removed, as each release of the nodes brings new IDs.
+const nodeRetention = 30 * time.Second
 
-type node struct {
+// nodeState is a node as the core tracks it.
+type nodeState struct {
 	Node
-	left    time.Time // when it was told to be draining or gone
-	readyAt float64   // its start on the core's clock
-	sent    time.Time // when an attempt was last sent there
+	leftAt     time.Time // when it was first reported as draining or gone; zero: it is ready
+	readyAtMs  float64   // its start on the module's clock; 0: long ago
+	lastSentAt time.Time // when the last attempt was sent to it
 }
 
-func (c *Core) roster(r Roster, now time.Time) {
-	e := decide.Event{Kind: decide.ListNews, List: r.Kind}
-	if r.Kind == decide.ListFailed {
-		c.events = append(c.events, e)
+// applyRoster updates the core's list of nodes and passes the changes to the module and the
+// node client.
+func (c *Core) applyRoster(roster Roster, now time.Time) {
+	event := decide.Event{Kind: decide.ListNews, List: roster.Kind}
+	if roster.Kind == decide.ListFailed {
+		c.events = append(c.events, event)
 		return
 	}
-	if r.Kind != decide.ListDelta {
-		listed := make(map[string]bool, len(r.Nodes))
-		for _, n := range r.Nodes {
-			listed[n.ID] = true
+	if roster.Kind != decide.ListDelta {
+		listedIDs := make(map[string]bool, len(roster.Nodes))
+		for _, n := range roster.Nodes {
+			listedIDs[n.ID] = true
 		}
 		for _, n := range c.nodes {
-			if !listed[n.ID] {
-				n.depart(decide.Gone, now)
+			if !listedIDs[n.ID] {
+				n.markUnavailable(decide.Gone, now)
 			}
 		}
 	}
-	dated := c.dateStarts(&r, now)
-	for i, n := range r.Nodes {
-		addr, ok := c.names[n.ID]
+	readyAtMs := c.startTimesOf(&roster, now)
+	for i, n := range roster.Nodes {
+		addr, ok := c.addrs[n.ID]
 		if !ok {
-			c.named++
-			addr = c.named
-			c.names[n.ID] = addr
-			c.nodes[addr] = &node{}
+			c.lastAddr++
+			addr = c.lastAddr
+			c.addrs[n.ID] = addr
+			c.nodes[addr] = &nodeState{}
 		}
-		own := c.nodes[addr]
-		left := own.left
-		own.Node, own.left, own.readyAt = n, time.Time{}, dated[i]
+		known := c.nodes[addr]
+		prevLeftAt := known.leftAt
+		known.Node, known.leftAt, known.readyAtMs = n, time.Time{}, readyAtMs[i]
 		if n.State != decide.Ready {
-			own.left = left
-			own.depart(n.State, now)
+			known.leftAt = prevLeftAt
+			known.markUnavailable(n.State, now)
 		}
-		e.Members = append(e.Members, decide.Member{
-			Addr: addr, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: n.State, Size: n.Weight, ReadyAt: dated[i],
+		event.Members = append(event.Members, decide.Member{
+			Addr: addr, Zone: n.Zone, Kind: n.Kind, Cell: n.Cell, State: n.State, Size: n.Weight, ReadyAt: readyAtMs[i],
 		})
 	}
-	c.events = append(c.events, e)
-	var all []Node
+	c.events = append(c.events, event)
+	var listedNodes []Node
 	for addr, n := range c.nodes {
 		switch {
 		case n.State != decide.Gone:
-			if n.Latest = (time.Time{}); !n.left.IsZero() {
-				n.Latest = n.left.Add(c.drainGuard())
+			if n.Latest = (time.Time{}); !n.leftAt.IsZero() {
+				n.Latest = n.leftAt.Add(c.drainSendWindow())
 			}
-			all = append(all, n.Node)
-		case now.Sub(n.left) > forgetAfter: // each release brings new ids: the old must not pile up
-			c.starts.remember(n)
-			delete(c.names, n.ID)
+			listedNodes = append(listedNodes, n.Node)
+		case now.Sub(n.leftAt) > nodeRetention: // each release brings new IDs: old ones must not accumulate
+			c.startTimes.remember(n)
+			delete(c.addrs, n.ID)
 			delete(c.nodes, addr)
 		}
 	}
-	c.opts.Nodes.Update(all)
-	c.opts.Log.Info().Str("event", "roster").Int64("version", r.Version).Int("changed", len(r.Nodes)).
-		Int("listed", len(all)).Msg("list of nodes changed")
+	c.opts.Nodes.Update(listedNodes)
+	c.opts.Log.Info().Str("event", "roster").Int64("version", roster.Version).Int("changed", len(roster.Nodes)).
+		Int("listed", len(listedNodes)).Msg("list of nodes changed")
 }
 
-func (c *Core) drainGuard() time.Duration {
-	return min(drainGuard, duration(c.opts.Settings.DrainMs/2))
+// drainSendWindow returns how long after the announcement of its drain a node may still be
+// sent attempts.
+func (c *Core) drainSendWindow() time.Duration {
+	return min(maxDrainSendWindow, durationFromMs(c.opts.Settings.DrainMs/2))
 }
 
-func (n *node) depart(s decide.State, now time.Time) {
-	n.State = s
-	if n.left.IsZero() {
-		n.left = now
+// markUnavailable sets the state Draining or Gone. leftAt keeps the time of the first report.
+func (n *nodeState) markUnavailable(state decide.State, now time.Time) {
+	n.State = state
+	if n.leftAt.IsZero() {
+		n.leftAt = now
 	}
 }
--- a/broker/starts.go
+++ b/broker/starts.go
@@ -6,102 +6,108 @@
 	"onyxsail/decide"
 )
 
-// startTimes dates the starts of nodes on the core's own clock, which runs on evenly.
+// startTimeEstimator converts the reported start times of nodes to the core's monotonic
+// clock.
 //
-// A start is told as a Unix time (PROTOCOL, started_ms). Wall clocks may be stepped, that
-// of this machine before or while the broker runs as well as those of others, so what
-// such a time says of a node's age may be off by seconds or by an hour, and a node that
-// has just started must not pass for a warm one. While the list is followed a start is
-// told soon after it was made; the one that was told the soonest shows by how much the
-// clocks differ at the most, and the others are dated by it. Until then, and for what was
-// told before, nothing else is to be had: the told time is believed.
-type startTimes struct {
-	warmUp   time.Duration // after a start
-	followed bool          // an answer with nodes has been taken in: what comes now is news
-	sampled  bool
-	soonest  time.Duration // the least age, by the wall clocks, at which a start was told
-	former   map[string]*node
+// A start is reported as a Unix time (PROTOCOL, started_ms). Wall clocks may be stepped: the
+// one of this machine, before the broker starts or while it runs, and those of other
+// machines. The node age computed from such a time may therefore be off by seconds or an
+// hour, and a node that has just started must not count as warm. Once the list is live, a
+// start is reported soon after it happens. The smallest age at which any start was reported
+// is thus an upper bound of the clock offset and is used to correct the others. For starts
+// reported before that there is no reference, and the reported time is used as it is.
+type startTimeEstimator struct {
+	warmUp     time.Duration // duration of slow start
+	rosterLive bool          // a list with nodes was received from discovery: later starts are recent
+	hasMinAge  bool
+	minAge     time.Duration         // smallest age, by the wall clocks, at which a start was reported
+	forgotten  map[string]*nodeState // nodes that the core removed, by ID
 }
 
-// usualLag is how late a list may tell the soonest start while the clocks agree: over 1,920
-// tellings on the full fleet's join day it was 1.6 to 3.0 s. A step that hides in it makes
-// a node less than two seconds too old.
-const usualLag = 3 * time.Second
+// maxNormalLag is the largest minAge that is still explained by the lag of the list rather
+// than by a clock offset. While nodes joined the full fleet, 1,920 starts were reported with
+// a lag of 1.6 to 3.0 s. A clock step hidden in this range makes a node seem less than two
+// seconds too old.
+const maxNormalLag = 3 * time.Second
 
-// maxFormer bounds the nodes off the list whose starts are remembered.
-const maxFormer = 4096
+// maxForgotten is the maximum number of removed nodes whose start times are kept. Once it is
+// reached, all of them are dropped.
+const maxForgotten = 4096
 
-// remember keeps the start of a node that the core forgets: it may come back as it was.
-func (s *startTimes) remember(n *node) {
-	if s.former == nil || len(s.former) >= maxFormer {
-		s.former = map[string]*node{}
+// remember keeps the start time of a node that the core removes, as the node may be listed
+// again without having restarted.
+func (s *startTimeEstimator) remember(n *nodeState) {
+	if s.forgotten == nil || len(s.forgotten) >= maxForgotten {
+		s.forgotten = map[string]*nodeState{}
 	}
-	s.former[n.ID] = n
+	s.forgotten[n.ID] = n
 }
 
-// sample takes in the news of starts, told at wall, before they are dated.
-func (s *startTimes) sample(wall time.Time, starts []time.Time) {
-	if !s.followed {
+// observeStarts updates minAge with the starts reported at wallNow. It must be called before
+// estimateAge is called for them.
+func (s *startTimeEstimator) observeStarts(wallNow time.Time, starts []time.Time) {
+	if !s.rosterLive {
 		return
 	}
 	for _, started := range starts {
-		if age := wall.Sub(started); !s.sampled || age < s.soonest {
-			s.sampled, s.soonest = true, age
+		if age := wallNow.Sub(started); !s.hasMinAge || age < s.minAge {
+			s.hasMinAge, s.minAge = true, age
 		}
 	}
 }
 
-// age is how old a node is whose start is told at wall.
-func (s *startTimes) age(wall, started time.Time) time.Duration {
-	age := wall.Sub(started)
-	if s.sampled && (s.soonest < 0 || s.soonest > usualLag) { // the clocks differ
-		age -= s.soonest
+// estimateAge returns the age of a node whose start is reported at wallNow.
+func (s *startTimeEstimator) estimateAge(wallNow, started time.Time) time.Duration {
+	age := wallNow.Sub(started)
+	if s.hasMinAge && (s.minAge < 0 || s.minAge > maxNormalLag) { // clock offset
+		age -= s.minAge
 	}
-	if s.followed && age > s.warmUp/2 { // no list is so late: one of the clocks has been stepped
+	if s.rosterLive && age > s.warmUp/2 { // the list never lags that much: a clock was stepped
 		return 0
 	}
 	return max(0, age)
 }
 
-// dateStarts gives the starts in a roster's nodes their times on the core's clock, 0 for
-// long ago, in the roster's order. A start that is told once more keeps its time.
-func (c *Core) dateStarts(r *Roster, now time.Time) []float64 {
-	wall := c.wall(now)
-	own := func(n *Node) *node {
-		if known := c.nodes[c.names[n.ID]]; known != nil {
+// startTimesOf returns the start times of a roster's nodes on the module's clock, in the
+// roster's order, with 0 for long ago. A start that is reported again keeps its time.
+func (c *Core) startTimesOf(roster *Roster, now time.Time) []float64 {
+	wallNow := c.wallTime(now)
+	lookup := func(n *Node) *nodeState {
+		if known := c.nodes[c.addrs[n.ID]]; known != nil {
 			return known
 		}
-		return c.starts.former[n.ID]
+		return c.startTimes.forgotten[n.ID]
 	}
-	var news []time.Time
-	for i := range r.Nodes {
-		n := &r.Nodes[i]
-		if known := own(n); !n.Started.IsZero() && (known == nil || !known.Started.Equal(n.Started)) {
-			news = append(news, n.Started)
+	var newStarts []time.Time
+	for i := range roster.Nodes {
+		n := &roster.Nodes[i]
+		if known := lookup(n); !n.Started.IsZero() && (known == nil || !known.Started.Equal(n.Started)) {
+			newStarts = append(newStarts, n.Started)
 		}
 	}
-	c.starts.sample(wall, news)
-	dated := make([]float64, len(r.Nodes))
-	for i := range r.Nodes {
-		n := &r.Nodes[i]
+	c.startTimes.observeStarts(wallNow, newStarts)
+	readyAtMs := make([]float64, len(roster.Nodes))
+	for i := range roster.Nodes {
+		n := &roster.Nodes[i]
 		if n.Started.IsZero() {
 			continue
 		}
-		known := own(n)
+		known := lookup(n)
 		if known != nil && known.Started.Equal(n.Started) {
-			dated[i] = known.readyAt
+			readyAtMs[i] = known.readyAtMs
 			continue
 		}
-		dated[i] = c.ms(now.Add(-c.starts.age(wall, n.Started)))
-		if known != nil && dated[i] <= known.readyAt { // it has started again since, whatever the clocks say
-			dated[i] = c.ms(now)
+		readyAtMs[i] = c.moduleTimeMs(now.Add(-c.startTimes.estimateAge(wallNow, n.Started)))
+		if known != nil && readyAtMs[i] <= known.readyAtMs { // it has restarted since, whatever the clocks say
+			readyAtMs[i] = c.moduleTimeMs(now)
 		}
 	}
-	if r.Kind != decide.ListCached && len(c.nodes)+len(r.Nodes) > 0 {
-		c.starts.followed = true
+	if roster.Kind != decide.ListCached && len(c.nodes)+len(roster.Nodes) > 0 {
+		c.startTimes.rosterLive = true
 	}
-	return dated
+	return readyAtMs
 }
 
-// wall is what this machine's wall clock showed at the core's start, run on evenly.
-func (c *Core) wall(now time.Time) time.Time { return c.start.Round(0).Add(now.Sub(c.start)) }
+// wallTime converts a time to the wall clock as read at the core's start and advanced by the
+// monotonic clock.
+func (c *Core) wallTime(now time.Time) time.Time { return c.start.Round(0).Add(now.Sub(c.start)) }
--- a/broker/starts_test.go
+++ b/broker/starts_test.go
@@ -8,27 +8,27 @@
 )
 
 // toldAge is how old the module takes a node to be that the latest news named last.
-func toldAge(c *Core, now time.Time) time.Duration {
+func lastReportedAge(c *Core, now time.Time) time.Duration {
 	members := c.events[len(c.events)-1].Members
-	return duration(c.ms(now) - members[len(members)-1].ReadyAt)
+	return durationFromMs(c.moduleTimeMs(now) - members[len(members)-1].ReadyAt)
 }
 
 // A node's start is told as a time of a wall clock, and wall clocks may be stepped, this
 // machine's or the one's that wrote it: a node that is told to have started while the
 // list is followed must not count as warm for it.
-func TestStartsAreDatedWithoutTrustInWallClocks(t *testing.T) {
-	t.Run("the first list", testStartsOfTheFirstList)
+func TestSteppedWallClockDoesNotMakeNewNodeWarm(t *testing.T) {
+	t.Run("the first list", testFirstRosterStartTimes)
 	const warmUp = 15 * time.Second
 	for _, step := range []time.Duration{0, 5 * time.Second, -5 * time.Second, time.Hour, -time.Hour} {
-		c, _ := newCore(3)
-		c.starts.warmUp = warmUp
-		c.turn()
+		c, _ := newTestCore(3)
+		c.startTimes.warmUp = warmUp
+		c.runTurn()
 		now := c.start.Add(time.Minute)
 		const lag = 2 * time.Second // of the list
 		tell := func(id string, at time.Time, late time.Duration) time.Duration {
 			started := c.start.Round(0).Add(at.Sub(c.start) - late - step)
-			c.roster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: id, Addr: id, Started: started}}}, at)
-			return toldAge(c, at)
+			c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: id, Addr: id, Started: started}}}, at)
+			return lastReportedAge(c, at)
 		}
 		for i, late := range []time.Duration{lag, lag + 3*time.Second, lag} {
 			at := now.Add(time.Duration(i) * time.Second)
@@ -43,25 +43,25 @@
 		if again := tell("z", at.Add(time.Second), time.Hour+time.Second); again != time.Second {
 			t.Errorf("step %v: told once more, it counts as %v old, want a second", step, again)
 		}
-		before := c.nodes[c.names["z"]].readyAt // a node that starts again starts later than before
-		if tell("z", at.Add(2*time.Second), lag+3*time.Second); c.nodes[c.names["z"]].readyAt <= before {
-			t.Errorf("step %v: a second start is dated at %v, the first at %v", step, c.nodes[c.names["z"]].readyAt, before)
+		before := c.nodes[c.addrs["z"]].readyAtMs // a node that starts again starts later than before
+		if tell("z", at.Add(2*time.Second), lag+3*time.Second); c.nodes[c.addrs["z"]].readyAtMs <= before {
+			t.Errorf("step %v: a second start is dated at %v, the first at %v", step, c.nodes[c.addrs["z"]].readyAtMs, before)
 		}
 	}
 }
 
 // The list that a broker begins with is believed, as nothing else tells of those starts;
 // none lies in the future.
-func testStartsOfTheFirstList(t *testing.T) {
-	c, _ := newCore(3)
-	c.turn()
+func testFirstRosterStartTimes(t *testing.T) {
+	c, _ := newTestCore(3)
+	c.runTurn()
 	now := c.start.Add(time.Second)
 	for started, want := range map[time.Duration]time.Duration{-time.Hour: time.Hour, -4 * time.Second: 4 * time.Second, time.Hour: 0} {
-		fresh, _ := newCore(3)
-		fresh.queue.take()
+		fresh, _ := newTestCore(3)
+		fresh.queue.takeAll()
 		fresh.start, fresh.startMs = c.start, c.startMs
-		fresh.roster(Roster{Kind: decide.ListCached, Nodes: []Node{{ID: "a", Addr: "a", Started: now.Round(0).Add(started)}}}, now)
-		if age := toldAge(fresh, now); age-want > time.Millisecond || want-age > time.Millisecond {
+		fresh.applyRoster(Roster{Kind: decide.ListCached, Nodes: []Node{{ID: "a", Addr: "a", Started: now.Round(0).Add(started)}}}, now)
+		if age := lastReportedAge(fresh, now); age-want > time.Millisecond || want-age > time.Millisecond {
 			t.Errorf("started %v from now: counts as %v old", started, age)
 		}
 	}
@@ -69,11 +69,11 @@
 
 // What started long ago is not taken for cold as the list was empty at first, or as the
 // node was off it for longer than it is remembered otherwise.
-func TestLongRunnersStayWarm(t *testing.T) {
+func TestLongRunningNodesStayWarm(t *testing.T) {
 	const warmUp = 15 * time.Second
-	c, _ := newCore(3)
-	c.queue.take()
-	c.starts.warmUp = warmUp
+	c, _ := newTestCore(3)
+	c.queue.takeAll()
+	c.startTimes.warmUp = warmUp
 	started := c.start.Round(0).Add(-time.Hour)
 	at := c.start.Add(time.Second)
 	list := func(kind decide.ListKind, ids ...string) {
@@ -81,11 +81,11 @@
 		for _, id := range ids {
 			r.Nodes = append(r.Nodes, Node{ID: id, Addr: id, Started: started})
 		}
-		c.roster(r, at)
+		c.applyRoster(r, at)
 	}
 	warm := func(when string) {
 		t.Helper()
-		if age := toldAge(c, at); age < warmUp {
+		if age := lastReportedAge(c, at); age < warmUp {
 			t.Errorf("%s: a node that started an hour ago counts as %v old", when, age)
 		}
 	}
@@ -94,7 +94,7 @@
 	list(decide.ListDelta, "a", "b")
 	warm("behind an empty list")
 	list(decide.ListFull, "b")
-	at = at.Add(forgetAfter + time.Second)
+	at = at.Add(nodeRetention + time.Second)
 	list(decide.ListDelta, "b") // here the core forgets a
 	at = at.Add(time.Minute)
 	list(decide.ListDelta, "a")
--- a/broker/timers.go
+++ b/broker/timers.go
@@ -1,30 +1,36 @@
 package broker
 
-// The timers of the core and the module.
+// Timers of the core and of the module.
 
 import (
 	"time"
 )
 
+// timer is a timer of the module, the timeout of an attempt or the answer deadline.
 type timer struct {
-	at    time.Time
-	token uint64
-	try   AttemptID // 0: the module's own
-	end   bool      // that of Core.endBy
+	at             time.Time
+	token          uint64
+	attemptID      AttemptID // attempt that times out; 0: none
+	answerDeadline bool      // it is the answer deadline of the core
 }
 
-// timers is a heap by time.
-type timers []timer
+// timerHeap is a min-heap ordered by time; it implements heap.Interface.
+type timerHeap []timer
 
-func (t timers) Len() int { return len(t) }
+// Len returns the number of timers.
+func (t timerHeap) Len() int { return len(t) }
 
-func (t timers) Less(i, j int) bool { return t[i].at.Before(t[j].at) }
+// Less reports whether timer i is due before timer j.
+func (t timerHeap) Less(i, j int) bool { return t[i].at.Before(t[j].at) }
 
-func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+// Swap exchanges two timers.
+func (t timerHeap) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
-func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+// Push appends a timer; it is called by heap.Push.
+func (t *timerHeap) Push(x any) { *t = append(*t, x.(timer)) }
 
-func (t *timers) Pop() any {
+// Pop removes the last timer; it is called by heap.Pop.
+func (t *timerHeap) Pop() any {
 	old := *t
 	x := old[len(old)-1]
 	*t = old[:len(old)-1]
--- a/broker/types.go
+++ b/broker/types.go
@@ -1,7 +1,7 @@
-// Package broker is the core of the daemon: it holds queries, attempts and
-// outcomes and carries out what the decision module says. It knows no wire, no
-// socket and no status code; fronts, node clients and rosters reach it through
-// the small interfaces of this file.
+// Package broker is the core of the daemon. It tracks queries, attempts and their outcomes
+// and executes the actions of the decision module. It is independent of protocols, sockets
+// and status codes: fronts, node clients and discovery use it through the interfaces in
+// this file.
 package broker
 
 import (
@@ -10,137 +10,137 @@
 	"onyxsail/decide"
 )
 
-// QueryID names a query that the core has taken.
+// QueryID identifies a query that the core has accepted.
 type QueryID uint64
 
-// AttemptID names one attempt of one part.
+// AttemptID identifies one attempt of one part.
 type AttemptID uint64
 
-// Query is one query as a front decoded it.
+// Query is a query as decoded by a front.
 type Query struct {
-	Name   string // the client's own id of the request; the parts' ids are made of it
-	Class  int    // index into the settings' classes
-	Key    string // idempotency key, in a keyed class
-	Text   []byte // what every part must carry
-	Retry  bool   // the client marked it as a further try
-	Parts  []Part
-	Came   time.Time     // when its last byte was read
-	Budget time.Duration // how long the client waits, from Came
-	Trace  TraceContext  // what the caller said of its trace; fronts read it where there is an observer
+	RequestID      string // set by the client; part IDs are derived from it
+	Class          int    // index into the settings' classes
+	IdempotencyKey string // only in a keyed class
+	Text           []byte // query text, sent with every part
+	Retry          bool   // the client marked the request as a retry
+	Parts          []Part
+	ArrivedAt      time.Time     // when the last byte of the request was read
+	Budget         time.Duration // how long the client waits, from ArrivedAt
+	Trace          TraceContext  // the caller's trace; fronts set it only if there is an observer
 }
 
 // Part is one part of a query.
 type Part struct {
 	Shard  int
-	Share  float64 // of the whole answer
-	WorkMs float64 // guess of the work, if Hinted
+	Share  float64 // fraction of the whole answer, 0 to 1
+	WorkMs float64 // estimated work, valid if Hinted
 	Hinted bool
-	Route  uint64 // 0: none
+	Route  uint64 // routing key; 0: none
 }
 
-// Verdict says how a query ended.
+// Verdict is how a query ended.
 type Verdict uint8
 
-// The ways in which a query ends.
+// The verdicts on a query.
 const (
-	Served    Verdict = iota // Values hold the answer
-	Refused                  // asking again is harmless
-	Failed                   // given up, with no promise about its effect
-	Expired                  // its time ran out; no promise about its effect
-	Duplicate                // its id is that of an open query; nothing of it was done
-	Left                     // the client went; no Reply has this verdict, only an Observer hears it
+	Served     Verdict = iota // answered; Reply.Values holds the answer
+	Refused                   // not executed; a retry is safe
+	Failed                    // abandoned; it may have taken effect
+	Expired                   // out of time; it may have taken effect
+	Duplicate                 // its request ID is that of an open query; not executed
+	ClientLeft                // the client disconnected; passed only to an Observer, never in a Reply
 )
 
-// Value is the answer of one part, as its node gave it.
+// Value is the answer to one part, as returned by its node.
 type Value struct {
 	Shard int
 	Data  []byte
 }
 
-// Reply is the one final answer to a query.
+// Reply is the single final reply to a query.
 type Reply struct {
 	Verdict    Verdict
-	Whole      bool
+	Whole      bool // Values hold all of the answer that the class asks for, not a partial one
 	Values     []Value
-	RetryAfter time.Duration // with Refused; 0: no hint
+	RetryAfter time.Duration // hint for the client with Refused; 0: none
 }
 
-// Replier takes the final answer of one query. Reply is called exactly once,
-// from the core's goroutine, and must not block.
+// Replier receives the final reply to one query. Reply is called at most once, from the
+// core's goroutine, and must not block.
 type Replier interface {
 	Reply(QueryID, Reply)
 }
 
-// Departure is a Replier that can tell that its client has left before the news of it
-// comes by Core.Leave, as after the whole process was held up. Gone may be called from any
-// goroutine and under the caller's locks.
-type Departure interface {
+// DisconnectChecker is a Replier that can report that its client has disconnected before
+// Core.Leave is called for it, for instance after the whole process was stalled. ClientGone
+// may be called from any goroutine and while the caller holds locks.
+type DisconnectChecker interface {
 	Replier
-	Gone() bool
+	ClientGone() bool
 }
 
-// presentFor is how long a client that was there is taken to be there: an attempt may
-// begin for 0.1 s after it has left at the most.
-const presentFor = 20 * time.Millisecond
+// clientPresenceTTL is how long a client that was connected is assumed to still be
+// connected. No attempt may start more than 0.1 s after its client has left.
+const clientPresenceTTL = 20 * time.Millisecond
 
-// Late says whether an attempt may not begin any more, itself, at its node or as its
-// client has left.
-func (a *Attempt) Late(node, now time.Time) bool {
-	return !a.Latest.IsZero() && now.After(a.Latest) || !node.IsZero() && now.After(node) ||
-		a.Client != nil && now.Sub(a.Sent) > presentFor && a.Client.Gone()
+// MustNotStart reports whether it is too late to start the attempt: its own latest start or
+// that of its node has passed, or its client has disconnected.
+func (a *Attempt) MustNotStart(nodeLatestStart, now time.Time) bool {
+	return !a.LatestStart.IsZero() && now.After(a.LatestStart) || !nodeLatestStart.IsZero() && now.After(nodeLatestStart) ||
+		a.Client != nil && now.Sub(a.SentAt) > clientPresenceTTL && a.Client.ClientGone()
 }
 
-// Attempt is one try of one part at one node.
+// Attempt is one request for one part to one node.
 type Attempt struct {
-	ID    AttemptID
-	Node  string
-	Query string // the client's id of the query
-	Shard int
-	Key   string
-	Text  []byte
-	Wait  time.Duration // how long the core will wait
-	Sent  time.Time     // when the core sent it
-	// Client, if not nil, tells whether the query's client has left.
-	Client Departure
-	// Latest is until when it may begin: what still waits then for a connection
-	// ends as decide.NotSent. Zero: no bound.
-	Latest time.Time
+	ID             AttemptID
+	Node           string
+	RequestID      string // of the query, set by the client
+	Shard          int
+	IdempotencyKey string
+	Text           []byte
+	Timeout        time.Duration // how long the core waits for the outcome
+	SentAt         time.Time     // when the core passed it to the node client
+	// Client, if not nil, reports whether the query's client has disconnected.
+	Client DisconnectChecker
+	// LatestStart is the latest time at which the attempt may start. If it is still
+	// waiting for a connection then, it ends as decide.NotSent. Zero: no limit.
+	LatestStart time.Time
 }
 
-// NodeClient carries attempts to nodes. Its methods are called from the core's
-// goroutine and must not block; what comes back goes to a Sink.
+// NodeClient sends attempts to nodes. Its methods are called from the core's goroutine and
+// must not block; results are delivered to a ResultSink.
 type NodeClient interface {
-	// Send starts attempts at one node that leave as one call.
+	// Send sends attempts to one node in one call.
 	Send(node string, calls []Attempt)
-	// Cancel gives up one attempt. An outcome that still comes is ignored.
+	// Cancel cancels one attempt. An outcome that still arrives is ignored.
 	Cancel(node string, id AttemptID)
-	// Probe asks whether the node answers; Sink.Probed gets the result.
+	// Probe checks whether the node answers; the result goes to ResultSink.ProbeOutcome.
 	Probe(node string)
-	// CloseIdle closes connections to the node that carry nothing.
+	// CloseIdle closes idle connections to the node.
 	CloseIdle(node string)
-	// Update tells the nodes that are listed now.
+	// Update sets the nodes that are listed now.
 	Update([]Node)
 }
 
-// Answer is what came back for an attempt.
-type Answer struct {
-	Value []byte
-	Began time.Time // when its first byte came; zero: not known, or nothing came
+// Response is a node's response to an attempt.
+type Response struct {
+	Value       []byte
+	FirstByteAt time.Time // when the first byte arrived; zero: unknown or no response
 }
 
-// Sink takes what node clients learn. The core implements it.
-type Sink interface {
-	// Outcome ends an attempt; the answer's value counts with decide.OK only.
-	Outcome(id AttemptID, o decide.Outcome, a Answer)
-	// Probed ends a probe.
-	Probed(node string, o decide.Outcome, took time.Duration)
+// ResultSink receives the results from node clients. The core implements it.
+type ResultSink interface {
+	// AttemptOutcome ends an attempt; the response's value counts with decide.OK only.
+	AttemptOutcome(id AttemptID, outcome decide.Outcome, response Response)
+	// ProbeOutcome ends a probe.
+	ProbeOutcome(node string, outcome decide.Outcome, took time.Duration)
 }
 
 // Node is one entry of the roster.
 type Node struct {
 	ID, Addr string
-	// Addrs are all its addresses in the list's order, Addr among them; empty
-	// where Addr is the only one.
+	// Addrs are all its addresses in the order of the list, including Addr; empty if Addr
+	// is the only one.
 	Addrs   []string `json:",omitempty"`
 	Zone    int
 	Kind    int
@@ -148,35 +148,38 @@
 	State   decide.State
 	Weight  float64
 	Started time.Time // zero: long ago
-	// Latest is until when an attempt may begin there, once the node's drain has
-	// been told. Zero: no bound.
+	// Latest is the latest time at which an attempt may start at the node, set once the
+	// node's drain has been announced. Zero: no limit.
 	Latest time.Time `json:"-"`
 }
 
-// Roster is news of the list of nodes.
+// Roster is an update of the list of nodes.
 type Roster struct {
 	Kind    decide.ListKind
 	Version int64
 	Nodes   []Node
 }
 
-// FlightScheme begins the address of a node that speaks Arrow Flight; it is the
-// scheme of a Flight location.
+// FlightScheme is the prefix of the address of a node that speaks Arrow Flight. It is the
+// URI scheme of a Flight location.
 const FlightScheme = "grpc+tcp://"
 
-// Lister is asked for the list where the settings make the module ask.
+// Lister requests the list of nodes, if the settings make the module ask for it.
 type Lister interface {
+	// Subscribe starts or ends the subscription to changes of the list.
 	Subscribe(on bool)
+	// Fetch requests the whole list.
 	Fetch()
 }
 
-// Limits are what an operator may change while the core runs.
+// Limits are the limits that an operator may change while the core runs.
 type Limits struct {
-	// QueueLimit bounds the inputs that wait for a turn.
+	// QueueLimit is the number of inputs waiting for a turn at which new queries are refused.
 	QueueLimit int
-	// MaxOpen bounds queries and parts held at once; 0: unlimited.
+	// MaxOpen is the maximum number of open queries and their parts together; 0: unlimited.
 	MaxOpen int
-	// Processes of this broker that run, this one included: together they keep to what one
-	// may send a node in slow start. 0 counts as 1.
+	// Processes is the number of running processes of this broker, including this one.
+	// Together they stay within what one broker may send to a node in slow start. 0 counts
+	// as 1.
 	Processes int
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -137,12 +137,12 @@
 // sink breaks the circle between the core and its node clients.
 type sink struct{ core *broker.Core }
 
-func (s *sink) Outcome(id broker.AttemptID, o decide.Outcome, a broker.Answer) {
-	s.core.Outcome(id, o, a)
+func (s *sink) AttemptOutcome(id broker.AttemptID, o decide.Outcome, a broker.Response) {
+	s.core.AttemptOutcome(id, o, a)
 }
 
-func (s *sink) Probed(node string, o decide.Outcome, took time.Duration) {
-	s.core.Probed(node, o, took)
+func (s *sink) ProbeOutcome(node string, o decide.Outcome, took time.Duration) {
+	s.core.ProbeOutcome(node, o, took)
 }
 
 // Start starts a broker. Its client's port answers when Start returns.
@@ -429,7 +429,7 @@
 // was taken and ends.
 func (d *Daemon) Stop(ctx context.Context) error {
 	told, within := time.Now(), d.answerWithin()
-	d.core.EndBy(told.Add(within))
+	d.core.SetAnswerDeadline(told.Add(within))
 	window := time.Duration(d.window.Load())
 	if d.succeeded() {
 		d.front.HandedOver(told.Add(within * restShare / 100))
--- a/daemon/figures.go
+++ b/daemon/figures.go
@@ -22,9 +22,9 @@
 
 // Figures implements admin.Broker.
 func (d *Daemon) Figures() []admin.Figure {
-	ctx, cancel := context.WithTimeout(context.Background(), broker.SurveyWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), broker.RosterCountsTimeout)
 	defer cancel()
-	list := d.core.Survey(ctx)
+	list := d.core.RosterCounts(ctx)
 	var all []admin.Figure
 	for _, c := range d.byClass() {
 		all = append(all, admin.Figure{Name: "fulfilled." + c.name, Value: c.Fulfilled},
@@ -35,7 +35,7 @@
 		admin.Figure{Name: "relayed", Value: d.nodes.Relayed() + d.remote.Relayed()},
 		admin.Figure{Name: "open_requests", Value: d.core.Stats().Open},
 		admin.Figure{Name: "registry_entries", Value: int64(list.Listed)},
-		admin.Figure{Name: "out_of_rotation", Value: int64(list.Avoided)},
+		admin.Figure{Name: "out_of_rotation", Value: int64(list.OutOfRotation)},
 		admin.Figure{Name: "cfg_accepted", Value: d.reloads.accepted.Load()},
 		admin.Figure{Name: "cfg_invalid", Value: d.reloads.invalid.Load()},
 	)
@@ -49,7 +49,7 @@
 
 // byClass adds up the counts of the classes by name, in the order of their first index.
 func (d *Daemon) byClass() (all []namedCounts) {
-	byIndex := d.core.Classes()
+	byIndex := d.core.ClassCounts()
 	d.mu.Lock()
 	classes := d.cfg.Classes // all that the core has, as a reload puts them here first
 	d.mu.Unlock()
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -117,7 +117,7 @@
 }
 
 func (r *roster) deliver(news broker.Roster) {
-	r.core.Roster(news)
+	r.core.UpdateRoster(news)
 	if len(news.Nodes) > 0 {
 		r.once.Do(r.ready)
 	}
--- a/daemon/route.go
+++ b/daemon/route.go
@@ -16,7 +16,7 @@
 // address in the list tells. The core's goroutine alone uses it.
 type router struct {
 	frames, flight broker.NodeClient
-	sink           broker.Sink
+	sink           broker.ResultSink
 	kinds          map[string]broker.NodeClient
 	claims         *reach.Claims // nil until a node has several addresses
 	log            zerolog.Logger
@@ -98,7 +98,7 @@
 		return
 	}
 	for _, a := range calls {
-		r.sink.Outcome(a.ID, decide.Unreachable, broker.Answer{})
+		r.sink.AttemptOutcome(a.ID, decide.Unreachable, broker.Response{})
 	}
 }
 
@@ -115,7 +115,7 @@
 		k.Probe(node)
 		return
 	}
-	r.sink.Probed(node, decide.Unreachable, 0)
+	r.sink.ProbeOutcome(node, decide.Unreachable, 0)
 }
 
 // CloseIdle implements broker.NodeClient.
--- a/flightfront/front.go
+++ b/flightfront/front.go
@@ -147,7 +147,7 @@
 	if !ok {
 		return nil, status.Errorf(codes.NotFound, "class: no class %q", t.Class)
 	}
-	q := &broker.Query{Name: t.ID, Class: class.Index, Retry: t.Retry, Came: now}
+	q := &broker.Query{RequestID: t.ID, Class: class.Index, Retry: t.Retry, ArrivedAt: now}
 	if f.opts.Trace {
 		if md, ok := metadata.FromIncomingContext(ctx); ok {
 			q.Trace = tracecontext.Parse(md.Get(tracecontext.ParentKey), strings.Join(md.Get(tracecontext.StateKey), ","))
@@ -155,7 +155,7 @@
 	}
 	err := query.CheckName("id", t.ID)
 	if err == nil && class.Keyed {
-		q.Key = t.Key
+		q.IdempotencyKey = t.Key
 		err = query.CheckName("key", t.Key)
 	}
 	if err == nil {
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -43,7 +43,7 @@
 
 // Options make a Client.
 type Options struct {
-	Sink           broker.Sink
+	Sink           broker.ResultSink
 	ConnectTimeout time.Duration
 	Dialer         *netio.Dialer // nil: one of its own
 	ConnIdle       time.Duration
@@ -309,10 +309,10 @@
 	}
 	for _, a := range calls {
 		if n == nil {
-			c.opts.Sink.Outcome(a.ID, failed, broker.Answer{})
+			c.opts.Sink.AttemptOutcome(a.ID, failed, broker.Response{})
 			continue
 		}
-		ctx, cancel := context.WithTimeout(context.Background(), a.Wait)
+		ctx, cancel := context.WithTimeout(context.Background(), a.Timeout)
 		c.calls[a.ID] = cancel
 		n.out++
 		c.done.Add(1)
@@ -331,7 +331,7 @@
 			}
 			c.release(n)
 			c.mu.Unlock()
-			c.opts.Sink.Outcome(a.ID, outcome, answer)
+			c.opts.Sink.AttemptOutcome(a.ID, outcome, answer)
 		}(n.conn)
 	}
 }
@@ -374,15 +374,15 @@
 
 // call makes one attempt. Until DoGet's stream is open nothing has run; from
 // then on only the node's own word, in the trailer, proves that it did not.
-func (c *Client) call(ctx context.Context, conn *grpc.ClientConn, n *node, a broker.Attempt) (decide.Outcome, broker.Answer, error) {
-	var answer broker.Answer
+func (c *Client) call(ctx context.Context, conn *grpc.ClientConn, n *node, a broker.Attempt) (decide.Outcome, broker.Response, error) {
+	var answer broker.Response
 	tell := func(p broker.WirePhase, at time.Time) {
 		if c.opts.Observer != nil {
-			c.opts.Observer.Wire(a.ID, p, conn.Target(), at)
+			c.opts.Observer.PhaseReached(a.ID, p, conn.Target(), at)
 		}
 	}
 	if conn.GetState() != connectivity.Ready {
-		tell(broker.WireDialing, time.Now())
+		tell(broker.WireConnecting, time.Now())
 	}
 	if err := c.up(ctx, conn); err != nil {
 		if n.local.Load() {
@@ -390,9 +390,9 @@
 		}
 		return decide.Unreachable, answer, err
 	}
-	tell(broker.WireUp, time.Now())
+	tell(broker.WireConnected, time.Now())
 	if c.opts.Observer != nil {
-		if parent, state := c.opts.Observer.Carry(a.ID); parent != "" {
+		if parent, state := c.opts.Observer.TraceHeaders(a.ID); parent != "" {
 			ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.ParentKey, parent)
 			if state != "" {
 				ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.StateKey, state)
@@ -406,27 +406,27 @@
 		return decide.Unreachable, answer, err
 	}
 	// It may have waited for the connection, and for the node to allow one more stream.
-	if latest, listed := c.latest(n); !listed || a.Late(latest, time.Now()) {
+	if latest, listed := c.latest(n); !listed || a.MustNotStart(latest, time.Now()) {
 		return decide.NotSent, answer, errLate
 	}
-	left := a.Wait // the node is told what is left now
+	left := a.Timeout // the node is told what is left now
 	if end, ok := ctx.Deadline(); ok {
 		left = time.Until(end)
 	}
 	ticket, err := flightwire.Encode(flightwire.PartTicket{
-		ID: fmt.Sprintf("%s.%d", a.Query, a.Shard), Partition: a.Shard, WaitMs: max(1, left.Milliseconds()),
-		Key: a.Key, Query: a.Text,
+		ID: fmt.Sprintf("%s.%d", a.RequestID, a.Shard), Partition: a.Shard, WaitMs: max(1, left.Milliseconds()),
+		Key: a.IdempotencyKey, Query: a.Text,
 	})
 	if err != nil {
 		return decide.NotSent, answer, err
 	}
-	get := &answers{ClientStream: stream, began: &answer.Began}
+	get := &answers{ClientStream: stream, began: &answer.FirstByteAt}
 	if err = stream.SendMsg(ticket); err == nil {
 		err = stream.CloseSend()
 	}
 	if err == nil {
 		c.relayed.Add(1)
-		tell(broker.WireGone, time.Now())
+		tell(broker.WireSent, time.Now())
 	}
 	var values []broker.Value
 	if err == nil {
@@ -514,7 +514,7 @@
 	defer c.mu.Unlock()
 	n, failed := c.reach(id)
 	if n == nil {
-		c.opts.Sink.Probed(id, failed, 0)
+		c.opts.Sink.ProbeOutcome(id, failed, 0)
 		return
 	}
 	n.out++
@@ -536,7 +536,7 @@
 		c.mu.Lock()
 		c.release(n)
 		c.mu.Unlock()
-		c.opts.Sink.Probed(id, outcome, time.Since(start))
+		c.opts.Sink.ProbeOutcome(id, outcome, time.Since(start))
 	}(n.conn)
 }
 
--- a/flightnode/client_test.go
+++ b/flightnode/client_test.go
@@ -53,13 +53,13 @@
 	probes []decide.Outcome
 }
 
-func (s *sink) Outcome(id broker.AttemptID, o decide.Outcome, a broker.Answer) {
+func (s *sink) AttemptOutcome(id broker.AttemptID, o decide.Outcome, a broker.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.got[id], s.value = append(s.got[id], o), string(a.Value)
 }
 
-func (s *sink) Probed(_ string, o decide.Outcome, _ time.Duration) {
+func (s *sink) ProbeOutcome(_ string, o decide.Outcome, _ time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probes = append(s.probes, o)
@@ -88,7 +88,7 @@
 	id := broker.AttemptID(0)
 	send := func(node string, shard int, wait time.Duration) broker.AttemptID {
 		id++
-		c.Send(node, []broker.Attempt{{ID: id, Query: "q", Shard: shard, Key: "k", Text: []byte("x\x00y"), Wait: wait}})
+		c.Send(node, []broker.Attempt{{ID: id, RequestID: "q", Shard: shard, IdempotencyKey: "k", Text: []byte("x\x00y"), Timeout: wait}})
 		return id
 	}
 	expect := func(id broker.AttemptID, want decide.Outcome) {
@@ -157,7 +157,7 @@
 	send := func(node, shard int, want decide.Outcome) {
 		t.Helper()
 		id := broker.AttemptID(shard + 1)
-		c.Send(list[node].ID, []broker.Attempt{{ID: id, Query: "q", Shard: shard, Text: []byte("x"), Wait: 20 * time.Second}})
+		c.Send(list[node].ID, []broker.Attempt{{ID: id, RequestID: "q", Shard: shard, Text: []byte("x"), Timeout: 20 * time.Second}})
 		if shard >= 100 && want == decide.OK {
 			return // it stays out
 		}
--- a/flightnode/late_test.go
+++ b/flightnode/late_test.go
@@ -78,7 +78,7 @@
 	}
 	c.Update(list)
 	try := func(id int, node string, latest time.Time) {
-		c.Send(node, []broker.Attempt{{ID: broker.AttemptID(id), Node: node, Query: "q", Shard: id, Text: []byte("x"), Wait: time.Minute, Latest: latest}})
+		c.Send(node, []broker.Attempt{{ID: broker.AttemptID(id), Node: node, RequestID: "q", Shard: id, Text: []byte("x"), Timeout: time.Minute, LatestStart: latest}})
 	}
 	try(1, "n", time.Now())
 	try(2, "n", time.Time{})
@@ -114,7 +114,7 @@
 	addr, open := gate(t, n)
 	c.Update([]broker.Node{{ID: "n", Addr: addr}})
 	sent := time.Now()
-	c.Send("n", []broker.Attempt{{ID: 1, Node: "n", Query: "q", Shard: 1, Text: []byte("x"), Wait: time.Minute}})
+	c.Send("n", []broker.Attempt{{ID: 1, Node: "n", RequestID: "q", Shard: 1, Text: []byte("x"), Timeout: time.Minute}})
 	began := time.Now()
 	testkit.Eventually(t, "some time has gone by", func() bool { return time.Since(began) > 20*time.Millisecond })
 	waited := time.Since(began)
--- a/flightnode/paths_test.go
+++ b/flightnode/paths_test.go
@@ -30,7 +30,7 @@
 // ask sends one attempt and returns its one outcome.
 func ask(t *testing.T, c *Client, s *sink, id broker.AttemptID, wait time.Duration) decide.Outcome {
 	t.Helper()
-	c.Send("n", []broker.Attempt{{ID: id, Query: "q", Shard: int(id), Text: []byte("x"), Wait: wait}})
+	c.Send("n", []broker.Attempt{{ID: id, RequestID: "q", Shard: int(id), Text: []byte("x"), Timeout: wait}})
 	var got []decide.Outcome
 	testkit.Eventually(t, "an outcome", func() bool {
 		s.mu.Lock()
--- a/httpfront/codec.go
+++ b/httpfront/codec.go
@@ -61,8 +61,8 @@
 	if m.Get("x-class") != name {
 		return nil, bad("X-Class and the path must name one class")
 	}
-	q := &broker.Query{Name: m.Get("x-request-id"), Class: class.Index, Retry: m.Get("x-retry") == "1", Came: now}
-	if err := query.CheckName("X-Request-Id", q.Name); err != nil {
+	q := &broker.Query{RequestID: m.Get("x-request-id"), Class: class.Index, Retry: m.Get("x-retry") == "1", ArrivedAt: now}
+	if err := query.CheckName("X-Request-Id", q.RequestID); err != nil {
 		return nil, bad("%v", err)
 	}
 	ms, err := strconv.ParseUint(m.Get("x-deadline-ms"), 10, 31)
@@ -75,8 +75,8 @@
 		q.Budget = min(q.Budget, time.Duration(class.DeadlineMs*float64(time.Millisecond)))
 	}
 	if class.Keyed {
-		q.Key = m.Get("idempotency-key")
-		if err := query.CheckName("Idempotency-Key", q.Key); err != nil {
+		q.IdempotencyKey = m.Get("idempotency-key")
+		if err := query.CheckName("Idempotency-Key", q.IdempotencyKey); err != nil {
 			return nil, bad("%v", err)
 		}
 	}
--- a/httpfront/conn.go
+++ b/httpfront/conn.go
@@ -282,7 +282,7 @@
 }
 
 // Gone implements broker.Departure.
-func (c *conn) Gone() bool { return c.sock.PeerGone() }
+func (c *conn) ClientGone() bool { return c.sock.PeerGone() }
 
 // Reply implements broker.Replier.
 func (c *conn) Reply(id broker.QueryID, r broker.Reply) {
--- a/httpfront/front_test.go
+++ b/httpfront/front_test.go
@@ -227,7 +227,7 @@
 		}
 	}
 	q := core.queries[1]
-	if q.Name != "q1" || q.Key != "k1" || q.Class != 1 || q.Budget != 480*time.Millisecond || string(q.Text) != "c41e77d0" ||
+	if q.RequestID != "q1" || q.IdempotencyKey != "k1" || q.Class != 1 || q.Budget != 480*time.Millisecond || string(q.Text) != "c41e77d0" ||
 		len(q.Parts) != 2 || q.Parts[0] != (broker.Part{Shard: 3, Share: 0.5, WorkMs: 9, Hinted: true, Route: 0xff00ff00ff00ff}) {
 		t.Errorf("decoded %+v", q)
 	}
--- a/httpfront/terms_test.go
+++ b/httpfront/terms_test.go
@@ -172,7 +172,7 @@
 	core.answer(1, broker.Reply{Verdict: broker.Refused}) // its connection ends, as places are scarce
 	testkit.Eventually(t, "the last is taken", func() bool { return core.taken() == f.places.limit+1 })
 	q := core.queries[broker.QueryID(f.places.limit+1)]
-	if left, told := q.Budget-time.Since(sent), q.Budget-time.Since(q.Came); told > left+slack {
+	if left, told := q.Budget-time.Since(sent), q.Budget-time.Since(q.ArrivedAt); told > left+slack {
 		t.Errorf("the client has %v left, the core is told %v", left, told)
 	}
 }
--- a/internal/tracecontext/tracecontext.go
+++ b/internal/tracecontext/tracecontext.go
@@ -57,7 +57,7 @@
 		return broker.TraceContext{}
 	}
 	return broker.TraceContext{
-		ID: sc.TraceID(), Parent: sc.SpanID(), Sampled: sc.IsSampled(), State: sc.TraceState().String(),
+		TraceID: sc.TraceID(), ParentID: sc.SpanID(), Sampled: sc.IsSampled(), TraceState: sc.TraceState().String(),
 	}
 }
 
--- a/nodeclient/client.go
+++ b/nodeclient/client.go
@@ -52,7 +52,7 @@
 // Options make a Client.
 type Options struct {
 	Loop           *netio.Loop
-	Sink           broker.Sink
+	Sink           broker.ResultSink
 	StreamsPerConn int
 	ConnectTimeout time.Duration
 	Dialer         *netio.Dialer       // nil: one of its own
@@ -196,7 +196,7 @@
 		cn.calls[cl.id] = cl
 		c.where[cl.ID] = cl
 		if cn.sock == nil && c.opts.Observer != nil {
-			c.opts.Observer.Wire(cl.ID, broker.WireDialing, cn.addr, cn.dialed)
+			c.opts.Observer.PhaseReached(cl.ID, broker.WireConnecting, cn.addr, cn.dialed)
 		}
 	}
 	if cn.sock != nil {
@@ -208,7 +208,7 @@
 // ours, and tells nothing of the node.
 func (c *Client) never(calls []broker.Attempt, o decide.Outcome) {
 	for i := range calls {
-		c.opts.Sink.Outcome(calls[i].ID, o, broker.Answer{})
+		c.opts.Sink.AttemptOutcome(calls[i].ID, o, broker.Response{})
 	}
 }
 
@@ -341,13 +341,13 @@
 	defer c.mu.Unlock()
 	n := c.nodes[id]
 	if n == nil || c.shut {
-		c.opts.Sink.Probed(id, decide.Unreachable, 0)
+		c.opts.Sink.ProbeOutcome(id, decide.Unreachable, 0)
 		return
 	}
 	cn := n.pick(c.opts.StreamsPerConn, nil, false)
 	if cn == nil {
 		if cn = c.dial(n); cn == nil {
-			c.opts.Sink.Probed(id, decide.NotSent, 0)
+			c.opts.Sink.ProbeOutcome(id, decide.NotSent, 0)
 			return
 		}
 	}
--- a/nodeclient/client_test.go
+++ b/nodeclient/client_test.go
@@ -62,8 +62,8 @@
 			t.Errorf("%q: got %+v %v", in, got, err)
 		}
 	}
-	a := broker.Attempt{Query: "9b1f", Shard: 3, Key: "5c", Text: []byte("c41e\n7d"), Wait: 240500 * time.Microsecond}
-	b := broker.Attempt{Query: "9b1f", Shard: 4, Text: []byte("x"), Wait: time.Microsecond}
+	a := broker.Attempt{RequestID: "9b1f", Shard: 3, IdempotencyKey: "5c", Text: []byte("c41e\n7d"), Timeout: 240500 * time.Microsecond}
+	b := broker.Attempt{RequestID: "9b1f", Shard: 4, Text: []byte("x"), Timeout: time.Microsecond}
 	want := frame("S9b1f.3 3 d=240,k=5c 7\nc41e\n7d9b1f.4 4 d=1 1\nx")
 	if got := appendCall(nil, []broker.Attempt{a, b}); string(got) != string(want) {
 		t.Errorf("got %q, want %q", got, want)
@@ -81,14 +81,14 @@
 	probes []decide.Outcome
 }
 
-func (s *sink) Outcome(id broker.AttemptID, o decide.Outcome, _ broker.Answer) {
+func (s *sink) AttemptOutcome(id broker.AttemptID, o decide.Outcome, _ broker.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, had := s.got[id]
 	s.got[id], s.twice = o, s.twice || had
 }
 
-func (s *sink) Probed(_ string, o decide.Outcome, _ time.Duration) {
+func (s *sink) ProbeOutcome(_ string, o decide.Outcome, _ time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.probes = append(s.probes, o)
@@ -126,7 +126,7 @@
 }
 
 func attempt(id int) broker.Attempt {
-	return broker.Attempt{ID: broker.AttemptID(id), Query: "q", Shard: id, Text: []byte("x"), Wait: time.Minute}
+	return broker.Attempt{ID: broker.AttemptID(id), RequestID: "q", Shard: id, Text: []byte("x"), Timeout: time.Minute}
 }
 
 func (c *Client) send(node string, a broker.Attempt) { c.Send(node, []broker.Attempt{a}) }
@@ -257,14 +257,14 @@
 		c.mu.Unlock()
 		big := attempt(2)
 		big.Text = []byte(strings.Repeat("x", 32<<20)) // more than the sockets hold
-		big.Latest = time.Now().Add(2 * time.Second)
+		big.LatestStart = time.Now().Add(2 * time.Second)
 		if within == frameWithin {
-			big.Latest = time.Time{}
+			big.LatestStart = time.Time{}
 		}
 		c.send("n", big)
 		s.wait(t, 2, decide.Unreachable)
-		if now := time.Now(); !big.Latest.IsZero() && now.Before(big.Latest) {
-			t.Errorf("given up %v before its time", big.Latest.Sub(now))
+		if now := time.Now(); !big.LatestStart.IsZero() && now.Before(big.LatestStart) {
+			t.Errorf("given up %v before its time", big.LatestStart.Sub(now))
 		}
 		if got, err := io.CopyN(io.Discard, peer, int64(len(big.Text))); err == nil {
 			t.Errorf("the node got all %d bytes of a part past its time", got)
--- a/nodeclient/conn.go
+++ b/nodeclient/conn.go
@@ -146,7 +146,7 @@
 	if cn.c.opts.Observer != nil {
 		now := time.Now()
 		for _, cl := range cn.calls {
-			cn.c.opts.Observer.Wire(cl.ID, broker.WireUp, cn.addr, now)
+			cn.c.opts.Observer.PhaseReached(cl.ID, broker.WireConnected, cn.addr, now)
 		}
 	}
 	for _, cl := range cn.calls {
@@ -168,14 +168,14 @@
 		if cl == nil || cl.ID != calls[i].ID { // given up while it waited
 			continue
 		}
-		if cl.Late(cn.node.latest, now) {
+		if cl.MustNotStart(cn.node.latest, now) {
 			delete(cn.calls, id)
 			delete(cn.c.where, cl.ID)
-			cn.c.opts.Sink.Outcome(cl.ID, decide.NotSent, broker.Answer{})
+			cn.c.opts.Sink.AttemptOutcome(cl.ID, decide.NotSent, broker.Response{})
 			continue
 		}
 		told := calls[i]
-		told.Wait -= now.Sub(cl.since) // the node is told what is left, not what was before the connection
+		told.Timeout -= now.Sub(cl.since) // the node is told what is left, not what was before the connection
 		out = append(out, told)
 	}
 	if len(out) == 0 {
@@ -215,7 +215,7 @@
 func (cn *conn) watchFrame(end int64, calls []broker.Attempt) {
 	until := cn.used.Add(cn.c.frame)
 	for i := range calls {
-		if latest := calls[i].Latest; !latest.IsZero() && latest.Before(until) {
+		if latest := calls[i].LatestStart; !latest.IsZero() && latest.Before(until) {
 			until = latest
 		}
 	}
@@ -240,7 +240,7 @@
 	cl.gone = true
 	cn.c.relayed.Add(1)
 	if cn.c.opts.Observer != nil {
-		cn.c.opts.Observer.Wire(cl.ID, broker.WireGone, cn.addr, now)
+		cn.c.opts.Observer.PhaseReached(cl.ID, broker.WireSent, cn.addr, now)
 	}
 }
 
@@ -334,7 +334,7 @@
 		cn.left(cl, time.Now())
 		delete(cn.calls, id)
 		delete(cn.c.where, cl.ID)
-		cn.c.opts.Sink.Outcome(cl.ID, outcome, broker.Answer{})
+		cn.c.opts.Sink.AttemptOutcome(cl.ID, outcome, broker.Response{})
 		outcome = decide.Cancelled
 	}
 }
@@ -354,7 +354,7 @@
 		delete(cn.abandoned, r.id)
 		if cn.last = r.id; cl == nil {
 			if off && cn.c.opts.Observer != nil {
-				cn.c.opts.Observer.Late(late, r.end, cn.heard)
+				cn.c.opts.Observer.LateOutcome(late, r.end, cn.heard)
 			}
 			return nil // it was given up, or is a copy of the latest answer
 		}
@@ -366,7 +366,7 @@
 		} else {
 			cn.node.usual += time.Duration(smooth * float64(took-cn.node.usual))
 		}
-		cn.c.opts.Sink.Outcome(cl.ID, r.end, broker.Answer{Value: r.value, Began: cn.began})
+		cn.c.opts.Sink.AttemptOutcome(cl.ID, r.end, broker.Response{Value: r.value, FirstByteAt: cn.began})
 	case 'H', 'M':
 		if cn.trial {
 			cn.stand(string(rest) == "done")
@@ -379,7 +379,7 @@
 			if string(rest) == "done" {
 				outcome = decide.OK
 			}
-			cn.c.opts.Sink.Probed(cn.node.id, outcome, time.Since(sent))
+			cn.c.opts.Sink.ProbeOutcome(cn.node.id, outcome, time.Since(sent))
 		}
 	case 'F':
 		return fmt.Errorf("a node could not use a frame of ours: %.200q", rest)
@@ -433,10 +433,10 @@
 		if cn.local { // tells nothing of the node
 			r.Outcome = decide.NotSent
 		}
-		cn.c.opts.Sink.Outcome(cl.ID, r.Outcome, broker.Answer{})
+		cn.c.opts.Sink.AttemptOutcome(cl.ID, r.Outcome, broker.Response{})
 	}
 	for _, sent := range cn.probes {
-		cn.c.opts.Sink.Probed(cn.node.id, decide.Unreachable, time.Since(sent))
+		cn.c.opts.Sink.ProbeOutcome(cn.node.id, decide.Unreachable, time.Since(sent))
 	}
 	cn.calls, cn.probes = nil, nil
 }
--- a/nodeclient/frame.go
+++ b/nodeclient/frame.go
@@ -89,23 +89,23 @@
 }
 
 // partID is the id of a part on this wire.
-func partID(a *broker.Attempt) string { return a.Query + "." + strconv.Itoa(a.Shard) }
+func partID(a *broker.Attempt) string { return a.RequestID + "." + strconv.Itoa(a.Shard) }
 
 // appendCall renders one S frame.
 func appendCall(dst []byte, calls []broker.Attempt) []byte {
 	dst, at := open(dst, 'S')
 	for i := range calls {
 		a := &calls[i]
-		dst = append(dst, a.Query...)
+		dst = append(dst, a.RequestID...)
 		dst = append(dst, '.')
 		dst = strconv.AppendInt(dst, int64(a.Shard), 10)
 		dst = append(dst, ' ')
 		dst = strconv.AppendInt(dst, int64(a.Shard), 10)
 		dst = append(dst, " d="...)
-		dst = strconv.AppendInt(dst, max(1, a.Wait.Milliseconds()), 10)
-		if a.Key != "" {
+		dst = strconv.AppendInt(dst, max(1, a.Timeout.Milliseconds()), 10)
+		if a.IdempotencyKey != "" {
 			dst = append(dst, ",k="...)
-			dst = append(dst, a.Key...)
+			dst = append(dst, a.IdempotencyKey...)
 		}
 		dst = append(dst, ' ')
 		dst = strconv.AppendInt(dst, int64(len(a.Text)), 10)
--- a/nodeclient/observe_test.go
+++ b/nodeclient/observe_test.go
@@ -29,13 +29,13 @@
 	w.at[line] = at
 }
 
-func (w *watcher) Wire(id broker.AttemptID, p broker.WirePhase, _ string, at time.Time) {
+func (w *watcher) PhaseReached(id broker.AttemptID, p broker.WirePhase, _ string, at time.Time) {
 	w.note(at, "%d %s", id, []string{"dialing", "up", "gone"}[p])
 }
-func (w *watcher) Late(id broker.AttemptID, o decide.Outcome, at time.Time) {
+func (w *watcher) LateOutcome(id broker.AttemptID, o decide.Outcome, at time.Time) {
 	w.note(at, "%d late %d", id, o)
 }
-func (w *watcher) Carry(broker.AttemptID) (string, string) { return "", "" }
+func (w *watcher) TraceHeaders(broker.AttemptID) (string, string) { return "", "" }
 
 func (w *watcher) text() string {
 	w.mu.Lock()
--- a/nodeclient/race.go
+++ b/nodeclient/race.go
@@ -99,8 +99,8 @@
 func (cn *conn) move(cl *call) bool {
 	n, c := cn.node, cn.c
 	a := cl.Attempt
-	a.Wait -= time.Since(cl.since)
-	if !n.several || !n.listed || c.shut || cl.moves >= c.paths.Count(n.id) || a.Wait <= 0 {
+	a.Timeout -= time.Since(cl.since)
+	if !n.several || !n.listed || c.shut || cl.moves >= c.paths.Count(n.id) || a.Timeout <= 0 {
 		return false
 	}
 	c.sendTo(n.id, []broker.Attempt{a}, cl.moves+1)
--- a/nodeclient/wait_test.go
+++ b/nodeclient/wait_test.go
@@ -54,7 +54,7 @@
 	list := []broker.Node{{ID: "n", Addr: n.Addr}, {ID: "drained", Addr: drained.Addr}, {ID: "gone", Addr: gone.Addr}, {ID: "moved", Addr: moved.Addr}}
 	c.Update(list)
 	late := attempt(1)
-	late.Latest = time.Now()
+	late.LatestStart = time.Now()
 	c.Send("n", []broker.Attempt{late, attempt(2)})
 	c.send("drained", attempt(3))
 	c.send("gone", attempt(4))
@@ -98,7 +98,7 @@
 	s.wait(t, 1, decide.OK)
 	s.wait(t, 2, decide.OK)
 	for _, call := range n.Calls() {
-		if most := attempt(1).Wait - waited; call.Wait > most {
+		if most := attempt(1).Timeout - waited; call.Wait > most {
 			t.Errorf("part %d: told %v, want %v at most", call.Shard, call.Wait, most)
 		}
 	}
--- a/tracing/bench_test.go
+++ b/tracing/bench_test.go
@@ -27,16 +27,16 @@
 			b.ResetTimer()
 			for i := range b.N {
 				id := broker.QueryID(i + 1)
-				tr.Taken(id, q, at)
+				tr.QueryReceived(id, q, at)
 				for n := range 4 {
-					tr.Opened(broker.Opening{ID: broker.AttemptID(4*i + n + 1), Query: id, Shard: n, Node: "s-5be2a07c", At: at})
+					tr.AttemptOpened(broker.AttemptInfo{ID: broker.AttemptID(4*i + n + 1), QueryID: id, Shard: n, Node: "s-5be2a07c", OpenedAt: at})
 				}
 				for n := range 4 {
 					try := broker.AttemptID(4*i + n + 1)
-					tr.Wire(try, broker.WireGone, "127.0.0.1:8000", at)
-					tr.Ended(try, decide.OK, broker.ByNode, at, at)
+					tr.PhaseReached(try, broker.WireSent, "127.0.0.1:8000", at)
+					tr.AttemptEnded(try, decide.OK, broker.EndedByNode, at, at)
 				}
-				tr.Final(id, reply, at)
+				tr.QueryEnded(id, reply, at)
 			}
 			b.StopTimer()
 			tr.Close(context.Background())
--- a/tracing/export/otlp.go
+++ b/tracing/export/otlp.go
@@ -70,7 +70,7 @@
 	switch v := broker.Verdict(t.Verdict); v {
 	case broker.Served:
 		s.Status.Code = tracepb.Status_STATUS_CODE_OK
-	case broker.Left:
+	case broker.ClientLeft:
 	default:
 		s.Status.Code, s.Status.Message = tracepb.Status_STATUS_CODE_ERROR, t.Verdict.String()
 	}
--- a/tracing/record/record.go
+++ b/tracing/record/record.go
@@ -95,7 +95,7 @@
 var verdictNames = []string{"served", "refused", "failed", "expired", "duplicate", "left", "open"}
 
 // Open is the verdict of a query under which the broker ended.
-const Open = broker.Left + 1
+const Open = broker.ClientLeft + 1
 
 // Verdict is a broker.Verdict with a name.
 type Verdict broker.Verdict
@@ -111,7 +111,7 @@
 }
 
 // Why is a broker.Reason with a name.
-type Why broker.Reason
+type Why broker.AttemptReason
 
 var whyNames = []string{"first", "copy", "retry", "trial"}
 
@@ -446,7 +446,7 @@
 		r |= Failed
 	case broker.Expired:
 		r |= Expired
-	case broker.Left:
+	case broker.ClientLeft:
 		if t.Wanted > 0 && took > t.Wanted {
 			r |= LeftLate
 		}
--- a/tracing/record/record_test.go
+++ b/tracing/record/record_test.go
@@ -16,7 +16,7 @@
 		ID: TraceID{1, 2}, Span: SpanID{3}, Parent: SpanID{4}, State: "a=b", Sampled: true, Broker: "n1", Query: "q", Class: "screen",
 		Came: time.Unix(1_800_000_000, 5).UTC(), Wanted: time.Second, Budget: 2 * time.Second, Retry: true, Parts: 2, Taken: After(0), Ended: After(time.Second),
 		Verdict: Verdict(broker.Refused), RetryAfter: time.Second, Reasons: Refused | Slow, Kept: Refused, Probability: 0.5,
-		Attempts: []Attempt{{ID: 9, Span: AttemptSpan(SpanID{3}, 9), Shard: 3, N: 1, Node: "s-1", Cell: 2, Addr: "x:1", Why: Why(broker.Copy), Opened: After(5),
+		Attempts: []Attempt{{ID: 9, Span: AttemptSpan(SpanID{3}, 9), Shard: 3, N: 1, Node: "s-1", Cell: 2, Addr: "x:1", Why: Why(broker.ReasonCopy), Opened: After(5),
 			Gone: After(6), Ended: After(7), Outcome: Outcome(decide.TimedOut), Ours: true, MayRun: true, LateAt: After(9), LateOutcome: &late}},
 	}
 }
@@ -84,8 +84,8 @@
 		{"good", Trace{Whole: true, Ended: After(5), Wanted: 9}, 0},
 		{"late", Trace{Whole: true, Ended: After(10), Wanted: 9}, Late},
 		{"in part", Trace{Ended: After(5), Wanted: 9}, Partial},
-		{"left in time", Trace{Verdict: Verdict(broker.Left), Ended: After(5), Wanted: 9}, 0},
-		{"left late", Trace{Verdict: Verdict(broker.Left), Ended: After(10), Wanted: 9}, LeftLate},
+		{"left in time", Trace{Verdict: Verdict(broker.ClientLeft), Ended: After(5), Wanted: 9}, 0},
+		{"left late", Trace{Verdict: Verdict(broker.ClientLeft), Ended: After(10), Wanted: 9}, LeftLate},
 		{"open", Trace{Verdict: Verdict(Open)}, Interrupted},
 		{"duplicate", Trace{Verdict: Verdict(broker.Duplicate)}, Failed},
 		{"expired", Trace{Verdict: Verdict(broker.Expired)}, Expired},
--- a/tracing/spool/open.go
+++ b/tracing/spool/open.go
@@ -446,7 +446,7 @@
 		Gone: offset(le.Uint32(b[tGone:])), Ended: offset(le.Uint32(b[tEnded:])),
 		Doubt: b[tFlags]&flagDoubt != 0, Ours: b[tFlags]&flagOurs != 0, MayRun: b[tFlags]&flagMayRun != 0,
 	}
-	if a.Outcome > record.Out || a.Why > record.Why(broker.Trial) {
+	if a.Outcome > record.Out || a.Why > record.Why(broker.ReasonProbation) {
 		return a, fmt.Errorf("outcome %d, reason %d", a.Outcome, a.Why)
 	}
 	var err error
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -361,17 +361,17 @@
 	} else {
 		l = &live{Trace: record.Trace{Attempts: make([]record.Attempt, 0, len(q.Parts)+1)}}
 	}
-	l.came, l.slot, l.class = q.Came, -1, q.Class
-	l.ID, l.Parent, l.Sampled, l.State = q.Trace.ID, q.Trace.Parent, q.Trace.Sampled, q.Trace.State
+	l.came, l.slot, l.class = q.ArrivedAt, -1, q.Class
+	l.ID, l.Parent, l.Sampled, l.State = q.Trace.TraceID, q.Trace.ParentID, q.Trace.Sampled, q.Trace.TraceState
 	if l.ID == (record.TraceID{}) {
 		binary.LittleEndian.PutUint64(l.ID[:], t.rng.Uint64())
 		binary.LittleEndian.PutUint64(l.ID[8:], t.rng.Uint64()|1) // zero is no id
 	}
 	binary.LittleEndian.PutUint64(l.Span[:], t.rng.Uint64()|1)
-	l.Broker, l.Query, l.Retry, l.Parts, l.Budget = t.opts.Broker, q.Name, q.Retry, len(q.Parts), q.Budget
+	l.Broker, l.Query, l.Retry, l.Parts, l.Budget = t.opts.Broker, q.RequestID, q.Retry, len(q.Parts), q.Budget
 	// The wall clock is read once, at the start: one that steps moves no trace.
-	l.Came = t.start.Add(q.Came.Sub(t.start)).Round(0)
-	l.Taken = record.After(at.Sub(q.Came))
+	l.Came = t.start.Add(q.ArrivedAt.Sub(t.start)).Round(0)
+	l.Taken = record.After(at.Sub(q.ArrivedAt))
 	l.Verdict = record.Verdict(record.Open)
 	if q.Class >= 0 && q.Class < len(t.opts.Classes) {
 		c := &t.opts.Classes[q.Class]
@@ -388,7 +388,7 @@
 }
 
 // Taken implements broker.Observer.
-func (t *Tracer) Taken(id broker.QueryID, q *broker.Query, at time.Time) {
+func (t *Tracer) QueryReceived(id broker.QueryID, q *broker.Query, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.open.n >= maxOpen {
@@ -403,7 +403,7 @@
 }
 
 // TurnedAway implements broker.Observer.
-func (t *Tracer) TurnedAway(q *broker.Query, at time.Time) {
+func (t *Tracer) QueryTurnedAway(q *broker.Query, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l := t.take(q, at)
@@ -411,16 +411,16 @@
 }
 
 // Opened implements broker.Observer.
-func (t *Tracer) Opened(o broker.Opening) {
+func (t *Tracer) AttemptOpened(o broker.AttemptInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l, _ := t.open.get(uint64(o.Query))
+	l, _ := t.open.get(uint64(o.QueryID))
 	if l == nil {
 		return
 	}
 	l.Attempts = append(l.Attempts, record.Attempt{
-		ID: uint64(o.ID), Span: record.AttemptSpan(l.Span, uint64(o.ID)), Shard: o.Shard, N: o.N, Node: o.Node, Cell: o.Cell,
-		Why: record.Why(o.Why), Doubt: o.Doubt, Opened: record.After(o.At.Sub(l.came)), Outcome: record.Out,
+		ID: uint64(o.ID), Span: record.AttemptSpan(l.Span, uint64(o.ID)), Shard: o.Shard, N: o.Index, Node: o.Node, Cell: o.Cell,
+		Why: record.Why(o.Reason), Doubt: o.Suspected, Opened: record.After(o.OpenedAt.Sub(l.came)), Outcome: record.Out,
 	})
 	i := len(l.Attempts) - 1
 	t.byTry.put(uint64(o.ID), tryRef{l, i})
@@ -430,7 +430,7 @@
 }
 
 // Cancelled implements broker.Observer.
-func (t *Tracer) Cancelled(id broker.AttemptID, at time.Time) {
+func (t *Tracer) AttemptCancelled(id broker.AttemptID, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ref, ok := t.byTry.get(uint64(id)); ok {
@@ -439,7 +439,7 @@
 }
 
 // Ended implements broker.Observer.
-func (t *Tracer) Ended(id broker.AttemptID, o decide.Outcome, by broker.Cause, began, at time.Time) {
+func (t *Tracer) AttemptEnded(id broker.AttemptID, o decide.Outcome, by broker.EndCause, began, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ref, ok := t.byTry.get(uint64(id))
@@ -450,7 +450,7 @@
 	if !began.IsZero() {
 		a.Answer = record.After(began.Sub(ref.l.came))
 	}
-	a.End(o, by != broker.ByNode, record.After(at.Sub(ref.l.came)))
+	a.End(o, by != broker.EndedByNode, record.After(at.Sub(ref.l.came)))
 	if ref.l.slot >= 0 {
 		t.table.Ended(ref.l.slot, ref.i, a)
 	}
@@ -458,7 +458,7 @@
 
 // Doubted implements broker.Observer: an attempt that is out at a node that
 // comes into doubt was touched by it.
-func (t *Tracer) Doubted(node string, doubted bool, _ time.Time) {
+func (t *Tracer) NodeSuspected(node string, doubted bool, _ time.Time) {
 	if !doubted {
 		return
 	}
@@ -472,7 +472,7 @@
 }
 
 // Final implements broker.Observer.
-func (t *Tracer) Final(id broker.QueryID, r *broker.Reply, at time.Time) {
+func (t *Tracer) QueryEnded(id broker.QueryID, r *broker.Reply, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if l, ok := t.open.get(uint64(id)); ok {
@@ -534,7 +534,7 @@
 }
 
 // Wire implements broker.WireObserver.
-func (t *Tracer) Wire(id broker.AttemptID, phase broker.WirePhase, addr string, at time.Time) {
+func (t *Tracer) PhaseReached(id broker.AttemptID, phase broker.WirePhase, addr string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ref, ok := t.byTry.get(uint64(id))
@@ -544,11 +544,11 @@
 	a, when := &ref.l.Attempts[ref.i], record.After(at.Sub(ref.l.came))
 	a.Addr = addr
 	switch phase {
-	case broker.WireDialing:
+	case broker.WireConnecting:
 		a.Dialed = when
-	case broker.WireUp:
+	case broker.WireConnected:
 		a.Up = when
-	case broker.WireGone:
+	case broker.WireSent:
 		a.Gone = when
 		if ref.l.slot >= 0 {
 			t.table.Gone(ref.l.slot, ref.i, when)
@@ -561,7 +561,7 @@
 }
 
 // Late implements broker.WireObserver.
-func (t *Tracer) Late(id broker.AttemptID, o decide.Outcome, at time.Time) {
+func (t *Tracer) LateOutcome(id broker.AttemptID, o decide.Outcome, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ref, ok := t.byTry.get(uint64(id)); ok {
@@ -583,7 +583,7 @@
 }
 
 // Carry implements broker.WireObserver.
-func (t *Tracer) Carry(id broker.AttemptID) (traceparent, tracestate string) {
+func (t *Tracer) TraceHeaders(id broker.AttemptID) (traceparent, tracestate string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ref, ok := t.byTry.get(uint64(id))
--- a/tracing/tracer_test.go
+++ b/tracing/tracer_test.go
@@ -40,7 +40,7 @@
 }
 
 func query(name string, came time.Time) *broker.Query {
-	return &broker.Query{Name: name, Parts: []broker.Part{{Shard: 3, Share: 1}}, Came: came, Budget: 2 * time.Second}
+	return &broker.Query{RequestID: name, Parts: []broker.Part{{Shard: 3, Share: 1}}, ArrivedAt: came, Budget: 2 * time.Second}
 }
 
 func kept(t testing.TB, tr *Tracer, f record.Filter) []*record.Trace {
@@ -61,22 +61,22 @@
 	tr := begin(t, Config{Dir: dir}, io.Discard, nil)
 	at := func(ms int) time.Time { return tr.start.Add(time.Duration(ms) * time.Millisecond) }
 	for id := broker.QueryID(1); id <= 2; id++ {
-		tr.Taken(id, query(fmt.Sprintf("q%d", id), at(0)), at(1))
+		tr.QueryReceived(id, query(fmt.Sprintf("q%d", id), at(0)), at(1))
 		for n := range 2 {
 			try := broker.AttemptID(uint64(id)*10 + uint64(n))
-			tr.Opened(broker.Opening{ID: try, Query: id, Shard: 3, N: n, Node: "a", At: at(2 + n)})
+			tr.AttemptOpened(broker.AttemptInfo{ID: try, QueryID: id, Shard: 3, Index: n, Node: "a", OpenedAt: at(2 + n)})
 			if n == 0 {
-				tr.Wire(try, broker.WireGone, "127.0.0.1:1", at(3))
+				tr.PhaseReached(try, broker.WireSent, "127.0.0.1:1", at(3))
 			}
 		}
-		tr.Cancelled(broker.AttemptID(id*10), at(1500))
-		tr.Final(id, &broker.Reply{Verdict: broker.Failed}, at(1500))
-		tr.Ended(broker.AttemptID(id*10), decide.Cancelled, broker.ByCore, time.Time{}, at(1501)) // as the core tells it, a turn later
+		tr.AttemptCancelled(broker.AttemptID(id*10), at(1500))
+		tr.QueryEnded(id, &broker.Reply{Verdict: broker.Failed}, at(1500))
+		tr.AttemptEnded(broker.AttemptID(id*10), decide.Cancelled, broker.EndedByCore, time.Time{}, at(1501)) // as the core tells it, a turn later
 	}
-	tr.Late(10, decide.OK, at(1600)) // while its trace waits
+	tr.LateOutcome(10, decide.OK, at(1600)) // while its trace waits
 	tr.collect(true)
-	tr.Late(20, decide.Failed, at(1700)) // when it is written
-	tr.Late(20, decide.OK, at(1800))     // no second outcome
+	tr.LateOutcome(20, decide.Failed, at(1700)) // when it is written
+	tr.LateOutcome(20, decide.OK, at(1800))     // no second outcome
 	traces := kept(t, tr, record.Filter{})
 	tr.Close(context.Background())
 	fromDisk, _, err := ReadDir(dir, record.Filter{})
@@ -111,31 +111,31 @@
 		id++
 		q := query(name, at(0))
 		q.Class = class
-		tr.Taken(id, q, at(1))
+		tr.QueryReceived(id, q, at(1))
 		for n := range 2 {
 			if winner >= 0 {
-				tr.Opened(broker.Opening{ID: broker.AttemptID(uint64(id)*10 + uint64(n)), Query: id, Shard: 3, N: n, Node: "a", At: at(2 + n)})
+				tr.AttemptOpened(broker.AttemptInfo{ID: broker.AttemptID(uint64(id)*10 + uint64(n)), QueryID: id, Shard: 3, Index: n, Node: "a", OpenedAt: at(2 + n)})
 			}
 		}
 		if winner >= 0 {
-			tr.Ended(broker.AttemptID(uint64(id)*10+uint64(winner)), decide.OK, broker.ByNode, time.Time{}, at(end))
+			tr.AttemptEnded(broker.AttemptID(uint64(id)*10+uint64(winner)), decide.OK, broker.EndedByNode, time.Time{}, at(end))
 		}
-		tr.Final(id, &broker.Reply{Verdict: v, Whole: true}, at(end))
+		tr.QueryEnded(id, &broker.Reply{Verdict: v, Whole: true}, at(end))
 	}
 	run("copy-wins", 1, broker.Served, 0, 50)
 	run("copy-loses", 0, broker.Served, 0, 50)
 	run("late-edit", 0, broker.Served, 1, 150)
 	run("same-time-screen", 0, broker.Served, 0, 150)
 	run("refused", -1, broker.Refused, 0, 2)
-	run("left-late", 0, broker.Left, 0, 1200)
-	run("left-soon", 0, broker.Left, 0, 900)
-	tr.TurnedAway(query("turned-away", at(5)), at(5))
+	run("left-late", 0, broker.ClientLeft, 0, 1200)
+	run("left-soon", 0, broker.ClientLeft, 0, 900)
+	tr.QueryTurnedAway(query("turned-away", at(5)), at(5))
 	id++
-	tr.Taken(id, query("doubted", at(0)), at(1))
-	tr.Opened(broker.Opening{ID: 999, Query: id, Shard: 3, Node: "b", At: at(2)})
-	tr.Doubted("b", true, at(3))
-	tr.Ended(999, decide.OK, broker.ByNode, time.Time{}, at(5))
-	tr.Final(id, &broker.Reply{Verdict: broker.Served, Whole: true}, at(5))
+	tr.QueryReceived(id, query("doubted", at(0)), at(1))
+	tr.AttemptOpened(broker.AttemptInfo{ID: 999, QueryID: id, Shard: 3, Node: "b", OpenedAt: at(2)})
+	tr.NodeSuspected("b", true, at(3))
+	tr.AttemptEnded(999, decide.OK, broker.EndedByNode, time.Time{}, at(5))
+	tr.QueryEnded(id, &broker.Reply{Verdict: broker.Served, Whole: true}, at(5))
 	got := map[string]string{}
 	for _, x := range kept(t, tr, record.Filter{}) {
 		got[x.Query] = x.Reasons.String()
@@ -157,8 +157,8 @@
 	now := time.Now()
 	for id := broker.QueryID(1); id <= 3; id++ {
 		came := now.Add(time.Duration(id) * time.Millisecond)
-		tr.Taken(id, query(fmt.Sprintf("q%d", id), came), came)
-		tr.Final(id, &broker.Reply{Whole: true}, came.Add(time.Microsecond))
+		tr.QueryReceived(id, query(fmt.Sprintf("q%d", id), came), came)
+		tr.QueryEnded(id, &broker.Reply{Whole: true}, came.Add(time.Microsecond))
 	}
 	traces := kept(t, tr, record.Filter{})
 	if len(traces) != 3 {
@@ -181,11 +181,11 @@
 	most := 0
 	for i := range 3000 {
 		id := broker.QueryID(i + 1)
-		tr.Taken(id, query(fmt.Sprintf("q%d", i), at(i)), at(i))
+		tr.QueryReceived(id, query(fmt.Sprintf("q%d", i), at(i)), at(i))
 		for n := range 3 {
-			tr.Opened(broker.Opening{ID: broker.AttemptID(3*i + n + 1), Query: id, Shard: 3, N: n, Node: "a-node", At: at(i)})
+			tr.AttemptOpened(broker.AttemptInfo{ID: broker.AttemptID(3*i + n + 1), QueryID: id, Shard: 3, Index: n, Node: "a-node", OpenedAt: at(i)})
 		}
-		tr.Final(id, &broker.Reply{Verdict: broker.Failed}, at(i+500))
+		tr.QueryEnded(id, &broker.Reply{Verdict: broker.Failed}, at(i+500))
 		if i%500 == 499 {
 			tr.collect(false)
 		}
@@ -220,8 +220,8 @@
 	at := tr.start
 	for id := broker.QueryID(1); id <= 2; id++ {
 		full = id == 2
-		tr.Taken(id, query(fmt.Sprintf("q%d", id), at), at)
-		tr.Final(id, &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
+		tr.QueryReceived(id, query(fmt.Sprintf("q%d", id), at), at)
+		tr.QueryEnded(id, &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
 		tr.collect(true)
 	}
 	if got := kept(t, tr, record.Filter{}); len(got) != 2 {
@@ -234,8 +234,8 @@
 
 	file := testkit.WriteFile(t, nil)
 	tr = begin(t, Config{Dir: file}, &log, nil)
-	tr.Taken(1, query("q", at), at)
-	tr.Final(1, &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
+	tr.QueryReceived(1, query("q", at), at)
+	tr.QueryEnded(1, &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
 	if got := kept(t, tr, record.Filter{}); len(got) != 1 {
 		t.Errorf("%d traces without a folder, want 1", len(got))
 	}
@@ -258,8 +258,8 @@
 	tr := begin(t, Config{Dir: dir, MemoryKB: 64}, io.Discard, write)
 	at := tr.start
 	ended := func(id int) {
-		tr.Taken(broker.QueryID(id), query(fmt.Sprintf("q%d", id), at), at)
-		tr.Final(broker.QueryID(id), &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
+		tr.QueryReceived(broker.QueryID(id), query(fmt.Sprintf("q%d", id), at), at)
+		tr.QueryEnded(broker.QueryID(id), &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
 		tr.collect(true)
 	}
 	ended(1)
@@ -307,14 +307,14 @@
 	dir := t.TempDir()
 	tr := begin(t, Config{Dir: dir}, io.Discard, nil)
 	at := tr.start
-	tr.Taken(1, query("open", at), at)
-	tr.Opened(broker.Opening{ID: 1, Query: 1, Shard: 3, Node: "a", At: at})
-	tr.Wire(1, broker.WireGone, "x", at)
-	tr.Opened(broker.Opening{ID: 2, Query: 1, Shard: 4, Node: "b", At: at})
-	tr.Taken(2, query("over", at), at)
-	tr.Final(2, &broker.Reply{Verdict: broker.Expired}, at.Add(time.Second)) // and not collected
-	tr.Taken(3, query("good", at), at)
-	tr.Final(3, &broker.Reply{Whole: true}, at.Add(time.Millisecond))
+	tr.QueryReceived(1, query("open", at), at)
+	tr.AttemptOpened(broker.AttemptInfo{ID: 1, QueryID: 1, Shard: 3, Node: "a", OpenedAt: at})
+	tr.PhaseReached(1, broker.WireSent, "x", at)
+	tr.AttemptOpened(broker.AttemptInfo{ID: 2, QueryID: 1, Shard: 4, Node: "b", OpenedAt: at})
+	tr.QueryReceived(2, query("over", at), at)
+	tr.QueryEnded(2, &broker.Reply{Verdict: broker.Expired}, at.Add(time.Second)) // and not collected
+	tr.QueryReceived(3, query("good", at), at)
+	tr.QueryEnded(3, &broker.Reply{Whole: true}, at.Add(time.Millisecond))
 	vanish(t, tr)
 
 	broken := begin(t, Config{Dir: dir}, io.Discard, func(f *os.File, _ []byte) (int, error) {
@@ -356,16 +356,16 @@
 func TestCarry(t *testing.T) {
 	tr := begin(t, Config{}, io.Discard, nil)
 	q := query("q", tr.start)
-	q.Trace = broker.TraceContext{ID: [16]byte{0xab}, Parent: [8]byte{1}, Sampled: true, State: "a=1"}
-	tr.Taken(1, q, tr.start)
-	tr.Opened(broker.Opening{ID: 7, Query: 1, At: tr.start})
-	parent, state := tr.Carry(7)
+	q.Trace = broker.TraceContext{TraceID: [16]byte{0xab}, ParentID: [8]byte{1}, Sampled: true, TraceState: "a=1"}
+	tr.QueryReceived(1, q, tr.start)
+	tr.AttemptOpened(broker.AttemptInfo{ID: 7, QueryID: 1, OpenedAt: tr.start})
+	parent, state := tr.TraceHeaders(7)
 	l, _ := tr.open.get(1)
 	span := l.Attempts[0].Span
 	if want := "00-ab000000000000000000000000000000-" + span.String() + "-01"; parent != want || state != "a=1" {
 		t.Errorf("got %q, %q, want %q", parent, state, want)
 	}
-	tr.Final(1, &broker.Reply{Whole: true}, tr.start)
+	tr.QueryEnded(1, &broker.Reply{Whole: true}, tr.start)
 	if x := kept(t, tr, record.Filter{}); len(x) != 1 || x[0].Parent != (record.SpanID{1}) || x[0].Kept != record.Asked {
 		t.Errorf("got %+v", x)
 	}
