--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -38,7 +38,9 @@
 }
 
 // openAttempt opens an attempt. The core enforces the sending rules itself, whatever the
-// module asks for: a forbidden attempt is not sent and ends with an outcome that proves that
+// module asks for: nothing is sent for a query that has ended or whose client has left, after
+// the attempt's latest start, beyond MaxAttempts, to an unlisted node, or to a node whose
+// drain was announced too long ago. A forbidden attempt ends with an outcome that proves that
 // it never ran.
 func (c *Core) openAttempt(action *decide.Action, now time.Time) {
 	part := c.parts[action.ID]
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -13,12 +13,12 @@
 	"onyxsail/decide"
 )
 
-// fakeNodes records what the core asks of its nodes.
+// fakeNodes is a NodeClient that records attempts and cancellations.
 type fakeNodes struct {
 	mu        sync.Mutex
 	sent      []Attempt
 	cancelled []AttemptID
-	sendCalls chan struct{}
+	sendCalls chan struct{} // one value for each call of Send
 }
 
 func (f *fakeNodes) Send(_ string, calls []Attempt) {
@@ -37,10 +37,13 @@
 func (f *fakeNodes) CloseIdle(string) {}
 func (f *fakeNodes) Update([]Node)    {}
 
-type replies chan Reply
+// replyChan is a Replier that passes replies to a channel.
+type replyChan chan Reply
 
-func (r replies) Reply(_ QueryID, reply Reply) { r <- reply }
+func (r replyChan) Reply(_ QueryID, reply Reply) { r <- reply }
 
+// newTestCore returns a core with one class and two nodes, a and b, whose Run is not started.
+// Its first turn takes in the nodes.
 func newTestCore(maxAttempts int) (*Core, *fakeNodes) {
 	nodes := &fakeNodes{sendCalls: make(chan struct{}, 100)}
 	c := New(Options{Nodes: nodes, Log: zerolog.New(io.Discard), Settings: decide.Settings{
@@ -52,11 +55,12 @@
 	return c, nodes
 }
 
+// newQuery returns a query with two equal parts.
 func newQuery() *Query {
 	return &Query{RequestID: "q", Parts: []Part{{Shard: 0, Share: 0.5}, {Shard: 1, Share: 0.5}}, ArrivedAt: time.Now(), Budget: 2 * time.Second}
 }
 
-// An overfull queue refuses queries and takes everything else.
+// A full queue must refuse queries but accept all other inputs, as these are never dropped.
 func TestFullQueueRejectsOnlyQueries(t *testing.T) {
 	q := newInputQueue(2)
 	for i := range 3 {
@@ -69,24 +73,25 @@
 		t.Errorf("%d inputs, want 3", n)
 	}
 	if _, ok := q.offer(input{kind: inputQuery}); !ok {
-		t.Error("refused with room again")
+		t.Error("refused although there is room again")
 	}
 	q.close()
 	if _, ok := q.offer(input{kind: inputQuery}); ok {
-		t.Error("taken after the end")
+		t.Error("accepted after close")
 	}
 }
 
-// A query gets one answer and an attempt one outcome, also where more comes.
+// A node client may report further outcomes for an attempt. Only the first counts, and the
+// query gets one reply.
 func TestRepeatedOutcomesDoNotChangeTheReply(t *testing.T) {
 	c, nodes := newTestCore(3)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
-	got := make(replies, 10)
+	got := make(replyChan, 10)
 	id, ok := c.Submit(newQuery(), got)
 	if !ok {
-		t.Fatal("not taken")
+		t.Fatal("query not accepted")
 	}
 	<-nodes.sendCalls
 	<-nodes.sendCalls
@@ -106,17 +111,17 @@
 	cancel()
 	<-ended
 	if len(got) != 0 || c.Stats().Served != 1 || len(c.attempts)+len(c.parts)+len(c.queries)+c.heldCount != 0 {
-		t.Errorf("more answers or state left: %d, %+v", len(got), c.Stats())
+		t.Errorf("extra replies or leaked state: %d replies, %+v", len(got), c.Stats())
 	}
 }
 
-// What is open when the core is stopped still gets its answer.
+// A query that is open when the core is stopped must still get a reply.
 func TestShutdownLeavesNoQueryUnanswered(t *testing.T) {
 	c, nodes := newTestCore(3)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
-	got := make(replies, 1)
+	got := make(replyChan, 1)
 	c.Submit(newQuery(), got)
 	<-nodes.sendCalls
 	cancel()
@@ -126,15 +131,15 @@
 	}
 }
 
-// The core holds the rules whatever the module asks: nothing to a node whose
-// drain was told, no fourth attempt, nothing for a query that has ended, and
-// each refused attempt still gets an outcome that proves it never ran.
+// The core enforces the sending rules whatever the module asks for: no attempt at a draining
+// or unlisted node and none beyond MaxAttempts. Each rejected attempt ends with an outcome
+// that proves that it never ran. An answer that lacks a part is not reported as whole.
 func TestActionsThatBreakCoreRulesAreNotExecuted(t *testing.T) {
 	c, _ := newTestCore(1)
 	c.runTurn()
 	now := time.Now()
-	c.admitQuery(input{queryID: 1, query: newQuery(), replier: make(replies, 1)}, now)
-	p := c.queries[1].parts[0]
+	c.admitQuery(input{queryID: 1, query: newQuery(), replier: make(replyChan, 1)}, now)
+	part := c.queries[1].parts[0]
 	outcome := func() decide.Outcome {
 		for _, in := range c.queue.takeAll() {
 			return in.outcome
@@ -142,16 +147,16 @@
 		return decide.OK
 	}
 	c.nodes[1].markUnavailable(decide.Draining, now.Add(-maxDrainSendWindow-time.Millisecond))
-	send := decide.Action{Kind: decide.Send, ID: p.id, Addr: 1}
+	send := decide.Action{Kind: decide.Send, ID: part.id, Addr: 1}
 	if c.openAttempt(&send, now); len(c.sendBatch) != 0 || outcome() != decide.Unreachable {
-		t.Error("sent to a node whose drain was told")
+		t.Error("sent to a node whose drain was announced")
 	}
-	p.attempts = nil
+	part.attempts = nil
 	send.Addr = 9
 	if c.openAttempt(&send, now); len(c.sendBatch) != 0 || outcome() != decide.Unreachable {
 		t.Error("sent to a node that is not listed")
 	}
-	p.attempts = nil
+	part.attempts = nil
 	send.Addr = 2
 	if c.openAttempt(&send, now); len(c.sendBatch) != 1 || c.sendBatch[0].Node != "b" {
 		t.Errorf("not sent: %+v", c.sendBatch)
@@ -159,21 +164,21 @@
 	if c.openAttempt(&send, now); len(c.sendBatch) != 1 || outcome() != decide.NotSent {
 		t.Error("sent more attempts than allowed")
 	}
-	whole := make(replies, 1)
-	c.queries[1].replier = whole
-	p.answered, p.value = true, []byte("1")
-	c.opts.Settings.Classes[0].Floor = 0.5 // an answer of one part may be given, but not as a whole one
+	replyCh := make(replyChan, 1)
+	c.queries[1].replier = replyCh
+	part.answered, part.value = true, []byte("1")
+	c.opts.Settings.Classes[0].Floor = 0.5 // an answer of one part is allowed, but not as a whole one
 	c.applyFinalAction(&decide.Action{Kind: decide.Answer, ID: c.queries[1].moduleID, Whole: true}, now)
-	if r := <-whole; r.Whole || len(r.Values) != 1 {
-		t.Errorf("an answer that misses a part is called whole: %+v", r)
+	if r := <-replyCh; r.Whole || len(r.Values) != 1 {
+		t.Errorf("an answer that lacks a part is reported as whole: %+v", r)
 	}
 }
 
-// New limits hold from the next turn on.
+// New limits must not apply before the next turn.
 func TestLimitsTakeEffectOnlyAtTurnBoundary(t *testing.T) {
 	c, _ := newTestCore(3)
 	c.runTurn()
-	got := make(replies, 1)
+	got := make(replyChan, 1)
 	c.SetLimits(Limits{QueueLimit: 100, MaxOpen: 2})
 	if c.opts.Limits.MaxOpen != 0 {
 		t.Fatal("applied outside a turn")
@@ -181,11 +186,11 @@
 	c.Submit(newQuery(), got)
 	c.runTurn()
 	if r := <-got; r.Verdict != Refused {
-		t.Errorf("got %+v, want a refusal: three would be held", r)
+		t.Errorf("got %+v, want Refused: the query and its parts count as three", r)
 	}
 }
 
-// Nodes that left long ago are forgotten, and their numbers not used again.
+// Nodes that left long ago must be removed, and their Addr must not be reused for new ones.
 func TestGoneNodesAreRemovedAndAddrsNotReused(t *testing.T) {
 	c, _ := newTestCore(3)
 	c.runTurn()
@@ -193,25 +198,26 @@
 	c.applyRoster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "b", Addr: "y"}}}, now)
 	c.applyRoster(Roster{Kind: decide.ListDelta}, now.Add(nodeRetention/2))
 	if len(c.nodes) != 2 {
-		t.Errorf("%d nodes, want the one that left still known", len(c.nodes))
+		t.Errorf("%d nodes, want 2: the node that left is still kept", len(c.nodes))
 	}
 	c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "c", Addr: "z"}}}, now.Add(nodeRetention+time.Second))
 	if _, ok := c.addrs["a"]; ok || len(c.nodes) != 2 || c.addrs["c"] != 3 {
-		t.Errorf("names %v", c.addrs)
+		t.Errorf("addrs by node ID: %v", c.addrs)
 	}
 }
 
-// A query under the id of an open one gets its answer at once and harms nobody.
+// A query with the request ID of an open one must be rejected at once without affecting the
+// open one, as the answers to their parts could be mixed up.
 func TestDuplicateRequestIDDoesNotAffectOpenQuery(t *testing.T) {
 	c, nodes := newTestCore(3)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
 	defer func() { cancel(); <-ended }()
-	first, second := make(replies, 2), make(replies, 2)
-	submit := func(r replies) {
+	first, second := make(replyChan, 2), make(replyChan, 2)
+	submit := func(r replyChan) {
 		if _, ok := c.Submit(newQuery(), r); !ok {
-			t.Fatal("not taken")
+			t.Fatal("query not accepted")
 		}
 	}
 	submit(first)
@@ -219,7 +225,7 @@
 	<-nodes.sendCalls
 	submit(second)
 	if r := <-second; r.Verdict != Duplicate {
-		t.Errorf("the newcomer got %+v", r)
+		t.Errorf("the second query got %+v", r)
 	}
 	for _, a := range nodes.sent {
 		c.AttemptOutcome(a.ID, decide.OK, Response{Value: []byte("v")})
@@ -227,17 +233,17 @@
 	if r := <-first; r.Verdict != Served || !r.Whole || len(r.Values) != 2 {
 		t.Errorf("the open query got %+v", r)
 	}
-	submit(second) // its id is free again
+	submit(second) // its request ID is free again
 	<-nodes.sendCalls
 	if len(second) != 0 {
-		t.Errorf("after the first had ended: %+v", <-second)
+		t.Errorf("rejected after the first had ended: %+v", <-second)
 	}
 }
 
-// What a turn sends and gives up again must take nothing with it: the other parts of
-// its call leave, and it does not, neither as the first of them nor as a later one.
+// An attempt that is cancelled in the turn that opened it must not be sent, and must not keep
+// the other attempts of its call from being sent, whatever its position in the call.
 func TestAttemptsCancelledInTheirOwnTurnAreNotSent(t *testing.T) {
-	for _, off := range [][]int{{0}, {1}, {2}, {0, 1}, {0, 1, 2}} {
+	for _, cancelled := range [][]int{{0}, {1}, {2}, {0, 1}, {0, 1, 2}} {
 		c, nodes := newTestCore(3)
 		c.opts.Settings.BundleMax = 4
 		c.runTurn()
@@ -246,11 +252,11 @@
 		for i := range 3 {
 			q := newQuery()
 			q.RequestID = string(rune('a' + i))
-			c.admitQuery(input{queryID: QueryID(i + 1), query: q, replier: make(replies, 1)}, now)
+			c.admitQuery(input{queryID: QueryID(i + 1), query: q, replier: make(replyChan, 1)}, now)
 			c.openAttempt(&decide.Action{Kind: decide.Send, ID: c.queries[QueryID(i+1)].parts[0].id, Addr: 1}, now)
 			want[c.lastAttemptID] = true
 		}
-		for _, i := range off {
+		for _, i := range cancelled {
 			q := c.queries[QueryID(i+1)]
 			delete(want, q.parts[0].attempts[0].id)
 			c.removeQuery(q, now)
@@ -261,21 +267,21 @@
 			got[a.ID] = true
 		}
 		if !maps.Equal(got, want) || len(nodes.sent) != len(want) {
-			t.Errorf("%v given up: sent %v, want %v", off, got, want)
+			t.Errorf("%v cancelled: sent %v, want %v", cancelled, got, want)
 		}
 	}
 }
 
-// Until when an attempt may begin is told with it, as it may wait for a connection
-// that long: within its query's time, and a repeat of what may have run within the
-// class's window from the first such attempt, or not at all.
+// As an attempt may wait long for a connection, it carries its latest start: the end of the
+// query's time or, if an earlier attempt may have run, the end of the class's idempotency
+// window counted from that attempt. In an unsafe class such a retry is not sent at all.
 func TestRetriesDoNotStartAfterIdempotencyWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
-	for _, c := range []struct {
-		effect decide.Effect
-		first  decide.Outcome
-		want   time.Duration // after the first attempt; 0: as long as the query has time
-		never  bool
+	for _, tc := range []struct {
+		effect       decide.Effect
+		firstOutcome decide.Outcome
+		wantLatest   time.Duration // after the first attempt; 0: the end of the query's time
+		neverSent    bool
 	}{
 		{decide.Safe, decide.Broken, 0, false},
 		{decide.Keyed, decide.Broken, window - 5*time.Millisecond, false},
@@ -287,41 +293,41 @@
 	} {
 		core, _ := newTestCore(3)
 		class := &core.opts.Settings.Classes[0]
-		class.Effect, class.WindowMs = c.effect, float64(window.Milliseconds())
+		class.Effect, class.WindowMs = tc.effect, float64(window.Milliseconds())
 		core.runTurn()
-		first := time.Now()
+		firstSentAt := time.Now()
 		q := newQuery()
-		q.ArrivedAt = first
-		core.admitQuery(input{queryID: 1, query: q, replier: make(replies, 1)}, first)
-		p := core.queries[1].parts[0]
-		send := decide.Action{Kind: decide.Send, ID: p.id, Addr: 1}
-		core.openAttempt(&send, first)
-		core.endAttempt(p.attempts[0], c.first, EndedByNode, time.Time{}, first)
+		q.ArrivedAt = firstSentAt
+		core.admitQuery(input{queryID: 1, query: q, replier: make(replyChan, 1)}, firstSentAt)
+		part := core.queries[1].parts[0]
+		send := decide.Action{Kind: decide.Send, ID: part.id, Addr: 1}
+		core.openAttempt(&send, firstSentAt)
+		core.endAttempt(part.attempts[0], tc.firstOutcome, EndedByNode, time.Time{}, firstSentAt)
 		core.sendBatch = core.sendBatch[:0]
 		core.queue.takeAll()
-		core.openAttempt(&send, first.Add(window/2))
-		if c.never {
+		core.openAttempt(&send, firstSentAt.Add(window/2))
+		if tc.neverSent {
 			if in := core.queue.takeAll(); len(core.sendBatch) != 0 || len(in) != 1 || in[0].outcome != decide.NotSent {
-				t.Errorf("%+v: sent", c)
+				t.Errorf("%+v: sent, want NotSent", tc)
 			}
 			continue
 		}
-		want := first.Add(c.want)
-		if c.want == 0 {
-			want = first.Add(q.Budget)
+		want := firstSentAt.Add(tc.wantLatest)
+		if tc.wantLatest == 0 {
+			want = firstSentAt.Add(q.Budget)
 		}
 		if len(core.sendBatch) != 1 || !core.sendBatch[0].LatestStart.Equal(want) {
-			t.Errorf("%+v: %+v, want until %v", c, core.sendBatch, want)
+			t.Errorf("%+v: %+v, want until %v", tc, core.sendBatch, want)
 		}
 		core.sendBatch = core.sendBatch[:0]
-		core.endAttempt(p.attempts[1], decide.Unreachable, EndedByNode, time.Time{}, first)
-		if core.openAttempt(&send, first.Add(window)); (len(core.sendBatch) == 0) != (c.want != 0) {
-			t.Errorf("%+v: after the window: %+v", c, core.sendBatch)
+		core.endAttempt(part.attempts[1], decide.Unreachable, EndedByNode, time.Time{}, firstSentAt)
+		if core.openAttempt(&send, firstSentAt.Add(window)); (len(core.sendBatch) == 0) != (tc.wantLatest != 0) {
+			t.Errorf("%+v: sent after the window: %+v", tc, core.sendBatch)
 		}
 	}
 }
 
-// heardNodes keeps the list that the node clients were told.
+// nodeListRecorder keeps the list of the last Update.
 type nodeListRecorder struct {
 	*fakeNodes
 	list []Node
@@ -329,23 +335,23 @@
 
 func (h *nodeListRecorder) Update(list []Node) { h.list = list }
 
-// The node clients are told until when work may begin at a node whose drain has been
-// told, by the first telling, and never later than half of the grace.
+// The latest start at a draining node counts from the first announcement of the drain and is
+// never later than half of the grace. A repeated announcement must not extend it.
 func TestRepeatedDrainNoticeDoesNotExtendLatestStart(t *testing.T) {
-	for grace, guard := range map[float64]time.Duration{500: maxDrainSendWindow, 1000: maxDrainSendWindow, 100: 50 * time.Millisecond} {
+	for grace, window := range map[float64]time.Duration{500: maxDrainSendWindow, 1000: maxDrainSendWindow, 100: 50 * time.Millisecond} {
 		c, nodes := newTestCore(3)
-		heard := &nodeListRecorder{fakeNodes: nodes}
-		c.opts.Nodes, c.opts.Settings.DrainMs = heard, grace
+		recorder := &nodeListRecorder{fakeNodes: nodes}
+		c.opts.Nodes, c.opts.Settings.DrainMs = recorder, grace
 		now := time.Now()
 		c.applyRoster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y", State: decide.Draining}}}, now)
 		c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y", State: decide.Draining}}}, now.Add(time.Second))
-		for _, n := range heard.list {
-			if want := now.Add(guard); n.ID == "a" && !n.Latest.IsZero() || n.ID == "b" && !n.Latest.Equal(want) {
-				t.Errorf("grace %v ms: %+v, told %v", grace, n, now)
+		for _, n := range recorder.list {
+			if want := now.Add(window); n.ID == "a" && !n.Latest.IsZero() || n.ID == "b" && !n.Latest.Equal(want) {
+				t.Errorf("grace %v ms: %+v, announced at %v", grace, n, now)
 			}
 		}
 		c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y"}}}, now.Add(2*time.Second))
-		for _, n := range heard.list {
+		for _, n := range recorder.list {
 			if !n.Latest.IsZero() {
 				t.Errorf("grace %v ms, back in service: %+v", grace, n)
 			}
@@ -353,139 +359,139 @@
 	}
 }
 
-// A client that leaves in the turn in which an outcome would start a further attempt, or
-// its own query's first, in either order: nothing begins for it.
+// A client may leave in the same turn in which an outcome would start a retry or in which its
+// query arrives. No attempt may start for it, whatever the order of these inputs.
 func TestNoAttemptStartsForClientThatLeftInSameTurn(t *testing.T) {
-	for _, first := range []bool{true, false} {
+	for _, leavesFirst := range []bool{true, false} {
 		c, nodes := newTestCore(3)
 		c.runTurn()
-		id, ok := c.Submit(newQuery(), make(replies, 1))
+		id, ok := c.Submit(newQuery(), make(replyChan, 1))
 		if !ok {
-			t.Fatal("not taken")
+			t.Fatal("query not accepted")
 		}
 		c.runTurn()
-		out := len(nodes.sent)
-		if out != 2 {
-			t.Fatalf("%d attempts", out)
+		sentBefore := len(nodes.sent)
+		if sentBefore != 2 {
+			t.Fatalf("%d attempts", sentBefore)
 		}
-		if first {
+		if leavesFirst {
 			c.Leave(id)
 		}
 		c.AttemptOutcome(nodes.sent[0].ID, decide.Failed, Response{})
 		c.AttemptOutcome(nodes.sent[1].ID, decide.Rejected, Response{})
-		if !first {
+		if !leavesFirst {
 			c.Leave(id)
 		}
-		late := newQuery()
-		late.RequestID = "late"
-		other, ok := c.Submit(late, make(replies, 1))
+		lateQuery := newQuery()
+		lateQuery.RequestID = "late"
+		lateID, ok := c.Submit(lateQuery, make(replyChan, 1))
 		if !ok {
-			t.Fatal("not taken")
+			t.Fatal("query not accepted")
 		}
-		c.Leave(other)
+		c.Leave(lateID)
 		c.runTurn()
 		c.runTurn()
-		if len(nodes.sent) != out || len(c.queries)+len(c.attempts)+c.heldCount != 0 {
-			t.Errorf("left first %v: %d attempts more; state left", first, len(nodes.sent)-out)
+		if len(nodes.sent) != sentBefore || len(c.queries)+len(c.attempts)+c.heldCount != 0 {
+			t.Errorf("left first %v: %d more attempts or leaked state", leavesFirst, len(nodes.sent)-sentBefore)
 		}
 	}
 }
 
-// absent is a client of whom the front can tell that it has left, though the news of it
-// has not come to the core yet.
+// clientStub is a DisconnectChecker of a client that may have disconnected without a call of
+// Core.Leave.
 type clientStub struct {
-	replies
+	replyChan
 	gone bool
 }
 
-// Gone says so.
+// ClientGone implements DisconnectChecker.
 func (a *clientStub) ClientGone() bool { return a.gone }
 
-// A core that has been held up hears of an outcome before the front has read the end of
-// the client's connection: no further attempt begins for a client that has gone, nor does
-// one that waits for its connection.
+// After a stall of the process the core may receive an outcome before the front has noticed
+// that the client's connection was closed. Neither a retry nor an attempt that waits for a
+// connection may start for a client that has disconnected.
 func TestNoAttemptStartsForDisconnectedClient(t *testing.T) {
 	c, nodes := newTestCore(3)
 	c.runTurn()
-	client := &clientStub{replies: make(replies, 1)}
+	client := &clientStub{replyChan: make(replyChan, 1)}
 	q := newQuery()
 	q.ArrivedAt = q.ArrivedAt.Add(-100 * time.Millisecond)
 	if _, ok := c.Submit(q, client); !ok {
-		t.Fatal("not taken")
+		t.Fatal("query not accepted")
 	}
 	c.runTurn()
-	out := len(nodes.sent)
-	if out != 2 {
-		t.Fatalf("%d attempts", out)
+	sentBefore := len(nodes.sent)
+	if sentBefore != 2 {
+		t.Fatalf("%d attempts", sentBefore)
 	}
 	later := time.Now().Add(time.Second)
-	waits := nodes.sent[0]
-	if waits.MustNotStart(time.Time{}, later) {
-		t.Error("late while the client is there")
+	waiting := nodes.sent[0]
+	if waiting.MustNotStart(time.Time{}, later) {
+		t.Error("must not start although the client is connected")
 	}
 	for _, q := range c.queries {
-		q.clientSeenAt = q.clientSeenAt.Add(-time.Second) // the core is held up
+		q.clientSeenAt = q.clientSeenAt.Add(-time.Second) // as after a stall of the core
 	}
 	client.gone = true
-	if !waits.MustNotStart(time.Time{}, later) {
-		t.Error("an attempt that has waited for its connection begins for a client that has gone")
+	if !waiting.MustNotStart(time.Time{}, later) {
+		t.Error("an attempt that waited for a connection may start although its client has disconnected")
 	}
 	c.AttemptOutcome(nodes.sent[0].ID, decide.Failed, Response{})
 	c.AttemptOutcome(nodes.sent[1].ID, decide.Rejected, Response{})
 	c.runTurn()
 	c.runTurn()
-	if len(nodes.sent) != out {
-		t.Errorf("%d attempts more", len(nodes.sent)-out)
+	if len(nodes.sent) != sentBefore {
+		t.Errorf("%d more attempts", len(nodes.sent)-sentBefore)
 	}
 	if len(c.queries)+len(c.attempts)+c.heldCount != 0 {
-		t.Error("state is left")
+		t.Error("leaked state")
 	}
 }
 
-// An answer of less than the class's least share is none, whatever the module says.
+// An answer below the class's minimum share must not be given, whatever the module asks for.
 func TestNoAnswerBelowMinimumShare(t *testing.T) {
-	for in, want := range []Verdict{Failed, Failed, Served} { // parts that are in, of two
+	for answered, want := range []Verdict{Failed, Failed, Served} { // answered parts of two
 		c, _ := newTestCore(3)
 		c.opts.Settings.Classes[0].Floor = 0.7
 		c.runTurn()
-		now, got := time.Now(), make(replies, 1)
+		now, got := time.Now(), make(replyChan, 1)
 		c.admitQuery(input{queryID: 1, query: newQuery(), replier: got}, now)
-		for _, p := range c.queries[1].parts[:in] {
+		for _, p := range c.queries[1].parts[:answered] {
 			p.answered, p.value = true, []byte("1")
 		}
 		c.applyFinalAction(&decide.Action{Kind: decide.Answer, ID: c.queries[1].moduleID}, now)
 		if r := <-got; r.Verdict != want || want == Failed && len(r.Values) != 0 {
-			t.Errorf("%d parts in: %+v, want %v", in, r, want)
+			t.Errorf("%d parts answered: %+v, want %v", answered, r, want)
 		}
 	}
 }
 
-// An answer of discovery may name a node more than once; what it says last holds, and a
-// drain among it is told anew. What a whole list leaves out is gone, though a change that
-// was on its way names it: that one is newer and brings it back.
+// An update from discovery may contain a node more than once: the last entry counts, and a
+// drain that follows a ready entry starts a new send window. A node missing from a full list
+// is gone, but a later delta that contains it is newer and brings it back.
 func TestLastRosterEntryForNodeWins(t *testing.T) {
-	in, draining, gone := Node{ID: "a", Addr: "x"}, Node{ID: "a", Addr: "x", State: decide.Draining}, Node{ID: "a", Addr: "x", State: decide.Gone}
+	ready, draining, gone := Node{ID: "a", Addr: "x"}, Node{ID: "a", Addr: "x", State: decide.Draining}, Node{ID: "a", Addr: "x", State: decide.Gone}
 	moved := Node{ID: "a", Addr: "z"}
 	c, nodes := newTestCore(3)
-	heard := &nodeListRecorder{fakeNodes: nodes}
-	c.opts.Nodes = heard
+	recorder := &nodeListRecorder{fakeNodes: nodes}
+	c.opts.Nodes = recorder
 	c.runTurn()
 	now := time.Now()
 	for i, step := range []struct {
-		kind    decide.ListKind
-		entries []Node
-		state   decide.State
-		addr    string // "": not listed
-		drains  bool
+		kind     decide.ListKind
+		entries  []Node
+		state    decide.State
+		addr     string // "": not listed
+		draining bool
 	}{
-		{decide.ListDelta, []Node{draining, in}, decide.Ready, "x", false},
-		{decide.ListDelta, []Node{in, draining}, decide.Draining, "x", true},
-		{decide.ListDelta, []Node{gone, in, draining, moved}, decide.Ready, "z", false},
+		{decide.ListDelta, []Node{draining, ready}, decide.Ready, "x", false},
+		{decide.ListDelta, []Node{ready, draining}, decide.Draining, "x", true},
+		{decide.ListDelta, []Node{gone, ready, draining, moved}, decide.Ready, "z", false},
 		{decide.ListDelta, []Node{moved, gone}, decide.Gone, "", false},
-		{decide.ListDelta, []Node{in}, decide.Ready, "x", false},
+		{decide.ListDelta, []Node{ready}, decide.Ready, "x", false},
 		{decide.ListFull, []Node{{ID: "b", Addr: "y"}}, decide.Gone, "", false},
 		{decide.ListDelta, []Node{draining}, decide.Draining, "x", true},
-		{decide.ListFull, []Node{draining, in}, decide.Ready, "x", false},
+		{decide.ListFull, []Node{draining, ready}, decide.Ready, "x", false},
 	} {
 		at := now.Add(time.Duration(i) * time.Second)
 		c.applyRoster(Roster{Kind: step.kind, Nodes: step.entries}, at)
@@ -493,12 +499,12 @@
 			t.Errorf("step %d: state %v, want %v", i, s, step.state)
 		}
 		listed := ""
-		for _, n := range heard.list {
+		for _, n := range recorder.list {
 			if n.ID != "a" {
 				continue
 			}
-			if listed = n.Addr; n.Latest.IsZero() == step.drains || step.drains && n.Latest.After(at.Add(maxDrainSendWindow)) {
-				t.Errorf("step %d: work may begin until %v, now %v", i, n.Latest, at)
+			if listed = n.Addr; n.Latest.IsZero() == step.draining || step.draining && n.Latest.After(at.Add(maxDrainSendWindow)) {
+				t.Errorf("step %d: latest start %v, now %v", i, n.Latest, at)
 			}
 		}
 		if listed != step.addr {
--- a/broker/counts_test.go
+++ b/broker/counts_test.go
@@ -8,18 +8,18 @@
 	"onyxsail/decide"
 )
 
-// Each final answer counts once for its class; classes that come later have counts of their
-// own, and the ones before go on.
+// Each final reply must count once, for its own class. Adding classes must not reset or mix
+// up the counts of the existing ones.
 func TestVerdictsAreCountedPerClass(t *testing.T) {
 	c := New(Options{Settings: decide.Settings{Classes: make([]decide.Class, 2)}})
-	answers := []Verdict{Served, Served, Refused, Failed, Expired, Duplicate, ClientLeft}
-	for _, v := range answers {
+	verdicts := []Verdict{Served, Served, Refused, Failed, Expired, Duplicate, ClientLeft}
+	for _, v := range verdicts {
 		c.countersOf(1).count(v)
 	}
 	c.growCounters(3)
 	c.countersOf(2).count(Served)
 	c.countersOf(1).count(Served)
-	c.countersOf(7).count(Served) // no class of the settings
+	c.countersOf(7).count(Served) // no such class
 	got, want := c.ClassCounts(), []ClassCounts{{}, {3, 1, 3}, {1, 0, 0}}
 	if len(got) != len(want) {
 		t.Fatalf("got %+v, want %+v", got, want)
@@ -31,25 +31,26 @@
 	}
 }
 
-// A survey that the core does not answer returns the latest one.
+// If the core does not answer in time, RosterCounts returns the last result rather than zeros.
 func TestRosterCountsReturnsLastResultWhenCoreIsBusy(t *testing.T) {
-	c := New(Options{Settings: decide.Settings{Classes: make([]decide.Class, 1)}}) // Run is not called
-	over, cancel := context.WithCancel(context.Background())
+	c := New(Options{Settings: decide.Settings{Classes: make([]decide.Class, 1)}}) // its Run is not started
+	expired, cancel := context.WithCancel(context.Background())
 	cancel()
-	if got := c.RosterCounts(over); got != (RosterCounts{}) {
-		t.Errorf("before any: %+v", got)
+	if got := c.RosterCounts(expired); got != (RosterCounts{}) {
+		t.Errorf("before any result: %+v", got)
 	}
 	c.lastRosterCounts.Store(&RosterCounts{Listed: 3, OutOfRotation: 1})
-	if got := c.RosterCounts(over); got != (RosterCounts{3, 1}) {
+	if got := c.RosterCounts(expired); got != (RosterCounts{3, 1}) {
 		t.Errorf("got %+v", got)
 	}
 }
 
-// A node in doubt counts as avoided once it has been sent nothing for a while; one that
-// drains does at once, and one that is gone is not on the list.
+// A suspected node counts as out of rotation only when it has been sent nothing for a while,
+// as probation attempts keep it in rotation. A draining node counts at once, and one that is
+// gone is not listed.
 func TestSuspectedNodeIsOutOfRotationOnlyWhenIdle(t *testing.T) {
-	safe := decide.Class{AimMs: 1000, DeadlineMs: 3000, Effect: decide.Safe, Worth: 1, Need: 1, Floor: 1}
-	c := New(Options{Settings: decide.Settings{Roots: 1, TickMs: 1, Cells: 1, InARow: 1, MaxAttempts: 3, Classes: []decide.Class{safe}}})
+	class := decide.Class{AimMs: 1000, DeadlineMs: 3000, Effect: decide.Safe, Worth: 1, Need: 1, Floor: 1}
+	c := New(Options{Settings: decide.Settings{Roots: 1, TickMs: 1, Cells: 1, InARow: 1, MaxAttempts: 3, Classes: []decide.Class{class}}})
 	now := time.Now()
 	for addr, state := range map[decide.Addr]decide.State{1: decide.Ready, 2: decide.Draining, 3: decide.Gone} {
 		c.nodes[addr] = &nodeState{Node: Node{State: state}, lastSentAt: now}
@@ -61,17 +62,17 @@
 	}, nil)
 	c.root.Step(1001, []decide.Event{{Kind: decide.AttemptDone, ID: 11, Addr: 1, Outcome: decide.Rejected, TookMs: 1}}, nil)
 	if !c.root.InDoubt(1) {
-		t.Fatal("a node that fails is not in doubt")
+		t.Fatal("a failing node is not suspected")
 	}
-	for ago, avoided := range map[time.Duration]int{0: 1, outOfRotationAfter: 1, outOfRotationAfter + time.Millisecond: 2} {
-		if got := c.countRoster(now.Add(ago)); got != (RosterCounts{Listed: 2, OutOfRotation: avoided}) {
-			t.Errorf("%v after an attempt: %+v, want %d avoided", ago, got, avoided)
+	for sinceSent, wantOut := range map[time.Duration]int{0: 1, outOfRotationAfter: 1, outOfRotationAfter + time.Millisecond: 2} {
+		if got := c.countRoster(now.Add(sinceSent)); got != (RosterCounts{Listed: 2, OutOfRotation: wantOut}) {
+			t.Errorf("%v after an attempt: %+v, want %d out of rotation", sinceSent, got, wantOut)
 		}
 	}
 }
 
-// BenchmarkMetrics is what the counts add to a query: its one final answer and one attempt
-// for each of four parts. A query costs the core some 60 microseconds.
+// BenchmarkQueryCounters measures what counting adds to a query with four parts: one final
+// reply and four attempts. A query costs the core some 60 microseconds.
 func BenchmarkQueryCounters(b *testing.B) {
 	c := New(Options{Settings: decide.Settings{Classes: make([]decide.Class, 4)}})
 	for b.Loop() {
--- a/broker/observe_test.go
+++ b/broker/observe_test.go
@@ -10,11 +10,11 @@
 	"onyxsail/decide"
 )
 
-// told keeps what an observer hears, as text.
+// recordingObserver is an Observer that records each call as text.
 type recordingObserver struct {
 	mu     sync.Mutex
 	events []string
-	newest chan string
+	newest chan string // signals new events
 }
 
 func (o *recordingObserver) note(format string, args ...any) {
@@ -27,20 +27,20 @@
 	}
 }
 func (o *recordingObserver) QueryReceived(id QueryID, q *Query, _ time.Time) {
-	o.note("taken %d %s", id, q.RequestID)
+	o.note("received %d %s", id, q.RequestID)
 }
 func (o *recordingObserver) QueryTurnedAway(q *Query, _ time.Time) {
 	o.note("turned away %s", q.RequestID)
 }
 func (o *recordingObserver) AttemptOpened(info AttemptInfo) {
-	o.note("opened %d shard %d n %d why %d", info.ID, info.Shard, info.Index, info.Reason)
+	o.note("opened %d shard %d index %d reason %d", info.ID, info.Shard, info.Index, info.Reason)
 }
 func (o *recordingObserver) AttemptCancelled(id AttemptID, _ time.Time) { o.note("cancelled %d", id) }
 func (o *recordingObserver) NodeSuspected(node string, suspected bool, _ time.Time) {
-	o.note("doubted %s %v", node, suspected)
+	o.note("suspected %s %v", node, suspected)
 }
 func (o *recordingObserver) QueryEnded(id QueryID, r *Reply, _ time.Time) {
-	o.note("final %d %d", id, r.Verdict)
+	o.note("query-ended %d %d", id, r.Verdict)
 }
 func (o *recordingObserver) AttemptEnded(id AttemptID, outcome decide.Outcome, cause EndCause, _, _ time.Time) {
 	o.note("ended %d %d by %d", id, outcome, cause)
@@ -63,13 +63,13 @@
 		select {
 		case <-o.newest:
 		case <-limit:
-			t.Fatalf("never heard %q, but %q", text, o.events)
+			t.Fatalf("never observed %q, only %q", text, o.events)
 		}
 	}
 }
 
-// Each query has one beginning and one end, each attempt one opening and one
-// outcome, with its reason and its cause.
+// The observer must see one start and one end of each query and of each attempt, with the
+// attempt's reason and the cause of its end.
 func TestObserverSeesEachStartAndEndOnce(t *testing.T) {
 	c, nodes := newTestCore(3)
 	o := &recordingObserver{newest: make(chan string, 100)}
@@ -78,39 +78,39 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { c.Run(ctx); close(ended) }()
-	got := make(replies, 10)
+	got := make(replyChan, 10)
 	c.Submit(newQuery(), got)
 	<-nodes.sendCalls
 	<-nodes.sendCalls
 	nodes.mu.Lock()
 	first, second := nodes.sent[0].ID, nodes.sent[1].ID
 	nodes.mu.Unlock()
-	o.wait(t, fmt.Sprintf("opened %d shard 0 n 0 why 0", first))
-	c.AttemptOutcome(first, decide.Failed, Response{}) // so that the part is tried again
+	o.wait(t, fmt.Sprintf("opened %d shard 0 index 0 reason 0", first))
+	c.AttemptOutcome(first, decide.Failed, Response{}) // makes the module retry the part
 	<-nodes.sendCalls
 	nodes.mu.Lock()
 	third := nodes.sent[2].ID
 	nodes.mu.Unlock()
-	o.wait(t, fmt.Sprintf("opened %d shard 0 n 1 why %d", third, ReasonRetry))
+	o.wait(t, fmt.Sprintf("opened %d shard 0 index 1 reason %d", third, ReasonRetry))
 	o.wait(t, fmt.Sprintf("ended %d %d by %d", first, decide.Failed, EndedByNode))
 
-	more := newQuery()
-	more.RequestID = "r"
-	c.Submit(more, got) // refused before any attempt
-	o.wait(t, fmt.Sprintf("final 2 %d", Refused))
-	c.Leave(1) // the client leaves with two attempts out
-	o.wait(t, fmt.Sprintf("final 1 %d", ClientLeft))
+	secondQuery := newQuery()
+	secondQuery.RequestID = "r"
+	c.Submit(secondQuery, got) // refused before any attempt
+	o.wait(t, fmt.Sprintf("query-ended 2 %d", Refused))
+	c.Leave(1) // the client disconnects with two attempts outstanding
+	o.wait(t, fmt.Sprintf("query-ended 1 %d", ClientLeft))
 	o.wait(t, fmt.Sprintf("cancelled %d", second))
 	o.wait(t, fmt.Sprintf("ended %d %d by %d", second, decide.Cancelled, EndedByCore))
 	o.wait(t, fmt.Sprintf("ended %d %d by %d", third, decide.Cancelled, EndedByCore))
-	c.AttemptOutcome(third, decide.OK, Response{Value: []byte("late")}) // changes nothing any more
+	c.AttemptOutcome(third, decide.OK, Response{Value: []byte("late")}) // has no effect any more
 
 	c.queue.setLimit(1)
 	c.queue.mu.Lock()
 	c.queue.limit = 0
 	c.queue.mu.Unlock()
-	if _, ok := c.Submit(more, got); ok || !o.has("turned away r") {
-		t.Errorf("a query that found the queue full: %v, %q", ok, o.events)
+	if _, ok := c.Submit(secondQuery, got); ok || !o.has("turned away r") {
+		t.Errorf("a query with the queue full: accepted %v, %q", ok, o.events)
 	}
 	cancel()
 	<-ended
@@ -122,14 +122,15 @@
 			count[fmt.Sprintf("%s %d", kind, id)]++
 		}
 	}
-	for what, n := range count {
+	for event, n := range count {
 		if n != 1 {
-			t.Errorf("%q was told %d times: %q", what, n, o.events)
+			t.Errorf("%q was observed %d times: %q", event, n, o.events)
 		}
 	}
 }
 
-// A copy and a trial are told as such.
+// The observer must see a hedged copy and a probation attempt with their own reasons, not as
+// a retry or a first attempt.
 func TestObserverSeesCopyAndProbationReasons(t *testing.T) {
 	c, _ := newTestCore(3)
 	o := &recordingObserver{newest: make(chan string, 100)}
@@ -147,8 +148,8 @@
 	c.openAttempt(&decide.Action{ID: 5, Addr: 2}, now)
 	c.executeAction(&decide.Action{Kind: decide.Log, Addr: 2, Doubt: true, Text: "x"}, now)
 	want := []string{
-		fmt.Sprintf("opened 1 shard 3 n 0 why %d", ReasonProbation), fmt.Sprintf("opened 2 shard 3 n 1 why %d", ReasonCopy), "cancelled 1",
-		fmt.Sprintf("ended 2 %d by 0", decide.Failed), fmt.Sprintf("opened 3 shard 3 n 2 why %d", ReasonRetry), "doubted b true",
+		fmt.Sprintf("opened 1 shard 3 index 0 reason %d", ReasonProbation), fmt.Sprintf("opened 2 shard 3 index 1 reason %d", ReasonCopy), "cancelled 1",
+		fmt.Sprintf("ended 2 %d by 0", decide.Failed), fmt.Sprintf("opened 3 shard 3 index 2 reason %d", ReasonRetry), "suspected b true",
 	}
 	if fmt.Sprint(o.events) != fmt.Sprint(want) {
 		t.Errorf("got  %q\nwant %q", o.events, want)
