--- a/cli/addresses.go
+++ b/cli/addresses.go
@@ -32,7 +32,7 @@
 				if !ok {
 					return fmt.Errorf("--node: %q is not listed with several addresses", node)
 				}
-				all = map[string][]reach.View{node: views}
+				all = map[string][]reach.AddressStatus{node: views}
 			}
 			if asJSON {
 				return printJSON(cmd.OutOrStdout(), all)
@@ -41,7 +41,7 @@
 			fmt.Fprintln(tw, "NODE\tADDRESS\tWHY\tAGAINST\tNEXT AFTER")
 			for _, id := range slices.Sorted(maps.Keys(all)) {
 				for _, v := range all[id] {
-					fmt.Fprintf(tw, "%s\t%s\t%s\t%.2f\t%s\n", id, v.Text, v.Why, v.Against, v.Delay.Round(100*time.Microsecond))
+					fmt.Fprintf(tw, "%s\t%s\t%s\t%.2f\t%s\n", id, v.Text, v.Reason, v.Suspicion, v.Delay.Round(100*time.Microsecond))
 				}
 			}
 			if err := tw.Flush(); err != nil {
@@ -56,7 +56,7 @@
 }
 
 // addresses asks a broker for them.
-func (r *remote) addresses(ctx context.Context) (map[string][]reach.View, error) {
+func (r *remote) addresses(ctx context.Context) (map[string][]reach.AddressStatus, error) {
 	addr, err := r.target()
 	if err != nil {
 		return nil, err
--- a/daemon/addresses_test.go
+++ b/daemon/addresses_test.go
@@ -54,7 +54,7 @@
 	if code := cli.Main([]string{"addresses", "--node", "s-0", "--addr", d.FlightAddr().String()}, &out, &errs); code != 0 || !strings.Contains(out.String(), sock+"  last-good") {
 		t.Errorf("addresses: %s%s", out.String(), errs.String())
 	}
-	if views := d.Status().Addresses["s-0"]; len(views) != 3 || views[0].Text != sock || views[0].Why != "last-good" {
+	if views := d.Status().Addresses["s-0"]; len(views) != 3 || views[0].Text != sock || views[0].Reason != "last-good" {
 		t.Errorf("status %+v", views)
 	}
 	for range 60 { // further attempts are a share of what came lately
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -185,7 +185,7 @@
 	Store   *store.Status   `json:"store,omitempty"`
 	Tracing *tracing.Counts `json:"tracing,omitempty"`
 	// Addresses of the nodes that have several, the preferred one first.
-	Addresses map[string][]reach.View `json:"addresses,omitempty"`
+	Addresses map[string][]reach.AddressStatus `json:"addresses,omitempty"`
 }
 
 // Status returns the daemon's status.
--- a/daemon/route.go
+++ b/daemon/route.go
@@ -48,7 +48,7 @@
 		}
 		r.claims = reach.NewClaims()
 	}
-	all := make([]reach.Listing, len(nodes))
+	all := make([]reach.NodeAddresses, len(nodes))
 	for i, n := range nodes {
 		all[i].ID = n.ID
 		texts := n.Addrs
@@ -62,10 +62,10 @@
 		}
 	}
 	// The order among those that come in one turn must not be a map's.
-	slices.SortStableFunc(all, func(a, b reach.Listing) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortStableFunc(all, func(a, b reach.NodeAddresses) int { return strings.Compare(a.ID, b.ID) })
 	granted, lost := r.claims.Update(all)
 	for _, l := range lost {
-		r.log.Warn().Str("event", "address-claim").Str("node", l.ID).Str("addr", l.Addr.String()).Str("to", l.To).
+		r.log.Warn().Str("event", "address-claim").Str("node", l.NodeID).Str("addr", l.Addr.String()).Str("to", l.WinnerID).
 			Msg("two nodes are listed with one address; the newer claim has it")
 	}
 	own := make(map[string][]string, len(granted))
--- a/dial/dial.go
+++ b/dial/dial.go
@@ -48,7 +48,7 @@
 // New returns paths to no node. timeout is that of a connection, over all its
 // addresses; conns is how many connections there may be in all.
 func New(d *netio.Dialer, timeout time.Duration, conns int, log zerolog.Logger) *Paths {
-	p := &Paths{dialer: d, timeout: timeout, log: log, start: time.Now(), planner: reach.New(reach.Defaults(conns)), nodes: map[string]*node{}}
+	p := &Paths{dialer: d, timeout: timeout, log: log, start: time.Now(), planner: reach.New(reach.DefaultLimits(conns)), nodes: map[string]*node{}}
 	p.ctx, p.end = context.WithCancel(context.Background())
 	return p
 }
@@ -66,7 +66,7 @@
 	n := p.nodes[id]
 	if len(texts) < 2 {
 		if n != nil {
-			p.planner.Set(id, nil)
+			p.planner.SetAddresses(id, nil)
 			delete(p.nodes, id)
 		}
 		return false
@@ -86,7 +86,7 @@
 		n.addrs[text] = a
 		all = append(all, a)
 	}
-	p.planner.Set(id, all)
+	p.planner.SetAddresses(id, all)
 	return true
 }
 
@@ -120,7 +120,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a, ok := p.find(id, text)
-	return ok && p.planner.Doubtful(id, a, p.at(now))
+	return ok && p.planner.Suspected(id, a, p.at(now))
 }
 
 // Answered says that a node spoke over an address.
@@ -144,7 +144,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a, ok := p.find(id, text); ok {
-		p.planner.Silent(id, a, p.at(since), p.at(now))
+		p.planner.Unresponsive(id, a, p.at(since), p.at(now))
 	}
 }
 
@@ -153,17 +153,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a, ok := p.find(id, text); ok {
-		p.planner.Reset(id, a, p.at(now))
+		p.planner.ConnectionBroken(id, a, p.at(now))
 	}
 }
 
 // Views are the addresses of all nodes here, the preferred one first.
-func (p *Paths) Views() map[string][]reach.View {
+func (p *Paths) Views() map[string][]reach.AddressStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	all := make(map[string][]reach.View, len(p.nodes))
+	all := make(map[string][]reach.AddressStatus, len(p.nodes))
 	for id := range p.nodes {
-		all[id] = p.planner.Order(id, p.at(time.Now()))
+		all[id] = p.planner.AddressStatuses(id, p.at(time.Now()))
 	}
 	return all
 }
@@ -181,7 +181,7 @@
 // its dials have ended. text is the address that it leads to.
 func (p *Paths) Dial(ctx context.Context, id string) (conn net.Conn, text string, err error) {
 	p.mu.Lock()
-	r := p.planner.Begin(id, p.at(time.Now()))
+	r := p.planner.BeginRace(id, p.at(time.Now()))
 	p.mu.Unlock()
 	if r == nil {
 		return nil, "", errors.New("dialling a node: it has no address, or too many dials are out")
@@ -194,7 +194,7 @@
 func (p *Paths) Trial(id string) *reach.Race {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.planner.Trial(id, p.at(time.Now()))
+	return p.planner.BeginProbation(id, p.at(time.Now()))
 }
 
 // Proved says that an address has stood its trial.
@@ -202,7 +202,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a, ok := p.find(id, text); ok {
-		p.planner.Proved(id, a, p.at(now))
+		p.planner.ProbationPassed(id, a, p.at(now))
 	}
 }
 
@@ -235,8 +235,8 @@
 			break
 		}
 		timer.Reset(time.Hour)
-		if s.Wait > 0 {
-			timer.Reset(max(0, s.Wait-now))
+		if s.WakeAt > 0 {
+			timer.Reset(max(0, s.WakeAt-now))
 		}
 		select {
 		case <-timer.C:
@@ -267,16 +267,16 @@
 	now := p.at(time.Now())
 	switch {
 	case e.err == nil:
-		if r.Up(e.addr, e.took, now) {
+		if r.Connected(e.addr, e.took, now) {
 			return true
 		}
 		_ = e.conn.Close()
 	case errors.Is(e.err, context.Canceled), netio.LocalFailure(e.err):
-		r.Dropped(e.addr, now)
+		r.DialCancelled(e.addr, now)
 	case errors.Is(e.err, context.DeadlineExceeded), errors.Is(e.err, os.ErrDeadlineExceeded), errors.Is(e.err, syscall.ETIMEDOUT):
-		r.Failed(e.addr, reach.TimedOut, now)
+		r.DialFailed(e.addr, reach.DialTimedOut, now)
 	default:
-		r.Failed(e.addr, reach.Refused, now)
+		r.DialFailed(e.addr, reach.DialRefused, now)
 	}
 	return false
 }
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -550,4 +550,4 @@
 }
 
 // Addresses are those of the nodes that have several, the preferred one first.
-func (c *Client) Addresses() map[string][]reach.View { return c.paths.Views() }
+func (c *Client) Addresses() map[string][]reach.AddressStatus { return c.paths.Views() }
--- a/flightnode/paths_test.go
+++ b/flightnode/paths_test.go
@@ -62,7 +62,7 @@
 	}
 	list(gone, sock, n.Addr)
 	send(1, time.Minute, decide.OK)
-	if views := c.Addresses()["n"]; len(views) != 3 || views[0].Text != sock || views[0].Why != "last-good" || views[2].Text != gone {
+	if views := c.Addresses()["n"]; len(views) != 3 || views[0].Text != sock || views[0].Reason != "last-good" || views[2].Text != gone {
 		t.Errorf("order %+v", views)
 	}
 	list(gone, n.Addr)
--- a/nodeclient/conn.go
+++ b/nodeclient/conn.go
@@ -426,8 +426,8 @@
 			cn.left(cl, time.Now())
 		}
 		delete(cn.c.where, cl.ID)
-		r := reach.Rule(reach.Cut(cl.first, cl.end, written))
-		if r.Elsewhere && cn.sock != nil && cn.move(cl) {
+		r := reach.DispositionOf(reach.ClassifyClose(cl.first, cl.end, written))
+		if r.TryOtherAddress && cn.sock != nil && cn.move(cl) {
 			continue
 		}
 		if cn.local { // tells nothing of the node
--- a/nodeclient/race.go
+++ b/nodeclient/race.go
@@ -11,7 +11,7 @@
 )
 
 // Addresses are those of the nodes that have several, the preferred one first.
-func (c *Client) Addresses() map[string][]reach.View { return c.paths.Views() }
+func (c *Client) Addresses() map[string][]reach.AddressStatus { return c.paths.Views() }
 
 // leads says whether a connection's address is still one of its node's.
 func (cn *conn) leads() bool {
--- a/nodeclient/race_test.go
+++ b/nodeclient/race_test.go
@@ -123,7 +123,7 @@
 			if calls := n.Calls(); len(calls) != 3 {
 				t.Errorf("%d parts ran, want 3", len(calls))
 			}
-			if views := c.Addresses()["n"]; views[0].Text == first || views[0].Why != "last-good" {
+			if views := c.Addresses()["n"]; views[0].Text == first || views[0].Reason != "last-good" {
 				t.Errorf("order %+v", views)
 			}
 		})
@@ -230,11 +230,11 @@
 	c.list("unix:"+path, n.Addr) // nobody listens at the path yet
 	c.send("n", attempt(1))
 	s.wait(t, 1, decide.OK)
-	if views := c.Addresses()["n"]; views[1].Why != "in-doubt" {
+	if views := c.Addresses()["n"]; views[1].Reason != "in-doubt" {
 		t.Fatalf("order %+v", views)
 	}
 	n.Also(t, "unix", path)
-	testkit.Eventually(t, "the trial", func() bool { return c.Addresses()["n"][1].Why == "proven" })
+	testkit.Eventually(t, "the trial", func() bool { return c.Addresses()["n"][1].Reason == "proven" })
 	if views := c.Addresses()["n"]; views[0].Text != n.Addr || len(n.Calls()) != 1 {
 		t.Errorf("order %+v after %d parts", views, len(n.Calls()))
 	}
--- a/reach/claims.go
+++ b/reach/claims.go
@@ -2,64 +2,64 @@
 
 import "onyxsail/internal/address"
 
-// Listing is a node with the addresses that its list gives it.
-type Listing struct {
+// NodeAddresses is a listed node with its addresses, in the order of the list.
+type NodeAddresses struct {
 	ID    string
 	Addrs []address.Address
 }
 
-// Claims settles which node an address belongs to where two listed ones name
-// it: the newer claim, as a process that takes over a port or a path is listed
-// after the one it took it from. It does no I/O.
+// Claims resolves which node owns an address that several listed nodes name. The newest claim
+// wins, as a process that takes over a port or socket path is listed after the process that
+// it took it from. It does no I/O.
 type Claims struct {
-	since map[claim]uint64 // the turn in which a listed node began to name an address
-	turn  uint64
+	claimedAt  map[claim]uint64 // generation of the update in which a node began to name an address
+	generation uint64           // number of updates so far
 }
 
+// claim is the claim of a node to an address.
 type claim struct {
-	id   string
-	addr address.Address
+	nodeID string
+	addr   address.Address
 }
 
-// NewClaims returns claims on nothing.
-func NewClaims() *Claims { return &Claims{since: map[claim]uint64{}} }
+// NewClaims returns an empty set of claims.
+func NewClaims() *Claims { return &Claims{claimedAt: map[claim]uint64{}} }
 
-// Lost is an address that a node names and does not get.
-type Lost struct {
-	ID, To string
-	Addr   address.Address
+// LostClaim is an address that a node names but that is granted to another node.
+type LostClaim struct {
+	NodeID, WinnerID string
+	Addr             address.Address
 }
 
-// Update takes all nodes as they are listed now, the addresses of each in its
-// order, and gives those that belong to each. Of two nodes that begin to name
-// an address in one turn the later in the list has it. A node that is no longer
-// listed, or no longer names an address, loses its claim, and a later one of its
-// counts as new.
-func (c *Claims) Update(all []Listing) (granted []Listing, lost []Lost) {
-	c.turn++
-	since := make(map[claim]uint64, len(c.since))
-	holder := map[address.Address]claim{}
-	for _, l := range all {
-		for _, a := range l.Addrs {
-			own := claim{l.ID, a}
-			at, had := c.since[own]
+// Update takes all nodes as they are listed now and returns the addresses granted to each,
+// in the node's order, and the claims that lost. If two nodes begin to name an address in the
+// same update, the later one in the list wins. A node that is no longer listed, or no longer
+// names an address, loses its claim; if it names the address again, that is a new claim.
+func (c *Claims) Update(nodes []NodeAddresses) (granted []NodeAddresses, lost []LostClaim) {
+	c.generation++
+	claimedAt := make(map[claim]uint64, len(c.claimedAt))
+	winners := map[address.Address]claim{}
+	for _, node := range nodes {
+		for _, a := range node.Addrs {
+			own := claim{node.ID, a}
+			claimedIn, had := c.claimedAt[own]
 			if !had {
-				at = c.turn
+				claimedIn = c.generation
 			}
-			since[own] = at
-			if other, taken := holder[a]; !taken || at >= since[other] {
-				holder[a] = own
+			claimedAt[own] = claimedIn
+			if rival, taken := winners[a]; !taken || claimedIn >= claimedAt[rival] {
+				winners[a] = own
 			}
 		}
 	}
-	c.since = since
-	for _, l := range all {
-		own := Listing{ID: l.ID}
-		for _, a := range l.Addrs {
-			if to := holder[a].id; to == l.ID {
+	c.claimedAt = claimedAt
+	for _, node := range nodes {
+		own := NodeAddresses{ID: node.ID}
+		for _, a := range node.Addrs {
+			if winnerID := winners[a].nodeID; winnerID == node.ID {
 				own.Addrs = append(own.Addrs, a)
 			} else {
-				lost = append(lost, Lost{l.ID, to, a})
+				lost = append(lost, LostClaim{node.ID, winnerID, a})
 			}
 		}
 		granted = append(granted, own)
--- a/reach/outcome.go
+++ b/reach/outcome.go
@@ -2,61 +2,62 @@
 
 import "onyxsail/decide"
 
-// Event is how an attempt at one address of a node can end without an answer.
-type Event uint8
+// AttemptFailure is how an attempt at one address of a node can end without an answer.
+type AttemptFailure uint8
 
-// The events.
+// The failures of an attempt.
 const (
-	DialRefused     Event = iota // nobody listens there
-	DialTimedOut                 // the connection never came up
-	NotGreeted                   // it came up, and the other side never said its first words (Flight)
-	NothingLeft                  // it ended before the first byte of the frame had left
-	PartLeft                     // it ended between the frame's first byte and its last
-	WholeLeft                    // it ended after the frame's last byte had left
-	StreamNotOpened              // Flight could not open the stream
-	StreamEnded                  // the stream had been opened, and ended without an answer
-	NoAnswer                     // the time for it ran out after the frame or ticket had left
-	events
+	FailureDialRefused       AttemptFailure = iota // nothing listens at the address
+	FailureDialTimedOut                            // the connection was not established in time
+	FailureNoHandshake                             // connected, but the peer never sent its first bytes (Flight)
+	FailureClosedBeforeFrame                       // connection closed before the first byte of the frame was written
+	FailureClosedMidFrame                          // connection closed between the frame's first byte and its last
+	FailureClosedAfterFrame                        // connection closed after the frame's last byte was written
+	FailureStreamNotOpened                         // the Flight stream could not be opened
+	FailureStreamEnded                             // the Flight stream was opened and ended without an answer
+	FailureNoAnswer                                // timed out after the frame or ticket was written
+	failureCount
 )
 
-// Ruling says what becomes of an attempt after an event.
-type Ruling struct {
-	// Elsewhere: the part may be sent at another address of the node within the
-	// same attempt, as nothing of it can have reached the node.
-	Elsewhere bool
-	// Outcome goes to the core where the part is not sent elsewhere, or no other
-	// address is left. Whether the part is sent again then is the module's to
-	// decide, by its class, and counts as an attempt.
+// Disposition is how an attempt continues after a failure.
+type Disposition struct {
+	// TryOtherAddress is set if the part may be sent to another address of the node within
+	// the same attempt, as nothing of it can have reached the node.
+	TryOtherAddress bool
+	// Outcome is reported to the core if the part is not sent to another address or none is
+	// left. The decision module then decides by the query's class whether to retry the part,
+	// which counts as an attempt.
 	Outcome decide.Outcome
 }
 
-// rulings is the one place that says what may have run. A frame of which only
-// a part has left cannot run (PROTOCOL's outcomes on breaks), but something of
-// it is with the node: that it goes no further is the core's to hear.
-var rulings = [events]Ruling{
-	DialRefused:     {true, decide.Unreachable},
-	DialTimedOut:    {true, decide.Unreachable},
-	NotGreeted:      {true, decide.Unreachable},
-	NothingLeft:     {true, decide.Unreachable},
-	PartLeft:        {false, decide.Unreachable},
-	WholeLeft:       {false, decide.Broken},
-	StreamNotOpened: {true, decide.Unreachable},
-	StreamEnded:     {false, decide.Broken},
-	NoAnswer:        {false, decide.TimedOut},
+// dispositions is the only place that defines after which failures a part may have run. A
+// frame that was only partly written cannot run (see the outcomes of broken connections in
+// PROTOCOL), but as some of it may have reached the node, the part is not sent to another
+// address and the failure is reported to the core.
+var dispositions = [failureCount]Disposition{
+	FailureDialRefused:       {true, decide.Unreachable},
+	FailureDialTimedOut:      {true, decide.Unreachable},
+	FailureNoHandshake:       {true, decide.Unreachable},
+	FailureClosedBeforeFrame: {true, decide.Unreachable},
+	FailureClosedMidFrame:    {false, decide.Unreachable},
+	FailureClosedAfterFrame:  {false, decide.Broken},
+	FailureStreamNotOpened:   {true, decide.Unreachable},
+	FailureStreamEnded:       {false, decide.Broken},
+	FailureNoAnswer:          {false, decide.TimedOut},
 }
 
-// Rule gives the ruling on an event.
-func Rule(e Event) Ruling { return rulings[e] }
+// DispositionOf returns the disposition for a failure.
+func DispositionOf(failure AttemptFailure) Disposition { return dispositions[failure] }
 
-// Cut is the event of a connection that ended, by the positions in its stream:
-// the frame's first byte and its last, and how many bytes had left. end is 0 for
-// a frame that was never written.
-func Cut(first, end, left int64) Event {
+// ClassifyClose returns the failure of an attempt whose connection was closed. The arguments
+// are offsets in the connection's byte stream: where the frame starts and ends, and how many
+// bytes had been written. frameEnd is 0 for a frame that was never written.
+func ClassifyClose(frameStart, frameEnd, written int64) AttemptFailure {
 	switch {
-	case end == 0 || left <= first:
-		return NothingLeft
-	case left < end:
-		return PartLeft
+	case frameEnd == 0 || written <= frameStart:
+		return FailureClosedBeforeFrame
+	case written < frameEnd:
+		return FailureClosedMidFrame
 	}
-	return WholeLeft
+	return FailureClosedAfterFrame
 }
--- a/reach/reach.go
+++ b/reach/reach.go
@@ -1,13 +1,12 @@
-// Package reach decides at which of its addresses a node is reached: in which
-// order they are tried, when the next one is tried beside the last, which one is
-// preferred, and when one in doubt is tried again. It does no I/O and reads no
-// clock: what dials and connections did goes in, with its time, and what to do
-// comes out. The same inputs give the same answers.
+// Package reach selects the address at which a node is contacted: in which order its addresses
+// are dialed, when the next one is dialed in parallel, which one is preferred, and when a
+// suspected one is tried again. It does no I/O and reads no clock: the results of dials and
+// connections are passed in with their times, and the next step is returned. It is
+// deterministic.
 //
-// Attempts are staggered in the manner of Happy Eyeballs (RFC 8305): the next
-// address is dialled when the last one has failed, or has taken longer than its
-// own connects usually do. The cost of an operation grows with the addresses of
-// one node, never with the number of nodes.
+// Dials are staggered as in Happy Eyeballs (RFC 8305): the next address is dialed when the
+// previous one has failed or has taken longer than its connects usually do. The cost of an
+// operation grows with the number of addresses of one node, not with the number of nodes.
 package reach
 
 import (
@@ -17,111 +16,116 @@
 	"onyxsail/internal/address"
 )
 
-// Limits bound a Planner.
+// Limits configures a Planner.
 type Limits struct {
-	// Delay between two dials of one race: the first for an address that never
-	// connected, the others bound what is learned.
-	DelayFirst, DelayLeast, DelayMost time.Duration
-	// PerNode and All bound the dials that are out, at one node and over all.
-	PerNode, All int
-	// Fade is the half-life of evidence against an address.
-	Fade time.Duration
-	// TrialFirst is the pause before an address in doubt is tried again; it
-	// doubles up to TrialMost. TrialEvery lies between two trials over all.
-	TrialFirst, TrialMost, TrialEvery time.Duration
+	// InitialDelay is the delay between two dials of one race after an address that has
+	// never connected. MinDelay and MaxDelay bound the delay that is derived from the
+	// measured connect times of an address.
+	InitialDelay, MinDelay, MaxDelay time.Duration
+	// MaxDialsPerNode and MaxDials bound the dials in progress, per node and in total.
+	MaxDialsPerNode, MaxDials int
+	// SuspicionHalfLife is the half-life of an address's suspicion level.
+	SuspicionHalfLife time.Duration
+	// InitialProbationBackoff is how long after a failure a suspected address is tried
+	// again; it doubles with each failure up to MaxProbationBackoff. ProbationInterval is
+	// the minimum time between two probation dials of all nodes together.
+	InitialProbationBackoff, MaxProbationBackoff, ProbationInterval time.Duration
 }
 
-// Defaults are the limits of a broker with so many connections to nodes.
-func Defaults(conns int) Limits {
+// DefaultLimits returns the limits for a broker with the given number of connections to
+// nodes.
+func DefaultLimits(conns int) Limits {
 	return Limits{
-		DelayFirst: 25 * time.Millisecond, DelayLeast: 5 * time.Millisecond, DelayMost: 40 * time.Millisecond,
-		PerNode: 3, All: max(3, conns/8), Fade: 10 * time.Second,
-		TrialFirst: 500 * time.Millisecond, TrialMost: 30 * time.Second, TrialEvery: 50 * time.Millisecond,
+		InitialDelay: 25 * time.Millisecond, MinDelay: 5 * time.Millisecond, MaxDelay: 40 * time.Millisecond,
+		MaxDialsPerNode: 3, MaxDials: max(3, conns/8), SuspicionHalfLife: 10 * time.Second,
+		InitialProbationBackoff: 500 * time.Millisecond, MaxProbationBackoff: 30 * time.Second, ProbationInterval: 50 * time.Millisecond,
 	}
 }
 
-// Weights of evidence, and where doubt begins.
+// Weights by which failures raise the suspicion level (0 to 1) of an address, the threshold
+// above which it is suspected, and the parameters of the connect time estimate.
 const (
-	refusedWeight = 0.6 // an answer that nobody listens: one is enough for doubt
-	timeoutWeight = 0.6
-	silentWeight  = 0.55
-	resetWeight   = 0.3 // a connection that broke: two close together
-	doubtAt       = 0.5
-	smooth        = 0.2 // weight of one connect in an address's usual time
-	spread        = 4   // deviations over the mean until a connect is late (RFC 6298, section 2)
+	dialRefusedWeight  = 0.6 // connection refused: a single one exceeds the threshold
+	dialTimeoutWeight  = 0.6
+	unresponsiveWeight = 0.55
+	connBrokenWeight   = 0.3 // a connection broke: two within a short time exceed the threshold
+	suspicionThreshold = 0.5
+	smoothingFactor    = 0.2 // weight of the latest connect in the moving averages
+	deviationFactor    = 4   // a connect is late after the mean and this many deviations (RFC 6298, section 2)
 )
 
-// Failure is why a dial came to nothing.
-type Failure uint8
+// DialFailure is why a dial failed.
+type DialFailure uint8
 
 // The failures of a dial.
 const (
-	Refused  Failure = iota // nobody listens, or there is no way
-	TimedOut                // it never came up
+	DialRefused  DialFailure = iota // nothing listens, or there is no route
+	DialTimedOut                    // not established in time
 )
 
-// Step is what a race wants next.
-type Step struct {
-	Dial   address.Address // if not zero: dial this, and ask again
-	Wait   time.Duration   // if not zero: ask again then, or when a dial ends
-	GiveUp bool            // no address is left to try
+// RaceStep is what the caller of a race must do next.
+type RaceStep struct {
+	Dial   address.Address // if not zero: dial this address and call Next again
+	WakeAt time.Duration   // if not zero: call Next again at this time or when a dial ends
+	GiveUp bool            // no address is left to dial
 }
 
-// Reason says why addresses stand in their order.
-type Reason string
+// OrderReason is why an address has its place in the order.
+type OrderReason string
 
-// The reasons, as `status` shows them.
+// The reasons for an address's place, as shown by `status`.
 const (
-	LastGood  Reason = "last-good" // it answered last
-	ProvenFor Reason = "proven"    // it has answered before
-	Untried   Reason = "untried"
-	InDoubt   Reason = "in-doubt"
+	LastGood  OrderReason = "last-good" // the node last answered at it
+	Proven    OrderReason = "proven"    // the node has answered at it before
+	Untried   OrderReason = "untried"
+	Suspected OrderReason = "in-doubt"
 )
 
-// View is one address as the planner sees it.
-type View struct {
-	Addr    address.Address `json:"-"`
-	Text    string          `json:"addr"`
-	Why     Reason          `json:"why"`
-	Against float64         `json:"against"` // evidence against it, 0 to 1
-	Delay   time.Duration   `json:"delay"`   // until the next address is tried beside it
+// AddressStatus is the planner's state of one address.
+type AddressStatus struct {
+	Addr      address.Address `json:"-"`
+	Text      string          `json:"addr"`
+	Reason    OrderReason     `json:"why"`
+	Suspicion float64         `json:"against"` // suspicion level, 0 to 1
+	Delay     time.Duration   `json:"delay"`   // until the next address is dialed in parallel
 }
 
-// Planner holds what is known of all nodes. It is not safe for concurrent use.
+// Planner holds the state of all nodes and their addresses. It is not safe for concurrent use.
 type Planner struct {
-	limits  Limits
-	nodes   map[string]*node
-	out     int           // dials that are out
-	trialAt time.Duration // when the next trial may go
+	limits          Limits
+	nodes           map[string]*node
+	dialsOut        int           // dials in progress
+	nextProbationAt time.Duration // earliest time of the next probation dial
 }
 
+// node is a node with its addresses, in the order of the list.
 type node struct {
-	states []*state
-	last   *state // answered last
-	out    int
-	answer time.Duration // when any address last answered
+	addrs        []*addrState
+	lastGood     *addrState // address at which the node last answered
+	dialsOut     int
+	lastAnswerAt time.Duration // when the node last answered at any address
 }
 
-// state is one address of a node.
-type state struct {
-	addr      address.Address
-	bad       float64 // evidence against it at badAt
-	badAt     time.Duration
-	connected bool
-	answered  bool
-	mean, dev time.Duration // of its connects
-	trialAt   time.Duration
-	trialGap  time.Duration
-	gone      bool // no longer of the node
+// addrState is the state of one address of a node.
+type addrState struct {
+	addr                    address.Address
+	suspicion               float64 // suspicion level at suspicionAt
+	suspicionAt             time.Duration
+	connected               bool
+	answered                bool
+	connectMean, connectDev time.Duration // moving averages of its connect times and of their deviation
+	probationAt             time.Duration
+	probationBackoff        time.Duration
+	removed                 bool // the node no longer has this address
 }
 
-// New returns a planner that knows no node.
-func New(l Limits) *Planner { return &Planner{limits: l, nodes: map[string]*node{}} }
+// New returns a planner without nodes.
+func New(limits Limits) *Planner { return &Planner{limits: limits, nodes: map[string]*node{}} }
 
-// Set tells a node's addresses, in the order of preference that its list gives.
-// What is known of those that stay is kept; races over one that went do not
-// dial it any more. No address: the node is gone.
-func (p *Planner) Set(id string, addrs []address.Address) {
+// SetAddresses sets a node's addresses, in the list's order of preference. The state of
+// remaining addresses is kept, and running races no longer dial removed ones. Without
+// addresses, the node is removed.
+func (p *Planner) SetAddresses(id string, addrs []address.Address) {
 	n := p.nodes[id]
 	if n == nil {
 		if len(addrs) == 0 {
@@ -130,22 +134,22 @@
 		n = &node{}
 		p.nodes[id] = n
 	}
-	old := n.states
-	n.states = nil
+	previous := n.addrs
+	n.addrs = nil
 	for _, a := range addrs {
 		if n.find(a) != nil {
 			continue
 		}
-		i := slices.IndexFunc(old, func(s *state) bool { return s.addr == a })
+		i := slices.IndexFunc(previous, func(s *addrState) bool { return s.addr == a })
 		if i >= 0 {
-			n.states = append(n.states, old[i])
+			n.addrs = append(n.addrs, previous[i])
 		} else {
-			n.states = append(n.states, &state{addr: a})
+			n.addrs = append(n.addrs, &addrState{addr: a})
 		}
 	}
-	for _, s := range old {
-		if s.gone = n.find(s.addr) == nil; s.gone && n.last == s {
-			n.last = nil
+	for _, s := range previous {
+		if s.removed = n.find(s.addr) == nil; s.removed && n.lastGood == s {
+			n.lastGood = nil
 		}
 	}
 	if len(addrs) == 0 {
@@ -153,8 +157,8 @@
 	}
 }
 
-func (n *node) find(a address.Address) *state {
-	for _, s := range n.states {
+func (n *node) find(a address.Address) *addrState {
+	for _, s := range n.addrs {
 		if s.addr == a {
 			return s
 		}
@@ -162,47 +166,50 @@
 	return nil
 }
 
-// against is the evidence against an address, faded.
-func (p *Planner) against(s *state, now time.Duration) float64 {
-	if s.bad == 0 {
+// suspicion returns the suspicion level of an address, decayed to now.
+func (p *Planner) suspicion(s *addrState, now time.Duration) float64 {
+	if s.suspicion == 0 {
 		return 0
 	}
-	// Half-lives by halving: exact enough, and no floating power on this path.
-	bad, age := s.bad, max(0, now-s.badAt)
-	for ; age >= p.limits.Fade && bad > 1e-6; age -= p.limits.Fade {
-		bad /= 2
+	// Halves once per half-life and interpolates linearly: accurate enough, and avoids
+	// math.Pow on this path.
+	suspicion, age := s.suspicion, max(0, now-s.suspicionAt)
+	for ; age >= p.limits.SuspicionHalfLife && suspicion > 1e-6; age -= p.limits.SuspicionHalfLife {
+		suspicion /= 2
 	}
-	return bad * (1 - 0.5*float64(min(age, p.limits.Fade))/float64(p.limits.Fade))
+	return suspicion * (1 - 0.5*float64(min(age, p.limits.SuspicionHalfLife))/float64(p.limits.SuspicionHalfLife))
 }
 
-func (p *Planner) blame(s *state, now time.Duration, weight float64) {
-	bad := p.against(s, now)
-	before := bad > doubtAt
-	s.bad, s.badAt = bad+weight*(1-bad), now
-	if s.bad > doubtAt {
-		if !before {
-			s.trialGap = p.limits.TrialFirst
+// addSuspicion raises the suspicion level of an address after a failure. If that exceeds the
+// threshold, it schedules the next probation dial.
+func (p *Planner) addSuspicion(s *addrState, now time.Duration, weight float64) {
+	suspicion := p.suspicion(s, now)
+	wasSuspected := suspicion > suspicionThreshold
+	s.suspicion, s.suspicionAt = suspicion+weight*(1-suspicion), now
+	if s.suspicion > suspicionThreshold {
+		if !wasSuspected {
+			s.probationBackoff = p.limits.InitialProbationBackoff
 		} else {
-			s.trialGap = min(2*max(s.trialGap, p.limits.TrialFirst), p.limits.TrialMost)
+			s.probationBackoff = min(2*max(s.probationBackoff, p.limits.InitialProbationBackoff), p.limits.MaxProbationBackoff)
 		}
-		s.trialAt = now + s.trialGap
+		s.probationAt = now + s.probationBackoff
 	}
 }
 
-// order gives a node's addresses as they are to be tried: those in doubt last,
-// the one that answered last first, then a Unix socket that has proved good,
-// then the families in turn, each in the list's order (RFC 8305, section 4).
-func (p *Planner) order(n *node, now time.Duration) []*state {
-	var good, doubt []*state
-	for _, s := range n.states {
-		if p.against(s, now) > doubtAt {
-			doubt = append(doubt, s)
+// rank returns a node's addresses in the order in which they are dialed: first the one that
+// answered last, then Unix sockets that have answered before, then the address families
+// alternately, each in the list's order (RFC 8305, section 4), and last the suspected ones.
+func (p *Planner) rank(n *node, now time.Duration) []*addrState {
+	var good, suspected []*addrState
+	for _, s := range n.addrs {
+		if p.suspicion(s, now) > suspicionThreshold {
+			suspected = append(suspected, s)
 		} else {
 			good = append(good, s)
 		}
 	}
-	slices.SortStableFunc(doubt, func(a, b *state) int {
-		switch x, y := p.against(a, now), p.against(b, now); {
+	slices.SortStableFunc(suspected, func(a, b *addrState) int {
+		switch x, y := p.suspicion(a, now), p.suspicion(b, now); {
 		case x < y:
 			return -1
 		case x > y:
@@ -210,258 +217,266 @@
 		}
 		return 0
 	})
-	return append(interleave(good, n.last), doubt...)
+	return append(interleave(good, n.lastGood), suspected...)
 }
 
-func interleave(in []*state, last *state) []*state {
-	var out []*state
-	var families [4][]*state
-	var turn []address.Family // in the order of their first address
-	for _, s := range in {
+// interleave returns the order of addresses that are not suspected; see rank.
+func interleave(addrs []*addrState, lastGood *addrState) []*addrState {
+	var ranked []*addrState
+	var families [4][]*addrState
+	var familyOrder []address.Family // by first occurrence
+	for _, s := range addrs {
 		switch {
-		case s == last:
-			out = append([]*state{s}, out...)
+		case s == lastGood:
+			ranked = append([]*addrState{s}, ranked...)
 		case s.addr.Family == address.Unix && s.answered:
-			out = append(out, s)
+			ranked = append(ranked, s)
 		default:
 			if families[s.addr.Family] == nil {
-				turn = append(turn, s.addr.Family)
+				familyOrder = append(familyOrder, s.addr.Family)
 			}
 			families[s.addr.Family] = append(families[s.addr.Family], s)
 		}
 	}
 	for more := true; more; {
 		more = false
-		for _, f := range turn {
+		for _, f := range familyOrder {
 			if len(families[f]) > 0 {
-				out, families[f], more = append(out, families[f][0]), families[f][1:], true
+				ranked, families[f], more = append(ranked, families[f][0]), families[f][1:], true
 			}
 		}
 	}
-	return out
+	return ranked
 }
 
-// delay is how long a connect to an address is awaited alone.
-func (p *Planner) delay(s *state) time.Duration {
+// attemptDelay returns how long to wait for a connect to an address before the next address
+// is dialed in parallel.
+func (p *Planner) attemptDelay(s *addrState) time.Duration {
 	if !s.connected {
-		return p.limits.DelayFirst
+		return p.limits.InitialDelay
 	}
-	return min(max(s.mean+spread*s.dev, p.limits.DelayLeast), p.limits.DelayMost)
+	return min(max(s.connectMean+deviationFactor*s.connectDev, p.limits.MinDelay), p.limits.MaxDelay)
 }
 
-// Order is how a node's addresses stand, the preferred one first.
-func (p *Planner) Order(id string, now time.Duration) []View {
+// AddressStatuses returns the status of a node's addresses, the preferred one first.
+func (p *Planner) AddressStatuses(id string, now time.Duration) []AddressStatus {
 	n := p.nodes[id]
 	if n == nil {
 		return nil
 	}
-	var views []View
-	for _, s := range p.order(n, now) {
-		v := View{Addr: s.addr, Text: s.addr.String(), Against: p.against(s, now), Delay: p.delay(s), Why: Untried}
+	var statuses []AddressStatus
+	for _, s := range p.rank(n, now) {
+		status := AddressStatus{
+			Addr: s.addr, Text: s.addr.String(), Suspicion: p.suspicion(s, now), Delay: p.attemptDelay(s), Reason: Untried,
+		}
 		switch {
-		case v.Against > doubtAt:
-			v.Why = InDoubt
-		case s == n.last:
-			v.Why = LastGood
+		case status.Suspicion > suspicionThreshold:
+			status.Reason = Suspected
+		case s == n.lastGood:
+			status.Reason = LastGood
 		case s.answered:
-			v.Why = ProvenFor
+			status.Reason = Proven
 		}
-		views = append(views, v)
+		statuses = append(statuses, status)
 	}
-	return views
+	return statuses
 }
 
-// Race is the search for one connection to a node. It ends with Up, with Stop,
-// or when it has given up and no dial is out; each dial that Next asked for
-// ends exactly once, in Up, Failed or Dropped.
+// Race establishes one connection to a node by dialing its addresses. It ends with Connected,
+// with Stop, or when it has given up and no dial is in progress. Each dial requested by Next
+// must be ended exactly once, by Connected, DialFailed or DialCancelled.
 type Race struct {
-	p     *Planner
-	n     *node
-	order []*state
-	next  int
-	out   []*state
-	began time.Duration // of the last dial
-	over  bool
+	planner       *Planner
+	node          *node
+	candidates    []*addrState
+	nextCandidate int
+	dialing       []*addrState
+	lastDialAt    time.Duration // when the last dial began
+	done          bool
 }
 
-// Begin starts a race; nil where the node has no address, or as many dials are
-// out as may be.
-func (p *Planner) Begin(id string, now time.Duration) *Race {
+// BeginRace starts a race. It returns nil if the node has no address or the limit of dials in
+// progress is reached.
+func (p *Planner) BeginRace(id string, now time.Duration) *Race {
 	n := p.nodes[id]
-	if n == nil || p.out >= p.limits.All || n.out >= p.limits.PerNode {
+	if n == nil || p.dialsOut >= p.limits.MaxDials || n.dialsOut >= p.limits.MaxDialsPerNode {
 		return nil
 	}
-	return &Race{p: p, n: n, order: p.order(n, now)}
+	return &Race{planner: p, node: n, candidates: p.rank(n, now)}
 }
 
-// Next says what to do.
-func (r *Race) Next(now time.Duration) Step {
-	if r.over {
-		return Step{GiveUp: true}
+// Next returns the race's next step.
+func (r *Race) Next(now time.Duration) RaceStep {
+	if r.done {
+		return RaceStep{GiveUp: true}
 	}
-	for r.next < len(r.order) && r.order[r.next].gone {
-		r.next++
+	for r.nextCandidate < len(r.candidates) && r.candidates[r.nextCandidate].removed {
+		r.nextCandidate++
 	}
-	if r.next == len(r.order) {
-		return Step{GiveUp: len(r.out) == 0}
+	if r.nextCandidate == len(r.candidates) {
+		return RaceStep{GiveUp: len(r.dialing) == 0}
 	}
-	if len(r.out) > 0 {
-		due := r.began + r.p.delay(r.out[len(r.out)-1])
+	if len(r.dialing) > 0 {
+		due := r.lastDialAt + r.planner.attemptDelay(r.dialing[len(r.dialing)-1])
 		if now < due {
-			return Step{Wait: due}
+			return RaceStep{WakeAt: due}
 		}
-		if r.n.out >= r.p.limits.PerNode || r.p.out >= r.p.limits.All {
-			return Step{} // a dial that ends makes room
+		if r.node.dialsOut >= r.planner.limits.MaxDialsPerNode || r.planner.dialsOut >= r.planner.limits.MaxDials {
+			return RaceStep{} // wait until a dial ends
 		}
-	} else if r.n.out >= r.p.limits.PerNode || r.p.out >= r.p.limits.All {
-		return Step{GiveUp: true}
-	}
-	s := r.order[r.next]
-	r.next++
-	r.out = append(r.out, s)
-	r.began = now
-	r.n.out++
-	r.p.out++
-	if r.p.against(s, now) > doubtAt { // it counts as its trial
-		s.trialAt = now + s.trialGap
-	}
-	return Step{Dial: s.addr}
+	} else if r.node.dialsOut >= r.planner.limits.MaxDialsPerNode || r.planner.dialsOut >= r.planner.limits.MaxDials {
+		return RaceStep{GiveUp: true}
+	}
+	s := r.candidates[r.nextCandidate]
+	r.nextCandidate++
+	r.dialing = append(r.dialing, s)
+	r.lastDialAt = now
+	r.node.dialsOut++
+	r.planner.dialsOut++
+	if r.planner.suspicion(s, now) > suspicionThreshold { // counts as its probation dial
+		s.probationAt = now + s.probationBackoff
+	}
+	return RaceStep{Dial: s.addr}
 }
 
-// ended takes a dial off the books and returns its address's state, nil where
-// no such dial is out.
-func (r *Race) ended(a address.Address) *state {
-	for i, s := range r.out {
+// removeDial removes a dial from those in progress and returns the state of its address, or
+// nil if there is no such dial.
+func (r *Race) removeDial(a address.Address) *addrState {
+	for i, s := range r.dialing {
 		if s.addr == a {
-			r.out = slices.Delete(r.out, i, i+1)
-			r.n.out--
-			r.p.out--
+			r.dialing = slices.Delete(r.dialing, i, i+1)
+			r.node.dialsOut--
+			r.planner.dialsOut--
 			return s
 		}
 	}
 	return nil
 }
 
-// Up says that a dial came up, so long after it began, and ends the race: the
-// dials that are still out are to be broken off, and Dropped told of each. use
-// is false where the address is no longer the node's: the connection is to be
-// closed, and the race goes on.
-func (r *Race) Up(a address.Address, took, now time.Duration) (use bool) {
-	s := r.ended(a)
+// Connected reports that a dial succeeded after took, and ends the race: the caller must
+// cancel the other dials and call DialCancelled for each. If use is false, the caller must
+// close the connection: the race has already ended, or the node no longer has the address,
+// in which case the race continues.
+func (r *Race) Connected(a address.Address, took, now time.Duration) (use bool) {
+	s := r.removeDial(a)
 	if s == nil {
 		return false
 	}
 	if s.connected {
-		s.dev += time.Duration(smooth * float64((took-s.mean).Abs()-s.dev))
-		s.mean += time.Duration(smooth * float64(took-s.mean))
+		s.connectDev += time.Duration(smoothingFactor * float64((took-s.connectMean).Abs()-s.connectDev))
+		s.connectMean += time.Duration(smoothingFactor * float64(took-s.connectMean))
 	} else {
-		s.connected, s.mean, s.dev = true, took, took/2
+		s.connected, s.connectMean, s.connectDev = true, took, took/2
 	}
-	if s.gone || r.over {
+	if s.removed || r.done {
 		return false
 	}
-	r.over = true
+	r.done = true
 	return true
 }
 
-// Failed says that a dial came to nothing.
-func (r *Race) Failed(a address.Address, f Failure, now time.Duration) {
-	if s := r.ended(a); s != nil {
-		weight := refusedWeight
-		if f == TimedOut {
-			weight = timeoutWeight
+// DialFailed reports that a dial failed.
+func (r *Race) DialFailed(a address.Address, failure DialFailure, now time.Duration) {
+	if s := r.removeDial(a); s != nil {
+		weight := dialRefusedWeight
+		if failure == DialTimedOut {
+			weight = dialTimeoutWeight
 		}
-		r.p.blame(s, now, weight)
+		r.planner.addSuspicion(s, now, weight)
 	}
 }
 
-// Dropped says that a dial was broken off, which tells nothing of its address
-// unless it had been outrun for long.
-func (r *Race) Dropped(a address.Address, now time.Duration) {
-	if s := r.ended(a); s != nil && now-r.began > 2*r.p.limits.DelayMost {
-		r.p.blame(s, now, silentWeight)
+// DialCancelled reports that a dial was cancelled. This does not count against its address,
+// unless the last dial of the race began more than twice MaxDelay ago.
+func (r *Race) DialCancelled(a address.Address, now time.Duration) {
+	if s := r.removeDial(a); s != nil && now-r.lastDialAt > 2*r.planner.limits.MaxDelay {
+		r.planner.addSuspicion(s, now, unresponsiveWeight)
 	}
 }
 
-// Stop ends the race; Dropped is told of each dial that is out.
-func (r *Race) Stop() { r.over = true }
+// Stop ends the race. The caller must call DialCancelled for each dial in progress.
+func (r *Race) Stop() { r.done = true }
 
-// Out is the addresses whose dials are out.
-func (r *Race) Out() []address.Address {
-	var all []address.Address
-	for _, s := range r.out {
-		all = append(all, s.addr)
+// Dialing returns the addresses whose dials are in progress.
+func (r *Race) Dialing() []address.Address {
+	var addrs []address.Address
+	for _, s := range r.dialing {
+		addrs = append(addrs, s.addr)
 	}
-	return all
+	return addrs
 }
 
-func (p *Planner) state(id string, a address.Address) (*node, *state) {
+// lookup returns a node and the state of one of its addresses, nil where there is none.
+func (p *Planner) lookup(id string, a address.Address) (*node, *addrState) {
 	if n := p.nodes[id]; n != nil {
 		return n, n.find(a)
 	}
 	return nil, nil
 }
 
-// Answered says that a node has answered over an address: that clears it, and
-// makes it the preferred one. switched says that another one was before.
+// Answered reports that a node has answered at an address. This clears the address's
+// suspicion and makes it the preferred one. switched is true if another one was preferred
+// before.
 func (p *Planner) Answered(id string, a address.Address, now time.Duration) (switched bool) {
-	n, s := p.state(id, a)
+	n, s := p.lookup(id, a)
 	if s == nil {
 		return false
 	}
-	s.bad, s.answered, s.trialGap = 0, true, 0
-	n.answer = now
-	switched = n.last != nil && n.last != s
-	n.last = s
+	s.suspicion, s.answered, s.probationBackoff = 0, true, 0
+	n.lastAnswerAt = now
+	switched = n.lastGood != nil && n.lastGood != s
+	n.lastGood = s
 	return switched
 }
 
-// Doubtful says whether an address is in doubt.
-func (p *Planner) Doubtful(id string, a address.Address, now time.Duration) bool {
-	_, s := p.state(id, a)
-	return s != nil && p.against(s, now) > doubtAt
+// Suspected reports whether an address is suspected.
+func (p *Planner) Suspected(id string, a address.Address, now time.Duration) bool {
+	_, s := p.lookup(id, a)
+	return s != nil && p.suspicion(s, now) > suspicionThreshold
 }
 
-// Silent says that an address of a node keeps parts without a word. Where
-// another address answers, that is evidence against this one, and the node is
-// not to be blamed; where none does, the node itself is silent.
-func (p *Planner) Silent(id string, a address.Address, since, now time.Duration) (node bool) {
-	n, s := p.state(id, a)
+// Unresponsive reports that parts sent to an address of a node get no answer. It raises the
+// address's suspicion. blameNode is false if the node has answered since unansweredSince at
+// one of several addresses, as then the address is at fault; otherwise the node itself is
+// unresponsive.
+func (p *Planner) Unresponsive(id string, a address.Address, unansweredSince, now time.Duration) (blameNode bool) {
+	n, s := p.lookup(id, a)
 	if s == nil {
 		return true
 	}
-	p.blame(s, now, silentWeight)
-	return len(n.states) == 1 || n.answer <= since
+	p.addSuspicion(s, now, unresponsiveWeight)
+	return len(n.addrs) == 1 || n.lastAnswerAt <= unansweredSince
 }
 
-// Reset says that a connection over an address broke.
-func (p *Planner) Reset(id string, a address.Address, now time.Duration) {
-	if _, s := p.state(id, a); s != nil {
-		p.blame(s, now, resetWeight)
+// ConnectionBroken reports that a connection to an address broke.
+func (p *Planner) ConnectionBroken(id string, a address.Address, now time.Duration) {
+	if _, s := p.lookup(id, a); s != nil {
+		p.addSuspicion(s, now, connBrokenWeight)
 	}
 }
 
-// Proved says that an address in doubt has stood its trial. The preferred one
-// stays: work moves only when that fails.
-func (p *Planner) Proved(id string, a address.Address, _ time.Duration) {
-	if _, s := p.state(id, a); s != nil {
-		s.bad, s.answered, s.trialGap = 0, true, 0
+// ProbationPassed reports that a suspected address has worked again on probation. The
+// preferred address does not change: traffic moves only when that one fails.
+func (p *Planner) ProbationPassed(id string, a address.Address, _ time.Duration) {
+	if _, s := p.lookup(id, a); s != nil {
+		s.suspicion, s.answered, s.probationBackoff = 0, true, 0
 	}
 }
 
-// Trial starts a race for an address in doubt that is due to be tried beside
-// the work, at a bounded rate over all; nil where none is. Only a node that can
-// be reached otherwise has trials: else its races try all it has.
-func (p *Planner) Trial(id string, now time.Duration) *Race {
+// BeginProbation starts a race for a suspected address whose probation dial is due, beside
+// the regular traffic and at a limited rate over all nodes. It returns nil if none is due.
+// Only nodes that are reachable at another address have probation dials, as the races of the
+// others dial all addresses anyway.
+func (p *Planner) BeginProbation(id string, now time.Duration) *Race {
 	n := p.nodes[id]
-	if n == nil || now < p.trialAt || n.last == nil || p.out >= p.limits.All || n.out >= p.limits.PerNode {
+	if n == nil || now < p.nextProbationAt || n.lastGood == nil || p.dialsOut >= p.limits.MaxDials || n.dialsOut >= p.limits.MaxDialsPerNode {
 		return nil
 	}
-	for _, s := range n.states {
-		if s != n.last && p.against(s, now) > doubtAt && now >= s.trialAt {
-			s.trialAt = now + s.trialGap // a failure sets it anew, and longer
-			p.trialAt = now + p.limits.TrialEvery
-			return &Race{p: p, n: n, order: []*state{s}}
+	for _, s := range n.addrs {
+		if s != n.lastGood && p.suspicion(s, now) > suspicionThreshold && now >= s.probationAt {
+			s.probationAt = now + s.probationBackoff // a failure moves it further back
+			p.nextProbationAt = now + p.limits.ProbationInterval
+			return &Race{planner: p, node: n, candidates: []*addrState{s}}
 		}
 	}
 	return nil
