--- a/broker/answers.go
+++ b/broker/answers.go
@@ -11,7 +11,7 @@
 
 // applyFinalAction ends a query with the module's Answer, Refuse or Abort action.
 func (c *Core) applyFinalAction(action *decide.Action, now time.Time) {
-	q := c.byModuleID[action.ID]
+	q := c.queriesByModuleID[action.ID]
 	if q == nil {
 		return // already ended in this turn, or the action names a part, which has no reply of its own
 	}
@@ -76,8 +76,8 @@
 // these still follows, exactly once.
 func (c *Core) removeQuery(q *queryState, now time.Time) {
 	delete(c.queries, q.id)
-	delete(c.byRequestID, q.RequestID)
-	delete(c.byModuleID, q.moduleID)
+	delete(c.queriesByRequestID, q.RequestID)
+	delete(c.queriesByModuleID, q.moduleID)
 	c.heldCount -= 1 + len(q.parts)
 	c.stats.open.Add(-1) // before any node is told that its attempt is cancelled
 	for _, p := range q.parts {
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -46,27 +46,27 @@
 	start   time.Time // has the monotonic clock reading that all times are relative to
 	startMs float64   // start in Unix milliseconds
 
-	addrs            map[string]decide.Addr // by node ID
-	lastAddr         decide.Addr            // last one assigned
-	nodes            map[decide.Addr]*nodeState
-	queries          map[QueryID]*queryState
-	byRequestID      map[string]*queryState // by the client's request ID
-	byModuleID       map[uint64]*queryState // by the ID in the module's events
-	parts            map[uint64]*partState  // by the ID in the module's events
-	attempts         map[AttemptID]*attemptState
-	timers           timerHeap
-	startTimes       startTimeEstimator
-	answerDeadline   time.Time // every query must be answered by then; zero: no common deadline
-	lastModuleID     uint64
-	lastAttemptID    AttemptID
-	lastNumber       float64
-	heldCount        int // open queries and their parts
-	events           []decide.Event
-	actions          []decide.Action
-	sendBatch        []Attempt
-	classCounters    atomic.Pointer[[]*classCounters] // by class index
-	lastRosterCounts atomic.Pointer[RosterCounts]     // last result of RosterCounts
-	stats            struct {
+	addrByNodeID       map[string]decide.Addr // by node ID
+	lastAddr           decide.Addr            // last one assigned
+	nodes              map[decide.Addr]*nodeState
+	queries            map[QueryID]*queryState
+	queriesByRequestID map[string]*queryState // by the client's request ID
+	queriesByModuleID  map[uint64]*queryState // by the ID in the module's events
+	parts              map[uint64]*partState  // by the ID in the module's events
+	attempts           map[AttemptID]*attemptState
+	timers             timerHeap
+	startTimes         startTimeEstimator
+	answerDeadline     time.Time // every query must be answered by then; zero: no common deadline
+	lastModuleID       uint64
+	lastAttemptID      AttemptID
+	lastNumber         float64
+	heldCount          int // open queries and their parts
+	events             []decide.Event
+	actions            []decide.Action
+	sendBatch          []Attempt
+	classCounters      atomic.Pointer[[]*classCounters] // by class index
+	lastRosterCounts   atomic.Pointer[RosterCounts]     // last result of RosterCounts
+	stats              struct {
 		queries, served, refused, failed, expired, left, attempts, turns, open atomic.Int64
 	}
 }
@@ -101,8 +101,8 @@
 	c := &Core{
 		opts: opts, root: decide.New(opts.Settings, opts.Seed), queue: newInputQueue(opts.Limits.QueueLimit),
 		start: now, startMs: float64(now.UnixMicro()) / 1000, startTimes: startTimeEstimator{warmUp: durationFromMs(opts.Settings.ColdMs)},
-		addrs: map[string]decide.Addr{}, nodes: map[decide.Addr]*nodeState{},
-		queries: map[QueryID]*queryState{}, byRequestID: map[string]*queryState{}, byModuleID: map[uint64]*queryState{},
+		addrByNodeID: map[string]decide.Addr{}, nodes: map[decide.Addr]*nodeState{},
+		queries: map[QueryID]*queryState{}, queriesByRequestID: map[string]*queryState{}, queriesByModuleID: map[uint64]*queryState{},
 		parts: map[uint64]*partState{}, attempts: map[AttemptID]*attemptState{},
 	}
 	c.growCounters(len(opts.Settings.Classes))
@@ -255,7 +255,7 @@
 			c.endAttempt(attempt, in.outcome, cause, in.response.FirstByteAt, now)
 		}
 	case inputProbeOutcome:
-		if addr, ok := c.addrs[in.nodeID]; ok {
+		if addr, ok := c.addrByNodeID[in.nodeID]; ok {
 			c.events = append(c.events, decide.Event{Kind: decide.ProbeDone, Addr: addr, Outcome: in.outcome,
 				TookMs: float64(in.took.Microseconds()) / 1000})
 		}
@@ -292,7 +292,7 @@
 	remaining := q.Budget - now.Sub(q.ArrivedAt)
 	// Part IDs are derived from the request ID, so the answers of two open queries with the
 	// same ID could be mixed up. Only the later query is rejected.
-	if c.byRequestID[q.RequestID] != nil {
+	if c.queriesByRequestID[q.RequestID] != nil {
 		c.sendReply(q, Reply{Verdict: Duplicate}, now)
 		return
 	}
@@ -310,11 +310,11 @@
 	}
 	c.heldCount += 1 + len(q.Parts)
 	c.stats.open.Add(1)
-	c.queries[q.id], c.byRequestID[q.RequestID] = q, q
+	c.queries[q.id], c.queriesByRequestID[q.RequestID] = q, q
 	c.lastNumber++
 	c.lastModuleID++
 	q.moduleID = c.lastModuleID
-	c.byModuleID[q.moduleID] = q
+	c.queriesByModuleID[q.moduleID] = q
 	event := decide.Event{
 		Kind: decide.QueryCame, ID: q.moduleID, Class: q.Class, Number: c.lastNumber, Retry: q.Retry,
 		LeftMs: float64(remaining.Microseconds()) / 1000, Parts: len(q.Parts), Hinted: true,
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -201,8 +201,8 @@
 		t.Errorf("%d nodes, want 2: the node that left is still kept", len(c.nodes))
 	}
 	c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "c", Addr: "z"}}}, now.Add(nodeRetention+time.Second))
-	if _, ok := c.addrs["a"]; ok || len(c.nodes) != 2 || c.addrs["c"] != 3 {
-		t.Errorf("addrs by node ID: %v", c.addrs)
+	if _, ok := c.addrByNodeID["a"]; ok || len(c.nodes) != 2 || c.addrByNodeID["c"] != 3 {
+		t.Errorf("addrs by node ID: %v", c.addrByNodeID)
 	}
 }
 
@@ -495,7 +495,7 @@
 	} {
 		at := now.Add(time.Duration(i) * time.Second)
 		c.applyRoster(Roster{Kind: step.kind, Nodes: step.entries}, at)
-		if s := c.nodes[c.addrs["a"]].State; s != step.state {
+		if s := c.nodes[c.addrByNodeID["a"]].State; s != step.state {
 			t.Errorf("step %d: state %v, want %v", i, s, step.state)
 		}
 		listed := ""
--- a/broker/observe.go
+++ b/broker/observe.go
@@ -85,13 +85,13 @@
 )
 
 // WireObserver is notified by node clients of what only they can observe. Its methods may be
-// called from any goroutine while a client's lock is held, and must not block.
+// called from any goroutine while the node client holds a lock, and must not block.
 type WireObserver interface {
 	// PhaseReached reports that an attempt has entered a phase; addr is the address that it
 	// is sent to.
 	PhaseReached(id AttemptID, phase WirePhase, addr string, at time.Time)
 	// LateOutcome reports the outcome of an attempt that had already been cancelled.
-	LateOutcome(id AttemptID, o decide.Outcome, at time.Time)
+	LateOutcome(id AttemptID, outcome decide.Outcome, at time.Time)
 	// TraceHeaders returns the headers that propagate the attempt's trace to the next hop;
 	// empty if there is none.
 	TraceHeaders(id AttemptID) (traceparent, tracestate string)
--- a/broker/roster.go
+++ b/broker/roster.go
@@ -46,11 +46,11 @@
 	}
 	readyAtMs := c.startTimesOf(&roster, now)
 	for i, n := range roster.Nodes {
-		addr, ok := c.addrs[n.ID]
+		addr, ok := c.addrByNodeID[n.ID]
 		if !ok {
 			c.lastAddr++
 			addr = c.lastAddr
-			c.addrs[n.ID] = addr
+			c.addrByNodeID[n.ID] = addr
 			c.nodes[addr] = &nodeState{}
 		}
 		known := c.nodes[addr]
@@ -75,7 +75,7 @@
 			listedNodes = append(listedNodes, n.Node)
 		case now.Sub(n.leftAt) > nodeRetention: // each release brings new IDs: old ones must not accumulate
 			c.startTimes.remember(n)
-			delete(c.addrs, n.ID)
+			delete(c.addrByNodeID, n.ID)
 			delete(c.nodes, addr)
 		}
 	}
--- a/broker/starts.go
+++ b/broker/starts.go
@@ -73,7 +73,7 @@
 func (c *Core) startTimesOf(roster *Roster, now time.Time) []float64 {
 	wallNow := c.wallTime(now)
 	lookup := func(n *Node) *nodeState {
-		if known := c.nodes[c.addrs[n.ID]]; known != nil {
+		if known := c.nodes[c.addrByNodeID[n.ID]]; known != nil {
 			return known
 		}
 		return c.startTimes.forgotten[n.ID]
--- a/broker/starts_test.go
+++ b/broker/starts_test.go
@@ -44,9 +44,9 @@
 		if age := report("z", at.Add(time.Second), time.Hour+time.Second); age != time.Second {
 			t.Errorf("step %v: reported again, it counts as %v old, want 1s", step, age)
 		}
-		before := c.nodes[c.addrs["z"]].readyAtMs // a restart must be dated later than the first start
-		if report("z", at.Add(2*time.Second), lag+3*time.Second); c.nodes[c.addrs["z"]].readyAtMs <= before {
-			t.Errorf("step %v: the second start is dated %v, the first %v", step, c.nodes[c.addrs["z"]].readyAtMs, before)
+		before := c.nodes[c.addrByNodeID["z"]].readyAtMs // a restart must be dated later than the first start
+		if report("z", at.Add(2*time.Second), lag+3*time.Second); c.nodes[c.addrByNodeID["z"]].readyAtMs <= before {
+			t.Errorf("step %v: the second start is dated %v, the first %v", step, c.nodes[c.addrByNodeID["z"]].readyAtMs, before)
 		}
 	}
 }
--- a/broker/types.go
+++ b/broker/types.go
@@ -44,7 +44,7 @@
 // The verdicts on a query.
 const (
 	Served     Verdict = iota // answered; Reply.Values holds the answer
-	Refused                   // not executed; a retry is safe
+	Refused                   // not answered; a retry is harmless
 	Failed                    // abandoned; it may have taken effect
 	Expired                   // out of time; it may have taken effect
 	Duplicate                 // its request ID is that of an open query; not executed
