--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -117,7 +117,7 @@
 }
 
 func (r *roster) deliver(news broker.Roster) {
-	r.core.Roster(news)
+	r.core.UpdateRoster(news)
 	if len(news.Nodes) > 0 {
 		r.once.Do(r.ready)
 	}
@@ -185,7 +185,7 @@
 	Store   *store.Status   `json:"store,omitempty"`
 	Tracing *tracing.Counts `json:"tracing,omitempty"`
 	// Addresses of the nodes that have several, the preferred one first.
-	Addresses map[string][]reach.View `json:"addresses,omitempty"`
+	Addresses map[string][]reach.AddressStatus `json:"addresses,omitempty"`
 }
 
 // Status returns the daemon's status.
--- a/daemon/route.go
+++ b/daemon/route.go
@@ -16,7 +16,7 @@
 // address in the list tells. The core's goroutine alone uses it.
 type router struct {
 	frames, flight broker.NodeClient
-	sink           broker.Sink
+	sink           broker.ResultSink
 	kinds          map[string]broker.NodeClient
 	claims         *reach.Claims // nil until a node has several addresses
 	log            zerolog.Logger
@@ -48,7 +48,7 @@
 		}
 		r.claims = reach.NewClaims()
 	}
-	all := make([]reach.Listing, len(nodes))
+	all := make([]reach.NodeAddresses, len(nodes))
 	for i, n := range nodes {
 		all[i].ID = n.ID
 		texts := n.Addrs
@@ -62,10 +62,10 @@
 		}
 	}
 	// The order among those that come in one turn must not be a map's.
-	slices.SortStableFunc(all, func(a, b reach.Listing) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortStableFunc(all, func(a, b reach.NodeAddresses) int { return strings.Compare(a.ID, b.ID) })
 	granted, lost := r.claims.Update(all)
 	for _, l := range lost {
-		r.log.Warn().Str("event", "address-claim").Str("node", l.ID).Str("addr", l.Addr.String()).Str("to", l.To).
+		r.log.Warn().Str("event", "address-claim").Str("node", l.NodeID).Str("addr", l.Addr.String()).Str("to", l.WinnerID).
 			Msg("two nodes are listed with one address; the newer claim has it")
 	}
 	own := make(map[string][]string, len(granted))
@@ -98,7 +98,7 @@
 		return
 	}
 	for _, a := range calls {
-		r.sink.Outcome(a.ID, decide.Unreachable, broker.Answer{})
+		r.sink.AttemptOutcome(a.ID, decide.Unreachable, broker.Response{})
 	}
 }
 
@@ -115,7 +115,7 @@
 		k.Probe(node)
 		return
 	}
-	r.sink.Probed(node, decide.Unreachable, 0)
+	r.sink.ProbeOutcome(node, decide.Unreachable, 0)
 }
 
 // CloseIdle implements broker.NodeClient.
