--- a/cli/cli.go
+++ b/cli/cli.go
@@ -67,7 +67,7 @@
 			var limits atomic.Pointer[config.Limits]
 			limits.Store(&cfg.Limits)
 			tune := func(beside bool) { daemon.TuneRuntime(*limits.Load(), beside) }
-			d.OnNeighbour(tune)
+			d.OnSiblingChange(tune)
 			for {
 				select {
 				case <-ctx.Done(): // a second SIGTERM is still caught: it must not cut off what drains
@@ -76,13 +76,13 @@
 				}
 				next, err := config.Reload(*path, os.Getenv, cfg)
 				if err != nil {
-					d.TurnedDown()
+					d.CountInvalidReload()
 					log.Error().Str("event", "reload").Err(err).Msg("the configuration file cannot be used; the running one stands")
 					continue
 				}
 				cfg = next
 				limits.Store(&cfg.Limits)
-				d.OnNeighbour(tune)
+				d.OnSiblingChange(tune)
 				d.Reload(cfg)
 			}
 		},
@@ -113,7 +113,7 @@
 	return &cobra.Command{
 		Use: "check-config", Short: "Read the configuration and say what is wrong with it", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := config.Check(*path, os.Getenv)
+			cfg, err := config.LoadStrict(*path, os.Getenv)
 			if err != nil {
 				return err
 			}
--- a/cli/remote.go
+++ b/cli/remote.go
@@ -103,7 +103,7 @@
 	}
 	for _, d := range s.Details() {
 		if info, ok := d.(*errdetails.ErrorInfo); ok && info.GetReason() == daemon.ReasonNotLeader {
-			return info.GetMetadata()[daemon.LeaderFlight]
+			return info.GetMetadata()[daemon.LeaderFlightKey]
 		}
 	}
 	return ""
--- a/config/config.go
+++ b/config/config.go
@@ -83,7 +83,7 @@
 	StreamsPerConn int
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration
-	HandOver       time.Duration // new connections are taken this long after SIGTERM
+	HandOverWindow time.Duration // new connections are taken this long after SIGTERM
 	LogLevel       string
 	Flight         *Flight
 	Store          *Store
@@ -91,10 +91,10 @@
 
 	// Notes are what the file holds and this broker passes over: fields that it
 	// does not know, and a list in known that cannot be read.
-	Notes []Field
+	Warnings []FieldError
 
-	essential essential       // what a reload checks as it is written
-	keys      map[string]bool // of the file, by path
+	rawSettings rawSettings     // what a reload checks as it is written
+	keyPaths    map[string]bool // of the file, by path
 }
 
 // file is what the platform's file says, in the platform's words. It may say
@@ -120,23 +120,23 @@
 }
 
 // Field is an error in one field.
-type Field struct {
+type FieldError struct {
 	Path string
 	Err  error
 }
 
-func (f *Field) Error() string { return f.Path + ": " + f.Err.Error() }
+func (f *FieldError) Error() string { return f.Path + ": " + f.Err.Error() }
 
 // Unwrap gives the cause.
-func (f *Field) Unwrap() error { return f.Err }
+func (f *FieldError) Unwrap() error { return f.Err }
 
-func wrong(path, format string, args ...any) error {
-	return &Field{path, fmt.Errorf(format, args...)}
+func fieldErrorf(path, format string, args ...any) error {
+	return &FieldError{path, fmt.Errorf(format, args...)}
 }
 
 // defaultHandOver lies over the longest time that new connections still come
 // after SIGTERM, 0.4 s, and under the 0.7 s after which none may be lost.
-const defaultHandOver = 550 * time.Millisecond
+const defaultHandOverWindow = 550 * time.Millisecond
 
 // readFile reads a file; a test puts another in its place.
 var readFile = os.ReadFile
@@ -144,22 +144,22 @@
 // A file that can't be read for a moment is tried again every readAgain, for readWithin:
 // what the file says at SIGHUP must be in use some seconds later.
 const (
-	readAgain  = 20 * time.Millisecond
-	readWithin = 1500 * time.Millisecond
+	readRetryInterval = 20 * time.Millisecond
+	readRetryTimeout  = 1500 * time.Millisecond
 )
 
 // readPatiently reads a file, again where the system or its disk fails for a moment.
-func readPatiently(path string) ([]byte, error) {
-	for began := time.Now(); ; time.Sleep(readAgain) {
+func readFileWithRetry(path string) ([]byte, error) {
+	for start := time.Now(); ; time.Sleep(readRetryInterval) {
 		data, err := readFile(path)
-		passes := slices.ContainsFunc(passing, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
-		if err == nil || !passes || time.Since(began) > readWithin {
+		transient := slices.ContainsFunc(transientErrors, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
+		if err == nil || !transient || time.Since(start) > readRetryTimeout {
 			return data, err
 		}
 	}
 }
 
-var passing = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EIO, syscall.EINTR, syscall.EAGAIN}
+var transientErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EIO, syscall.EINTR, syscall.EAGAIN}
 
 // Load reads the file at path, or the one that NODE_CONFIG names when path is
 // empty. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONSOLE override the file.
@@ -168,20 +168,20 @@
 		path = getenv("NODE_CONFIG")
 	}
 	if path == "" {
-		return nil, wrong("NODE_CONFIG", "not set, and no file was named")
+		return nil, fieldErrorf("NODE_CONFIG", "not set, and no file was named")
 	}
-	data, err := readPatiently(path)
+	data, err := readFileWithRetry(path)
 	if err != nil {
-		return nil, &Field{"NODE_CONFIG", fmt.Errorf("reading the configuration: %w", err)}
+		return nil, &FieldError{"NODE_CONFIG", fmt.Errorf("reading the configuration: %w", err)}
 	}
 	return Parse(data, getenv)
 }
 
 // NeedRestart names the fields in which the two differ and that a broker takes
 // from its start alone.
-func NeedRestart(old, now *Config) []string {
+func FieldsNeedingRestart(old, now *Config) []string {
 	var names []string
-	note := func(name string, a, b any) {
+	compare := func(name string, a, b any) {
 		if !reflect.DeepEqual(a, b) {
 			names = append(names, name)
 		}
@@ -190,23 +190,23 @@
 	a.MaxOpen, b.MaxOpen = 0, 0
 	a.MaxAttempts, b.MaxAttempts = 0, 0
 	a.Classes, b.Classes = nil, nil
-	note("name", old.Name, now.Name)
-	note("listen", old.Listen, now.Listen)
-	note("console", old.Console, now.Console)
-	note("limits.sockets", old.Limits.Sockets, now.Limits.Sockets)
-	note("settings", []any{a, old.Zones, old.Kinds, old.StreamsPerConn, old.ConnectTimeout, old.ConnIdle},
+	compare("name", old.Name, now.Name)
+	compare("listen", old.Listen, now.Listen)
+	compare("console", old.Console, now.Console)
+	compare("limits.sockets", old.Limits.Sockets, now.Limits.Sockets)
+	compare("settings", []any{a, old.Zones, old.Kinds, old.StreamsPerConn, old.ConnectTimeout, old.ConnIdle},
 		[]any{b, now.Zones, now.Kinds, now.StreamsPerConn, now.ConnectTimeout, now.ConnIdle})
-	note("flight", old.Flight, now.Flight)
-	note("store", old.Store, now.Store)
-	note("tracing", old.Tracing, now.Tracing)
+	compare("flight", old.Flight, now.Flight)
+	compare("store", old.Store, now.Store)
+	compare("tracing", old.Tracing, now.Tracing)
 	return names
 }
 
 // Check reads the file as Load does and takes for a fault what Load passes over.
-func Check(path string, getenv func(string) string) (*Config, error) {
+func LoadStrict(path string, getenv func(string) string) (*Config, error) {
 	c, err := Load(path, getenv)
-	if err == nil && len(c.Notes) > 0 {
-		return nil, &c.Notes[0]
+	if err == nil && len(c.Warnings) > 0 {
+		return nil, &c.Warnings[0]
 	}
 	return c, err
 }
@@ -216,7 +216,7 @@
 // known in a section of the program's own is a fault.
 func Parse(data []byte, getenv func(string) string) (*Config, error) {
 	var f file
-	c := &Config{HandOver: defaultHandOver}
+	c := &Config{HandOverWindow: defaultHandOverWindow}
 	if err := c.decode(data, &f); err != nil {
 		return nil, err
 	}
@@ -228,47 +228,47 @@
 	}
 	c.Name, c.Listen, c.Discovery, c.LogLevel = f.Name, f.Listen, f.Discovery, f.LogLevel
 	c.Flight, c.Store = f.Flight, f.Store
-	c.console(f.Console, getenv("NODE_CONSOLE"))
+	c.setConsole(f.Console, getenv("NODE_CONSOLE"))
 	if f.Tracing != nil {
 		t := f.Tracing.WithDefaults()
 		c.Tracing = &t
 	}
 	if f.HandOverMs != nil {
-		c.HandOver = time.Duration(*f.HandOverMs * float64(time.Millisecond))
+		c.HandOverWindow = time.Duration(*f.HandOverMs * float64(time.Millisecond))
 	}
-	for _, l := range []struct {
-		name string
-		told float64
-		to   *int
+	for _, limit := range []struct {
+		name   string
+		value  float64
+		target *int
 	}{{"memory_mb", f.Limits.MemoryMB, &c.Limits.MemoryMB}, {"sockets", f.Limits.Sockets, &c.Limits.Sockets}} {
-		if !(l.told >= 0) {
-			return nil, wrong("limits."+l.name, "got %v, want 0 or more", l.told)
+		if !(limit.value >= 0) {
+			return nil, fieldErrorf("limits."+limit.name, "got %v, want 0 or more", limit.value)
 		}
-		*l.to = int(min(math.Ceil(l.told), math.MaxInt32))
+		*limit.target = int(min(math.Ceil(limit.value), math.MaxInt32))
 	}
 	c.Limits.Cores = f.Limits.Cores
-	c.Seed = seed(f.Seed)
-	if err := c.settings(f.Settings); err != nil {
+	c.Seed = parseSeed(f.Seed)
+	if err := c.parseSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
 		l, err := discovery.ParseList(f.Known, c.Zones, c.Kinds)
 		if err != nil { // it may be old anyway: discovery has the list
-			c.Notes = append(c.Notes, Field{"known", err})
+			c.Warnings = append(c.Warnings, FieldError{"known", err})
 		} else {
 			c.Known = l
 		}
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
 // console takes the operators' address, the environment's before the file's. One that
 // cannot be used stops no start: the clients need no operator.
-func (c *Config) console(told json.RawMessage, env string) {
+func (c *Config) setConsole(raw json.RawMessage, env string) {
 	addr := env
-	if addr == "" && len(told) > 0 && string(told) != "null" {
-		if json.Unmarshal(told, &addr) != nil {
-			c.Notes = append(c.Notes, Field{"console", fmt.Errorf("got %s, want host:port", told)})
+	if addr == "" && len(raw) > 0 && string(raw) != "null" {
+		if json.Unmarshal(raw, &addr) != nil {
+			c.Warnings = append(c.Warnings, FieldError{"console", fmt.Errorf("got %s, want host:port", raw)})
 			return
 		}
 	}
@@ -276,7 +276,7 @@
 		return
 	}
 	if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-		c.Notes = append(c.Notes, Field{"console", fmt.Errorf("got %q, want host:port", addr)})
+		c.Warnings = append(c.Warnings, FieldError{"console", fmt.Errorf("got %q, want host:port", addr)})
 		return
 	}
 	c.Console = addr
@@ -284,48 +284,48 @@
 
 // decode reads the top level field by field.
 func (c *Config) decode(data []byte, f *file) error {
-	var all map[string]json.RawMessage
-	if err := json.Unmarshal(data, &all); err != nil {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(data, &fields); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	platform := map[string]any{
 		"name": &f.Name, "listen": &f.Listen, "discovery": &f.Discovery, "console": &f.Console, "seed": &f.Seed,
 		"limits": &f.Limits, "known": &f.Known, "settings": &f.Settings,
 	}
-	own := map[string]any{
+	operator := map[string]any{
 		"hand_over_ms": &f.HandOverMs, "log_level": &f.LogLevel, "flight": &f.Flight, "store": &f.Store, "tracing": &f.Tracing,
 	}
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		to, known := platform[name]
+	for _, name := range slices.Sorted(maps.Keys(fields)) {
+		target, known := platform[name]
 		if !known {
-			to, known = own[name]
+			target, known = operator[name]
 		}
 		if !known {
-			c.Notes = append(c.Notes, Field{name, errUnknown})
+			c.Warnings = append(c.Warnings, FieldError{name, errUnknownField})
 			continue
 		}
-		d := json.NewDecoder(bytes.NewReader(all[name]))
-		if _, strict := own[name]; strict {
-			d.DisallowUnknownFields()
+		decoder := json.NewDecoder(bytes.NewReader(fields[name]))
+		if _, strict := operator[name]; strict {
+			decoder.DisallowUnknownFields()
 		}
-		err := d.Decode(to)
-		var t *json.UnmarshalTypeError
+		err := decoder.Decode(target)
+		var typeErr *json.UnmarshalTypeError
 		switch {
-		case errors.As(err, &t):
-			return wrong(strings.TrimSuffix(name+"."+t.Field, "."), "got a %s, want %s", t.Value, t.Type)
+		case errors.As(err, &typeErr):
+			return fieldErrorf(strings.TrimSuffix(name+"."+typeErr.Field, "."), "got a %s, want %s", typeErr.Value, typeErr.Type)
 		case err != nil:
-			return &Field{name, err}
+			return &FieldError{name, err}
 		}
 	}
-	return c.remember(all)
+	return c.recordForReload(fields)
 }
 
 // errUnknown is the fault of a field that the program does not know.
-var errUnknown = errors.New("unknown field, passed over")
+var errUnknownField = errors.New("unknown field, passed over")
 
 // seed makes a seed of whatever is told: 16 hex digits are one, and any other
 // text is as good.
-func seed(raw json.RawMessage) uint64 {
+func parseSeed(raw json.RawMessage) uint64 {
 	var text string
 	if len(raw) == 0 || string(raw) == "null" {
 		return 0
@@ -343,34 +343,34 @@
 
 // settings flattens the nested object to the paths of the simulator's wire,
 // which one parser reads for both.
-func (c *Config) settings(raw json.RawMessage) error {
+func (c *Config) parseSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
-		return wrong("settings", "missing")
+		return fieldErrorf("settings", "missing")
 	}
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := d.Decode(&tree); err != nil {
-		return &Field{"settings", err}
+	if err := decoder.Decode(&tree); err != nil {
+		return &FieldError{"settings", err}
 	}
-	flat := map[string]string{}
-	flatten(flat, "", tree)
-	lines := make([]string, 0, len(flat))
-	for k, v := range flat {
+	pairs := map[string]string{}
+	flatten(pairs, "", tree)
+	lines := make([]string, 0, len(pairs))
+	for k, v := range pairs {
 		lines = append(lines, k+"="+v)
 	}
 	sort.Strings(lines)
 	s, err := wire.ParseSettings(strings.Join(lines, "\n"))
 	if err != nil {
-		return &Field{"settings", err}
+		return &FieldError{"settings", err}
 	}
 	c.Settings = s
 	// The wire's text has no spaces and commas in a name, and this form has:
 	// the list and the clients name things as they stand here.
-	c.Zones, c.Kinds = names(tree["zones"]), names(tree["kinds"])
+	c.Zones, c.Kinds = stringList(tree["zones"]), stringList(tree["kinds"])
 	for i := range s.Classes {
 		if s.Classes[i].Fetch > 0 { // the protocol has no form for it: the first answer is the last
-			c.Notes = append(c.Notes, Field{"settings.domain.classFetch", errors.New("second steps have no form on this protocol, left out")})
+			c.Warnings = append(c.Warnings, FieldError{"settings.domain.classFetch", errors.New("second steps have no form on this protocol, left out")})
 			s.Classes[i].Fetch = 0
 		}
 		name := ""
@@ -380,39 +380,39 @@
 			}
 		}
 		if name == "" {
-			return wrong(fmt.Sprintf("settings.classes[%d].name", i), "missing")
+			return fieldErrorf(fmt.Sprintf("settings.classes[%d].name", i), "missing")
 		}
-		c.Classes = append(c.Classes, classOf(name, s.Classes[i]))
+		c.Classes = append(c.Classes, newClass(name, s.Classes[i]))
 	}
 	if len(c.Classes) == 0 {
-		return wrong("settings.classes", "missing")
+		return fieldErrorf("settings.classes", "missing")
 	}
-	for path, to := range map[string]*time.Duration{"caps.connectTimeoutMs": &c.ConnectTimeout, "caps.connIdleMs": &c.ConnIdle} {
-		ms, err := number(flat, path)
+	for path, target := range map[string]*time.Duration{"caps.connectTimeoutMs": &c.ConnectTimeout, "caps.connIdleMs": &c.ConnIdle} {
+		ms, err := nonNegativeNumber(pairs, path)
 		if err != nil {
 			return err
 		}
-		*to = time.Duration(ms * float64(time.Millisecond))
+		*target = time.Duration(ms * float64(time.Millisecond))
 	}
-	n, err := number(flat, "caps.streamsPerConn")
+	n, err := nonNegativeNumber(pairs, "caps.streamsPerConn")
 	c.StreamsPerConn = int(n)
 	return err
 }
 
-func number(flat map[string]string, path string) (float64, error) {
-	v, ok := flat[path]
+func nonNegativeNumber(pairs map[string]string, path string) (float64, error) {
+	v, ok := pairs[path]
 	if !ok {
 		return 0, nil
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n >= 0) {
-		return 0, wrong("settings."+path, "got %q, want a number from 0 up", v)
+		return 0, fieldErrorf("settings."+path, "got %q, want a number from 0 up", v)
 	}
 	return min(n, 1e9), nil // milliseconds for eleven days, and no conversion overflows
 }
 
 // names reads a list of names.
-func names(v any) []string {
+func stringList(v any) []string {
 	all, _ := v.([]any)
 	out := make([]string, 0, len(all))
 	for _, x := range all {
@@ -423,8 +423,8 @@
 
 // flatten writes path=value pairs in the form of the simulator's wire: lists
 // of plain values are joined by commas, lists of objects are counted.
-func flatten(flat map[string]string, path string, v any) {
-	join := func(key string) string {
+func flatten(pairs map[string]string, path string, v any) {
+	keyPath := func(key string) string {
 		if path == "" {
 			return key
 		}
@@ -433,29 +433,29 @@
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
-			flatten(flat, join(k), x)
+			flatten(pairs, keyPath(k), x)
 		}
 	case []any:
 		if len(v) > 0 {
 			if _, objects := v[0].(map[string]any); objects {
-				flat[join("count")] = strconv.Itoa(len(v))
+				pairs[keyPath("count")] = strconv.Itoa(len(v))
 				for i, x := range v {
-					flatten(flat, join(strconv.Itoa(i)), x)
+					flatten(pairs, keyPath(strconv.Itoa(i)), x)
 				}
 				return
 			}
 		}
 		words := make([]string, len(v))
 		for i, x := range v {
-			words[i] = plain(x)
+			words[i] = wireValue(x)
 		}
-		flat[path] = strings.Join(words, ",")
+		pairs[path] = strings.Join(words, ",")
 	default:
-		flat[path] = plain(v)
+		pairs[path] = wireValue(v)
 	}
 }
 
-func plain(v any) string {
+func wireValue(v any) string {
 	if v == nil {
 		return ""
 	}
@@ -463,7 +463,7 @@
 }
 
 // loopback says whether addr is a host and port of this machine.
-func loopback(addr string) bool {
+func isLoopback(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || port == "" {
 		return false
@@ -472,63 +472,63 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-func (c *Config) check() error {
+func (c *Config) validate() error {
 	for path, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return wrong(path, "got %q, want host:port", addr)
+			return fieldErrorf(path, "got %q, want host:port", addr)
 		}
 	}
 	switch {
 	case c.Name == "":
-		return wrong("name", "missing")
+		return fieldErrorf("name", "missing")
 	case c.Limits.Cores < 0:
-		return wrong("limits.cores", "got %v, want 0 or more", c.Limits.Cores)
-	case c.HandOver < 0 || c.HandOver > 10*time.Second:
-		return wrong("hand_over_ms", "want 0 to 10000")
+		return fieldErrorf("limits.cores", "got %v, want 0 or more", c.Limits.Cores)
+	case c.HandOverWindow < 0 || c.HandOverWindow > 10*time.Second:
+		return fieldErrorf("hand_over_ms", "want 0 to 10000")
 	}
 	switch c.LogLevel {
 	case "", "debug", "info", "warn", "error":
 	default:
-		return wrong("log_level", "got %q, want debug, info, warn or error", c.LogLevel)
+		return fieldErrorf("log_level", "got %q, want debug, info, warn or error", c.LogLevel)
 	}
-	if c.Flight != nil && !loopback(c.Flight.Listen) {
-		return wrong("flight.listen", "got %q, want a loopback host:port", c.Flight.Listen)
+	if c.Flight != nil && !isLoopback(c.Flight.Listen) {
+		return fieldErrorf("flight.listen", "got %q, want a loopback host:port", c.Flight.Listen)
 	}
 	if c.Tracing != nil {
 		if err := c.Tracing.Check(); err != nil {
 			if f := (*tracing.FieldError)(nil); errors.As(err, &f) {
-				return &Field{"tracing." + f.Field, f.Err}
+				return &FieldError{"tracing." + f.Field, f.Err}
 			}
-			return &Field{"tracing", err}
+			return &FieldError{"tracing", err}
 		}
 	}
 	if c.Store == nil {
 		return nil
 	}
 	if c.Flight == nil {
-		return wrong("flight", "missing: the store's commands come over Flight")
+		return fieldErrorf("flight", "missing: the store's commands come over Flight")
 	}
 	if c.Store.Dir == "" {
-		return wrong("store.dir", "missing")
+		return fieldErrorf("store.dir", "missing")
 	}
-	own := false
+	listed := false
 	seen := map[string]bool{}
 	for i, p := range c.Store.Peers {
-		at := fmt.Sprintf("store.peers[%d].", i)
+		prefix := fmt.Sprintf("store.peers[%d].", i)
 		if p.Name == "" || seen[p.Name] {
-			return wrong(at+"name", "got %q, want a name, each once", p.Name)
+			return fieldErrorf(prefix+"name", "got %q, want a name, each once", p.Name)
 		}
-		if !loopback(p.Raft) {
-			return wrong(at+"raft", "got %q, want a loopback host:port", p.Raft)
+		if !isLoopback(p.Raft) {
+			return fieldErrorf(prefix+"raft", "got %q, want a loopback host:port", p.Raft)
 		}
-		if !loopback(p.Flight) {
-			return wrong(at+"flight", "got %q, want a loopback host:port", p.Flight)
+		if !isLoopback(p.Flight) {
+			return fieldErrorf(prefix+"flight", "got %q, want a loopback host:port", p.Flight)
 		}
 		seen[p.Name] = true
-		own = own || p.Name == c.Name
+		listed = listed || p.Name == c.Name
 	}
-	if !own {
-		return wrong("store.peers", "%q is not among them", c.Name)
+	if !listed {
+		return fieldErrorf("store.peers", "%q is not among them", c.Name)
 	}
 	return nil
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -46,10 +46,10 @@
 	} {
 		data := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), extra)
 		c, err := Parse(data, none)
-		if err != nil || len(c.Notes) != 1 || c.Notes[0].Path != path || c.Settings.Classes[1].Fetch != 0 {
+		if err != nil || len(c.Warnings) != 1 || c.Warnings[0].Path != path || c.Settings.Classes[1].Fetch != 0 {
 			t.Errorf("%s: got %+v, %v", path, c, err)
 		}
-		if _, err := Check(testkit.WriteFile(t, data), none); err == nil || !strings.Contains(err.Error(), path) {
+		if _, err := LoadStrict(testkit.WriteFile(t, data), none); err == nil || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s, checked: got %v", path, err)
 		}
 	}
@@ -80,7 +80,7 @@
 		})},
 	} {
 		c, err := Parse(testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), extra), none)
-		if err != nil || len(c.Notes) > 0 || c.ConnIdle <= 0 {
+		if err != nil || len(c.Warnings) > 0 || c.ConnIdle <= 0 {
 			t.Errorf("%s: got %+v, %v", name, c, err)
 		}
 		if extra["known"] != nil && (c == nil || c.Known == nil || len(c.Known.Nodes) != 1) {
@@ -138,7 +138,7 @@
 	if _, err := Load("", none); err == nil || !strings.Contains(err.Error(), "NODE_CONFIG") {
 		t.Errorf("no file: got %v", err)
 	}
-	var f *Field
+	var f *FieldError
 	if _, err := Load("/nowhere/at/all", none); !errors.As(err, &f) || !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a file that is not there: got %v", err)
 	}
--- a/config/reload.go
+++ b/config/reload.go
@@ -27,45 +27,45 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := c.complete(old); err != nil {
+	if err := c.checkComplete(old); err != nil {
 		return nil, err
 	}
 	if c.Discovery = old.Discovery; c.FileDiscovery != old.FileDiscovery {
 		c.Discovery = c.FileDiscovery
 	}
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	return c, c.followOn(old)
+	return c, c.keepClassIndexes(old)
 }
 
 // complete says what the file lacks that the one in use has, and which of its figures is
 // none that a query could run under.
-func (c *Config) complete(old *Config) error {
-	for _, path := range slices.Sorted(maps.Keys(old.keys)) {
-		if !c.keys[path] {
-			return wrong(path, "missing, and the file in use has it")
+func (c *Config) checkComplete(old *Config) error {
+	for _, path := range slices.Sorted(maps.Keys(old.keyPaths)) {
+		if !c.keyPaths[path] {
+			return fieldErrorf(path, "missing, and the file in use has it")
 		}
 	}
-	for i, class := range c.essential.Classes {
-		if err := aboveZero(fmt.Sprintf("settings.classes[%d].deadlineMs", i), class.DeadlineMs); err != nil {
+	for i, class := range c.rawSettings.Classes {
+		if err := checkPositive(fmt.Sprintf("settings.classes[%d].deadlineMs", i), class.DeadlineMs); err != nil {
 			return err
 		}
 	}
-	return aboveZero("settings.caps.maxAttempts", c.essential.Caps.MaxAttempts)
+	return checkPositive("settings.caps.maxAttempts", c.rawSettings.Caps.MaxAttempts)
 }
 
 // aboveZero checks that a value is a number above 0: a text that looks like one is none.
-func aboveZero(path string, value json.RawMessage) error {
+func checkPositive(path string, value json.RawMessage) error {
 	var n float64
 	if err := json.Unmarshal(value, &n); err != nil || !(n > 0) || math.IsInf(n, 0) || string(value) == "null" {
-		return wrong(path, "got %s, want a number above 0", value)
+		return fieldErrorf(path, "got %s, want a number above 0", value)
 	}
 	return nil
 }
 
 // essential are the settings that a reload looks at as they are written.
-type essential struct {
+type rawSettings struct {
 	Classes []struct {
 		DeadlineMs json.RawMessage `json:"deadlineMs"`
 	} `json:"classes"`
@@ -76,27 +76,27 @@
 
 // remember keeps what a later reload compares with, of the fields of the top level. The
 // list in known may be long and is read by itself.
-func (c *Config) remember(fields map[string]json.RawMessage) error {
+func (c *Config) recordForReload(fields map[string]json.RawMessage) error {
 	if raw := fields["settings"]; len(raw) > 0 {
-		if err := json.Unmarshal(raw, &c.essential); err != nil {
-			return &Field{"settings", err}
+		if err := json.Unmarshal(raw, &c.rawSettings); err != nil {
+			return &FieldError{"settings", err}
 		}
 	}
-	c.keys = map[string]bool{}
+	c.keyPaths = map[string]bool{}
 	for name, raw := range fields {
 		if !platformFields[name] {
 			continue // the operator's own, which may go at any time
 		}
-		c.keys[name] = true
+		c.keyPaths[name] = true
 		if name != "settings" && name != "limits" {
 			continue
 		}
-		var below any
-		if err := json.Unmarshal(raw, &below); err != nil {
-			return &Field{name, err}
+		var value any
+		if err := json.Unmarshal(raw, &value); err != nil {
+			return &FieldError{name, err}
 		}
-		for _, path := range keysOf(name, below) {
-			c.keys[path] = true
+		for _, path := range nestedKeyPaths(name, value) {
+			c.keyPaths[path] = true
 		}
 	}
 	return nil
@@ -109,19 +109,19 @@
 
 // keysOf returns the paths of all keys below a value. Of a list's items, which "[]" stands
 // for, these are the keys that each of them has.
-func keysOf(at string, value any) (all []string) {
+func nestedKeyPaths(prefix string, value any) (all []string) {
 	switch value := value.(type) {
 	case map[string]any:
-		for key, below := range value {
+		for key, child := range value {
 			path := key
-			if at != "" {
-				path = at + "." + key
+			if prefix != "" {
+				path = prefix + "." + key
 			}
-			all = append(append(all, path), keysOf(path, below)...)
+			all = append(append(all, path), nestedKeyPaths(path, child)...)
 		}
 	case []any:
 		for i, item := range value {
-			keys := keysOf(at+"[]", item)
+			keys := nestedKeyPaths(prefix+"[]", item)
 			if i == 0 {
 				all = keys
 				continue
@@ -135,28 +135,28 @@
 // followOn gives the classes the indexes that a broker which runs with old has for them.
 // One that is described anew is another class of the same name: what is under way keeps
 // the one that it came under.
-func (c *Config) followOn(old *Config) error {
+func (c *Config) keepClassIndexes(old *Config) error {
 	settings, classes := slices.Clone(old.Settings.Classes), slices.Clone(old.Classes)
 	for i := range classes {
 		classes[i].Retired = true
 	}
 	for i, class := range c.Classes {
 		own := c.Settings.Classes[i]
-		at := slices.IndexFunc(classes, func(known Class) bool { return known.Name == class.Name && known.settings == own })
-		if at < 0 {
-			at = len(classes)
+		index := slices.IndexFunc(classes, func(known Class) bool { return known.Name == class.Name && known.settings == own })
+		if index < 0 {
+			index = len(classes)
 			classes, settings = append(classes, class), append(settings, own)
 		}
-		classes[at].Retired = false
+		classes[index].Retired = false
 	}
 	if len(classes) > maxClasses {
-		return &Field{"settings.classes", errors.New("too many different ones since the start: the broker must be replaced")}
+		return &FieldError{"settings.classes", errors.New("too many different ones since the start: the broker must be replaced")}
 	}
 	c.Classes, c.Settings.Classes = classes, settings
 	return nil
 }
 
 // classOf makes a class of its name and settings.
-func classOf(name string, settings decide.Class) Class {
+func newClass(name string, settings decide.Class) Class {
 	return Class{Name: name, Keyed: settings.Effect == decide.Keyed, settings: settings}
 }
--- a/daemon/addresses_test.go
+++ b/daemon/addresses_test.go
@@ -18,18 +18,18 @@
 	"onyxsail/internal/testkit"
 )
 
-// A node that the list gives several addresses is served over those that work,
-// also when the set changes, and an address that a newer node takes over is its
-// own from then on.
-func TestNodeOfSeveralAddresses(t *testing.T) {
+// Guards against a node with several listed addresses being unreachable while one of its
+// addresses works, and against queries for a new node going to an old one after the new
+// one has taken over its address.
+func TestNodeWithSeveralAddressesIsReachedOverWorkingOnes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "n")
-	first := testkit.NewNode(t, "s-0", false)
-	sock := first.Also(t, "unix", path)
-	entry := first.Entry()
-	entry.Addr, entry.Addrs = "127.0.0.1:1", []string{"[::1]:1", sock} // only the socket works
-	disco := testkit.NewDiscovery(t, entry)
-	warm := func(s map[string]any) { s["safety"].(map[string]any)["coldMs"] = 50.0 }
-	cfg, err := config.Parse(testkit.Config(disco.Addr, []testkit.Entry{entry}, testkit.Settings(warm), map[string]any{"flight": map[string]any{"listen": "127.0.0.1:0"}}), func(string) string { return "" })
+	oldNode := testkit.NewNode(t, "s-0", false)
+	socketAddr := oldNode.Also(t, "unix", path)
+	entry := oldNode.Entry()
+	entry.Addr, entry.Addrs = "127.0.0.1:1", []string{"[::1]:1", socketAddr} // only the socket works
+	discovery := testkit.NewDiscovery(t, entry)
+	shortSlowStart := func(s map[string]any) { s["safety"].(map[string]any)["coldMs"] = 50.0 }
+	cfg, err := config.Parse(testkit.Config(discovery.Addr, []testkit.Entry{entry}, testkit.Settings(shortSlowStart), map[string]any{"flight": map[string]any{"listen": "127.0.0.1:0"}}), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,25 +51,25 @@
 		t.Fatalf("got %+v", r)
 	}
 	var out, errs bytes.Buffer
-	if code := cli.Main([]string{"addresses", "--node", "s-0", "--addr", d.FlightAddr().String()}, &out, &errs); code != 0 || !strings.Contains(out.String(), sock+"  last-good") {
+	if code := cli.Main([]string{"addresses", "--node", "s-0", "--addr", d.FlightAddr().String()}, &out, &errs); code != 0 || !strings.Contains(out.String(), socketAddr+"  last-good") {
 		t.Errorf("addresses: %s%s", out.String(), errs.String())
 	}
-	if views := d.Status().Addresses["s-0"]; len(views) != 3 || views[0].Text != sock || views[0].Why != "last-good" {
+	if views := d.Status().Addresses["s-0"]; len(views) != 3 || views[0].Text != socketAddr || views[0].Why != "last-good" {
 		t.Errorf("status %+v", views)
 	}
-	for range 60 { // further attempts are a share of what came lately
+	for range 60 { // the budget for further attempts is a share of the recent queries
 		ask()
 	}
-	// A new process takes the path over, while the old one is still listed.
-	second := testkit.NewNode(t, "s-1", false)
-	later := second.Entry()
-	later.Addrs = []string{sock}
-	disco.Change(later)
-	testkit.Eventually(t, "the newer claim", func() bool {
+	// A new process takes over the socket path while the old one is still listed.
+	newNode := testkit.NewNode(t, "s-1", false)
+	newEntry := newNode.Entry()
+	newEntry.Addrs = []string{socketAddr}
+	discovery.Change(newEntry)
+	testkit.Eventually(t, "the newer claim takes effect", func() bool {
 		for _, v := range d.Status().Addresses["s-1"] {
-			if v.Text == sock {
+			if v.Text == socketAddr {
 				for _, v := range d.Status().Addresses["s-0"] {
-					if v.Text == sock {
+					if v.Text == socketAddr {
 						return false
 					}
 				}
@@ -78,5 +78,5 @@
 		}
 		return false
 	})
-	testkit.Eventually(t, "work at the new node", func() bool { return ask().Kind == "served" && len(second.Calls()) > 0 })
+	testkit.Eventually(t, "parts reach the new node", func() bool { return ask().Kind == "served" && len(newNode.Calls()) > 0 })
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,6 @@
-// Package daemon puts the broker together from a configuration: core, fronts,
-// node clients and the roster. A program that embeds the broker starts here.
+// Package daemon assembles a broker from its configuration: the core, the HTTP and
+// Flight fronts, the node clients, the roster, the store, tracing and the operators' port.
+// It is the entry point for a program that embeds the broker.
 package daemon
 
 import (
@@ -34,194 +35,200 @@
 )
 
 const (
-	defaultSockets = 1024
-	few            = 128 // descriptors
-	ownDescriptors = 16  // standard streams, pollers, listeners, discovery, one that changes hands
-	// leastHeap is the least that the collector is told to keep to: under it the
-	// program's own tables would keep it at work without end.
-	leastHeap   = 16 << 20
-	maxWrite    = 512 << 10       // bytes that wait at one connection
-	drainWithin = 8 * time.Second // beyond the longest deadline nothing is left
-	// readyWithin is how long a broker without a list waits for one before it takes
-	// clients all the same: nine in ten that restart must be ready within 10 s, or 6 s on a
-	// day that ends sooner, and a refusal at once, with a time to come back, is more than a
-	// closed door.
-	readyWithin = 5 * time.Second
-	// The platform kills a broker killGrace after its longest deadline, which counts as
-	// longestCounted at most, from SIGTERM on at the earliest (PROTOCOL, "Figures"). All
-	// that was taken has its answer stopSpare before: so much for a program that is held up
-	// between the signal and its clock, and for the answers' way.
-	killGrace      = 700 * time.Millisecond
-	longestCounted = 3 * time.Second
-	stopSpare      = 250 * time.Millisecond
-	// restShare is the part, in hundredths, of the time for answers for which a process that
-	// has been replaced keeps connections that rest: what still comes there needs the rest.
-	restShare = 80
-	// toldWithin is when news of the list counts as told once discovery has it and can be
-	// reached, whatever calls have failed before.
-	toldWithin = 6 * time.Second
+	defaultMaxSockets   = 1024 // descriptors
+	smallSocketLimit    = 128  // descriptors
+	reservedDescriptors = 16   // standard streams, pollers, listeners, discovery, one in transfer
+	// minMemoryLimit is the smallest memory limit in bytes that is set for the garbage
+	// collector. Below it the program's own tables would keep the collector running
+	// all the time.
+	minMemoryLimit  = 16 << 20
+	maxPendingWrite = 512 << 10       // bytes buffered for one connection
+	drainTimeout    = 8 * time.Second // longer than the longest deadline, so no query is left open
+	// initialListTimeout is how long a broker without a list of nodes waits for one before
+	// it accepts clients anyway. Nine in ten restarted brokers must be ready within 10 s, or
+	// 6 s on a day that ends sooner, and an immediate refusal with a retry hint serves a
+	// client better than a refused connection.
+	initialListTimeout = 5 * time.Second
+	// The platform kills a broker no earlier than killGracePeriod after its longest
+	// deadline, counted from SIGTERM; a deadline counts as maxCountedDeadline at most
+	// (PROTOCOL, "Figures"). Every accepted query is answered killSafetyMargin before that,
+	// to allow for a delay between the signal and its handling and for the transmission of
+	// the answers.
+	killGracePeriod    = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second
+	killSafetyMargin   = 250 * time.Millisecond
+	// idleKeepPercent is the percentage of the answer timeout for which a process that has
+	// been replaced keeps its idle connections. The remainder is left for answering the
+	// requests that still arrive on them.
+	idleKeepPercent = 80
+	// maxListStaleness bounds the time until a change of the list is known here once
+	// discovery has it and is reachable, regardless of earlier failed calls.
+	maxListStaleness = 6 * time.Second
 )
 
-// Daemon is one broker that runs.
+// Daemon is a running broker.
 type Daemon struct {
-	cfg             *config.Config
-	log             zerolog.Logger
-	loop            *netio.Loop
-	core            *broker.Core
-	nodes           *nodeclient.Client
-	remote          *flightnode.Client
-	front           *httpfront.Front
-	flight          *flightfront.Front // nil: off
-	store           *store.Store       // nil: off
-	tracer          *tracing.Tracer    // nil: off
-	level           *level
-	window          atomic.Int64          // of the hand-over, in nanoseconds
-	host            *takeover.Host        // for the process that takes this one's place; nil: none can
-	before          *takeover.Predecessor // whose place this one takes; nil: none
-	clients, frames int                   // descriptors while this process is alone
-	beside          neighbours
-	admin           *admin.Server // nil: off
-	reloads         reloads
-	seen            *roster
-	known           chan struct{}      // closed once a list with nodes is in hand
-	cancel          context.CancelFunc // of the wait for a list
-	stop            context.CancelFunc // of the core
-	wg              sync.WaitGroup
+	cfg                           *config.Config
+	log                           zerolog.Logger
+	loop                          *netio.Loop
+	core                          *broker.Core
+	frameNodes                    *nodeclient.Client
+	flightNodes                   *flightnode.Client
+	httpFront                     *httpfront.Front
+	flightFront                   *flightfront.Front // nil: off
+	store                         *store.Store       // nil: off
+	tracer                        *tracing.Tracer    // nil: off
+	logLevel                      *levelSampler
+	handOverWindow                atomic.Int64          // nanoseconds; new connections are accepted this long after a stop
+	takeoverServer                *takeover.Server      // serves a successor process; nil: takeover is not possible
+	predecessor                   *takeover.Predecessor // the process that this one replaces; nil: none
+	maxClientConns, maxFrameConns int                   // descriptors when no sibling process runs
+	siblings                      siblingProcesses
+	admin                         *admin.Server // nil: off
+	reloadCounts                  reloadCounters
+	roster                        *rosterForwarder
+	listKnown                     chan struct{}      // closed once a list with nodes has arrived
+	stopListWait                  context.CancelFunc // ends the wait for the first list
+	stopCore                      context.CancelFunc
+	wg                            sync.WaitGroup
 
-	mu     sync.Mutex    // guards cfg, what follows, and limits that two sides set
-	over   bool          // Stop has begun
-	limits broker.Limits // of the whole broker, as its two sides have set them
-	// processes of this broker run, this one included; 0: this one alone, since its start.
-	processes int
+	mu       sync.Mutex    // guards cfg and the fields below
+	stopping bool          // Stop has begun
+	limits   broker.Limits // of the whole broker, as set by the configuration file and the store
+	// processCount is the number of running processes of this broker, including this one;
+	// 0: no other process has run since the start.
+	processCount int
 }
 
-// TuneRuntime fits the Go runtime to the platform's limits: it is called once
-// by a program that is the broker alone.
+// TuneRuntime sets GOMAXPROCS, the memory limit and the garbage collector's target from
+// the platform's limits. It changes the whole process, so only a program that runs nothing
+// but the broker calls it: at its start, and when the limits or siblingRunning change.
 //
-// beside says that another process of the broker runs, which has half of the memory.
-func TuneRuntime(l config.Limits, beside bool) {
-	// Two, also on one core: the socket goroutine sits in epoll_wait, and with
-	// one the core would wait until the scheduler takes its place back.
-	runtime.GOMAXPROCS(max(2, int(l.Cores+0.5)))
-	if l.MemoryMB > 0 {
-		bytes := int64(l.MemoryMB) << 20 * 7 / 10
-		if beside {
+// With siblingRunning, another process of this broker runs and uses half of the memory.
+func TuneRuntime(limits config.Limits, siblingRunning bool) {
+	// At least two, even on one core: the socket goroutine blocks in epoll_wait, and with
+	// a single P the core would wait until the scheduler retakes it.
+	runtime.GOMAXPROCS(max(2, int(limits.Cores+0.5)))
+	if limits.MemoryMB > 0 {
+		bytes := int64(limits.MemoryMB) << 20 * 7 / 10
+		if siblingRunning {
 			bytes /= 2
 		}
-		debug.SetMemoryLimit(max(leastHeap, bytes))
+		debug.SetMemoryLimit(max(minMemoryLimit, bytes))
 	}
-	debug.SetGCPercent(400) // the live heap is small beside the limit
+	debug.SetGCPercent(400) // the live heap is small compared to the limit
 }
 
-// shares splits the descriptors between clients and nodes that speak frames; an
-// eighth is left for nodes that speak Flight. A sixteenth is kept
-// for discovery, the log and connections that change hands. Without a Flight front
-// its share goes to the clients; what a long list needs comes out of theirs.
-func shares(sockets int, flight bool, known *discovery.List) (clients, frames int) {
-	if sockets < few { // the program's own, some twelve, are no longer a small share
-		sockets = max(4, sockets-ownDescriptors)
+// splitSockets divides the descriptors between clients and nodes that use the frame
+// protocol. An eighth is reserved for nodes that use Flight, and a sixteenth for discovery,
+// the log and connections in transfer. Without a Flight front its share goes to the
+// clients. A long list of nodes takes what it needs from the clients' share.
+func splitSockets(sockets int, flight bool, cached *discovery.List) (clients, frames int) {
+	if sockets < smallSocketLimit { // the process's own descriptors, about twelve, are a significant share here
+		sockets = max(4, sockets-reservedDescriptors)
 	}
 	clients, frames = sockets/2, sockets*5/16
 	if flight {
 		clients = sockets * 3 / 8
 	}
-	if known != nil {
-		spare := max(0, clients-sockets/4) // clients keep a quarter
-		want := len(known.Nodes) + len(known.Nodes)/8
-		more := max(0, min(spare, want-frames))
-		clients, frames = clients-more, frames+more
+	if cached != nil {
+		surplus := max(0, clients-sockets/4) // clients keep a quarter
+		wanted := len(cached.Nodes) + len(cached.Nodes)/8
+		extra := max(0, min(surplus, wanted-frames))
+		clients, frames = clients-extra, frames+extra
 	}
 	return max(1, clients), max(1, frames)
 }
 
-// sink breaks the circle between the core and its node clients.
-type sink struct{ core *broker.Core }
+// coreSink is the broker.Sink of the node clients. It resolves the circular dependency
+// between the core and its node clients: its core is set after both exist.
+type coreSink struct{ core *broker.Core }
 
-func (s *sink) Outcome(id broker.AttemptID, o decide.Outcome, a broker.Answer) {
+func (s *coreSink) Outcome(id broker.AttemptID, o decide.Outcome, a broker.Answer) {
 	s.core.Outcome(id, o, a)
 }
 
-func (s *sink) Probed(node string, o decide.Outcome, took time.Duration) {
+func (s *coreSink) Probed(node string, o decide.Outcome, took time.Duration) {
 	s.core.Probed(node, o, took)
 }
 
-// Start starts a broker. Its client's port answers when Start returns.
+// Start starts a broker. The clients' port accepts connections when Start returns.
 func Start(cfg *config.Config, log zerolog.Logger) (*Daemon, error) {
-	loop, err := netio.New(maxWrite)
+	loop, err := netio.New(maxPendingWrite)
 	if err != nil {
 		return nil, err
 	}
 	sockets := cfg.Limits.Sockets
 	if sockets == 0 {
-		sockets = defaultSockets
+		sockets = defaultMaxSockets
 	}
-	lev := &level{}
-	lev.set(cfg.LogLevel)
-	log = log.Sample(lev)
-	clients, frames := shares(sockets, cfg.Flight != nil, cfg.Known)
-	d := &Daemon{cfg: cfg, log: log, loop: loop, level: lev, known: make(chan struct{}), clients: clients, frames: frames}
+	sampler := &levelSampler{}
+	sampler.set(cfg.LogLevel)
+	log = log.Sample(sampler)
+	clientConns, frameConns := splitSockets(sockets, cfg.Flight != nil, cfg.Known)
+	d := &Daemon{cfg: cfg, log: log, loop: loop, logLevel: sampler, listKnown: make(chan struct{}), maxClientConns: clientConns, maxFrameConns: frameConns}
 	d.limits.MaxOpen = cfg.Settings.MaxOpen
-	d.window.Store(int64(cfg.HandOver))
-	s := &sink{}
-	// Interfaces that stay nil without a tracer: the core and the wires then
-	// spend nothing.
+	d.handOverWindow.Store(int64(cfg.HandOverWindow))
+	sink := &coreSink{}
+	// These interfaces stay nil without a tracer, so that the core and the node clients
+	// spend nothing on tracing.
 	var observer broker.Observer
-	var wire broker.WireObserver
+	var wireObserver broker.WireObserver
 	if cfg.Tracing != nil {
-		if d.tracer, err = tracing.Start(tracing.Options{Config: *cfg.Tracing, Broker: cfg.Name, Classes: traced(cfg), Log: log}); err != nil {
+		if d.tracer, err = tracing.Start(tracing.Options{Config: *cfg.Tracing, Broker: cfg.Name, Classes: tracingClasses(cfg), Log: log}); err != nil {
 			loop.Stop()
 			return nil, err
 		}
-		observer, wire = d.tracer, d.tracer
+		observer, wireObserver = d.tracer, d.tracer
 	}
 	dialer := netio.NewDialer()
-	d.nodes = nodeclient.New(nodeclient.Options{
-		Loop: loop, Dialer: dialer, Sink: s, StreamsPerConn: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
-		ConnIdle: cfg.ConnIdle, MaxConns: frames, Observer: wire,
+	d.frameNodes = nodeclient.New(nodeclient.Options{
+		Loop: loop, Dialer: dialer, Sink: sink, StreamsPerConn: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
+		ConnIdle: cfg.ConnIdle, MaxConns: frameConns, Observer: wireObserver,
 		Probes: cfg.Settings.MayProbe, NoCancel: !cfg.Settings.MayCancel, Log: log,
 	})
-	d.remote = flightnode.New(flightnode.Options{
-		Sink: s, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wire, Log: log,
+	d.flightNodes = flightnode.New(flightnode.Options{
+		Sink: sink, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wireObserver, Log: log,
 	})
 	d.core = broker.New(broker.Options{
 		Settings: cfg.Settings, Seed: cfg.Seed, Log: log,
-		Nodes:  &router{frames: d.nodes, flight: d.remote, sink: s, log: log},
+		Nodes:  &router{frameClient: d.frameNodes, flightClient: d.flightNodes, sink: sink, log: log},
 		Limits: d.limits, Observer: observer,
 	})
-	s.core = d.core
-	d.seen = &roster{core: d.core, nodes: map[string]broker.Node{}, ready: func() { close(d.known) }}
+	sink.core = d.core
+	d.roster = &rosterForwarder{core: d.core, nodes: map[string]broker.Node{}, onFirstNodes: func() { close(d.listKnown) }}
 	if cfg.Store != nil {
 		if err := d.openStore(); err != nil {
 			d.abort()
 			return nil, err
 		}
 	}
-	// An empty list tells nothing: handed on, it would make every node of the
-	// first real list a newcomer, which the module spares as cold, and a broker
-	// without traffic yet would refuse all for as long.
-	var known *int64
+	// An empty cached list is ignored. Passed on, it would make every node of the first
+	// real list appear as newly added; the decision module would put them all into slow
+	// start, and a broker without traffic so far would refuse all queries for that time.
+	var cachedVersion *int64
 	if cfg.Known != nil && len(cfg.Known.Nodes) > 0 {
-		known = &cfg.Known.Version
-		d.seen.deliver(broker.Roster{Kind: decide.ListCached, Version: cfg.Known.Version, Nodes: cfg.Known.Nodes})
-	} else if d.store != nil { // the last list that the group had, maybe old
-		if last := d.store.State().Roster; len(last.Nodes) > 0 {
-			d.seen.deliver(broker.Roster{Kind: decide.ListCached, Version: last.Version, Nodes: last.Nodes})
+		cachedVersion = &cfg.Known.Version
+		d.roster.forward(broker.Roster{Kind: decide.ListCached, Version: cfg.Known.Version, Nodes: cfg.Known.Nodes})
+	} else if d.store != nil { // the last list that the group stored, possibly outdated
+		if stored := d.store.State().Roster; len(stored.Nodes) > 0 {
+			d.roster.forward(broker.Roster{Kind: decide.ListCached, Version: stored.Version, Nodes: stored.Nodes})
 		}
 	}
-	var run, wait context.Context
-	run, d.stop = context.WithCancel(context.Background())
-	wait, d.cancel = context.WithCancel(context.Background())
-	socket, err := d.join()
+	var coreCtx, listCtx context.Context
+	coreCtx, d.stopCore = context.WithCancel(context.Background())
+	listCtx, d.stopListWait = context.WithCancel(context.Background())
+	inherited, err := d.joinPredecessor()
 	if err == nil {
-		d.front, err = httpfront.Listen(cfg.Listen, httpfront.Options{
-			Core: d.core, Loop: loop, Classes: classes(cfg), Shards: cfg.Settings.Shards,
-			MaxConns: clients, Listener: socket, Trace: cfg.Tracing != nil, Log: log,
+		d.httpFront, err = httpfront.Listen(cfg.Listen, httpfront.Options{
+			Core: d.core, Loop: loop, Classes: classesByName(cfg), Shards: cfg.Settings.Shards,
+			MaxConns: clientConns, Listener: inherited, Trace: cfg.Tracing != nil, Log: log,
 		})
 	}
 	if err == nil && cfg.Flight != nil {
-		d.flight, err = flightfront.Listen(cfg.Flight.Listen, flightfront.Options{
-			Core: d.core, Classes: classes(cfg), Shards: cfg.Settings.Shards, MaxConns: sockets / 8, Log: log,
-			Actions: d.actions(), Trace: cfg.Tracing != nil,
+		d.flightFront, err = flightfront.Listen(cfg.Flight.Listen, flightfront.Options{
+			Core: d.core, Classes: classesByName(cfg), Shards: cfg.Settings.Shards, MaxConns: sockets / 8, Log: log,
+			Actions: d.flightActions(), Trace: cfg.Tracing != nil,
 		})
 	}
 	if err == nil && cfg.Console != "" {
@@ -231,66 +238,66 @@
 		d.abort()
 		return nil, err
 	}
-	d.followBefore()
-	// Ready only with nodes to ask: until then every query would be refused,
-	// and the layer before us has other brokers.
+	d.watchPredecessor()
+	// The broker reports ready only once it has nodes. Until then it would refuse every
+	// query, while the load balancer in front of it has other brokers to choose from.
 	select {
-	case <-d.known:
-		d.serving()
+	case <-d.listKnown:
+		d.startServing()
 	default:
 		d.wg.Add(1)
 		go func() {
 			defer d.wg.Done()
-			late := time.NewTimer(readyWithin)
-			defer late.Stop()
+			timer := time.NewTimer(initialListTimeout)
+			defer timer.Stop()
 			select {
-			case <-d.known:
-			case <-late.C:
-				log.Warn().Str("event", "no-list").Dur("after", readyWithin).Msg("no list of nodes has come; clients are taken and refused")
-			case <-wait.Done():
+			case <-d.listKnown:
+			case <-timer.C:
+				log.Warn().Str("event", "no-list").Dur("after", initialListTimeout).Msg("no list of nodes received in time; accepting clients and refusing their queries")
+			case <-listCtx.Done():
 				return
 			}
-			d.serving()
+			d.startServing()
 		}()
 	}
 	d.wg.Add(1)
 	go func() {
 		defer d.wg.Done()
-		d.core.Run(run)
+		d.core.Run(coreCtx)
 	}()
 	d.mu.Lock()
-	d.followAt(cfg.Discovery, known)
+	d.watchDiscovery(cfg.Discovery, cachedVersion)
 	d.mu.Unlock()
-	d.passedOver(cfg)
+	d.logIgnoredFields(cfg)
 	log.Info().Str("event", "started").Str("name", cfg.Name).Str("listen", d.Addr().String()).
 		Str("procs", strconv.Itoa(runtime.GOMAXPROCS(0))).Msg("serving")
 	return d, nil
 }
 
-// passedOver says what of the configuration this broker does without.
-func (d *Daemon) passedOver(cfg *config.Config) {
-	for _, n := range cfg.Notes {
-		d.log.Warn().Str("event", "unused").Str("field", n.Path).Err(n.Err).Msg("the configuration has something that this broker does without")
+// logIgnoredFields logs the parts of the configuration that this broker ignores.
+func (d *Daemon) logIgnoredFields(cfg *config.Config) {
+	for _, n := range cfg.Warnings {
+		d.log.Warn().Str("event", "unused").Str("field", n.Path).Err(n.Err).Msg("ignoring a part of the configuration")
 	}
 }
 
-// followAt begins to watch discovery at addr, from the version in hand where
-// that is this discovery's. The watch before it ends once this one has been
-// answered. d.mu is held.
-func (d *Daemon) followAt(addr string, known *int64) {
-	ctx, end := context.WithCancel(context.Background())
+// watchDiscovery starts to watch discovery at addr. version is the version of the list
+// that is known from this discovery, or nil. The previous watch ends when the new one
+// receives its first answer. d.mu must be held.
+func (d *Daemon) watchDiscovery(addr string, version *int64) {
+	ctx, cancel := context.WithCancel(context.Background())
 	brokers := 0
 	if d.cfg.Settings.AskForList {
 		brokers = d.cfg.Settings.Roots
 	}
-	told := toldWithin
+	maxStaleness := maxListStaleness
 	if ms := d.cfg.Settings.AskWithinMs; ms > 0 {
-		told = min(told, time.Duration(ms*float64(time.Millisecond)))
+		maxStaleness = min(maxStaleness, time.Duration(ms*float64(time.Millisecond)))
 	}
-	heard, deliver := d.seen.source(end)
+	onAnswer, deliver := d.roster.addSource(cancel)
 	client := discovery.New(discovery.Options{
-		Addr: addr, Zones: d.cfg.Zones, Kinds: d.cfg.Kinds, Log: d.log, Heard: heard, Deliver: deliver,
-		Known: known, Brokers: brokers, Seed: d.cfg.Seed, Told: told,
+		Addr: addr, Zones: d.cfg.Zones, Kinds: d.cfg.Kinds, Log: d.log, Heard: onAnswer, Deliver: deliver,
+		Known: version, Brokers: brokers, Seed: d.cfg.Seed, Told: maxStaleness,
 	})
 	d.wg.Add(1)
 	go func() {
@@ -299,73 +306,74 @@
 	}()
 }
 
-// Reload takes a configuration into use that was read anew while the broker
-// runs. The roster and all connections survive; fields that only a restart can
-// apply keep their old values and are named in the log.
+// Reload applies a configuration that was read again while the broker runs. The roster and
+// all connections are kept. Fields that need a restart keep their old values and are
+// listed in the log.
 func (d *Daemon) Reload(cfg *config.Config) {
-	if d.store != nil { // what the group has set goes on to hold
-		defer func() { d.configure(d.store.State()) }()
+	if d.store != nil { // the replicated configuration takes precedence over the file
+		defer func() { d.applyStoreConfig(d.store.State()) }()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.over {
-		d.log.Info().Str("event", "reload").Msg("not applied: the broker is stopping")
+	if d.stopping {
+		d.log.Info().Str("event", "reload").Msg("configuration not reloaded: the broker is stopping")
 		return
 	}
-	d.reloads.accepted.Add(1)
+	d.reloadCounts.accepted.Add(1)
 	old := d.cfg
 	next := *old
 	next.Discovery, next.FileDiscovery = cfg.Discovery, cfg.FileDiscovery
-	next.LogLevel, next.HandOver = cfg.LogLevel, cfg.HandOver
+	next.LogLevel, next.HandOverWindow = cfg.LogLevel, cfg.HandOverWindow
 	next.Limits.Cores, next.Limits.MemoryMB = cfg.Limits.Cores, cfg.Limits.MemoryMB
 	next.Settings.MaxOpen = cfg.Settings.MaxOpen
 	next.Settings.MaxAttempts = cfg.Settings.MaxAttempts
 	next.Settings.Classes, next.Classes = cfg.Settings.Classes, cfg.Classes
 	d.cfg = &next
-	d.reclassify()
+	d.applyClasses()
 	if next.LogLevel != old.LogLevel {
-		d.level.set(next.LogLevel)
+		d.logLevel.set(next.LogLevel)
 	}
-	if next.HandOver != old.HandOver {
-		d.window.Store(int64(next.HandOver))
+	if next.HandOverWindow != old.HandOverWindow {
+		d.handOverWindow.Store(int64(next.HandOverWindow))
 	}
 	if next.Settings.MaxOpen != old.Settings.MaxOpen {
 		d.limits.MaxOpen = next.Settings.MaxOpen
 		d.applyLimits()
 	}
 	if next.Discovery != old.Discovery {
-		d.followAt(next.Discovery, nil)
+		d.watchDiscovery(next.Discovery, nil)
 	}
-	d.passedOver(cfg)
+	d.logIgnoredFields(cfg)
 	d.log.Info().Str("event", "reload").Str("discovery", next.Discovery).Bool("moved", next.Discovery != old.Discovery).
-		Strs("need_restart", config.NeedRestart(old, cfg)).Msg("the configuration file was read again")
+		Strs("need_restart", config.FieldsNeedingRestart(old, cfg)).Msg("configuration reloaded")
 }
 
-// reclassify takes the classes and the attempts allowed of d.cfg into use. The core has
-// them before a front names them. d.mu is held.
-func (d *Daemon) reclassify() {
+// applyClasses applies the classes and the maximum number of attempts of d.cfg. The core
+// gets them first, so that no front submits a class that the core does not know. d.mu must
+// be held.
+func (d *Daemon) applyClasses() {
 	d.core.Reconfigure(d.cfg.Settings.Classes, d.cfg.Settings.MaxAttempts)
-	byName := classes(d.cfg)
-	d.front.SetClasses(byName)
-	if d.flight != nil {
-		d.flight.SetClasses(byName)
+	byName := classesByName(d.cfg)
+	d.httpFront.SetClasses(byName)
+	if d.flightFront != nil {
+		d.flightFront.SetClasses(byName)
 	}
 }
 
-// abort undoes a start that failed half way.
+// abort releases what a failed Start has opened.
 func (d *Daemon) abort() {
 	if d.store != nil {
-		_ = d.store.Close() // the failed start is the error that counts
+		_ = d.store.Close() // Start returns the error that made it fail
 	}
-	if d.front != nil {
-		over, cancel := context.WithCancel(context.Background())
+	if d.httpFront != nil {
+		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
-		d.front.Drain(over, 0)
+		d.httpFront.Drain(canceled, 0)
 	}
-	d.leave()
+	d.closeTakeover()
 	d.wg.Wait()
-	d.nodes.Close()
-	d.remote.Close()
+	d.frameNodes.Close()
+	d.flightNodes.Close()
 	d.loop.Stop()
 	if d.admin != nil {
 		d.admin.Close()
@@ -375,7 +383,8 @@
 	}
 }
 
-func classes(cfg *config.Config) map[string]query.Class {
+// classesByName returns the classes that new queries may use.
+func classesByName(cfg *config.Config) map[string]query.Class {
 	m := make(map[string]query.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
 		if c.Retired {
@@ -386,75 +395,76 @@
 	return m
 }
 
-// traced is what the tracer needs of the classes.
-func traced(cfg *config.Config) []tracing.Class {
-	ms := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
-	all := make([]tracing.Class, len(cfg.Classes))
+// tracingClasses returns the classes in the form that the tracer needs.
+func tracingClasses(cfg *config.Config) []tracing.Class {
+	milliseconds := func(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
+	classes := make([]tracing.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
 		s := &cfg.Settings.Classes[i]
-		all[i] = tracing.Class{Name: c.Name, Wanted: ms(s.AimMs), Stretch: s.AimStretch, Most: ms(s.DeadlineMs)}
+		classes[i] = tracing.Class{Name: c.Name, Wanted: milliseconds(s.AimMs), Stretch: s.AimStretch, Most: milliseconds(s.DeadlineMs)}
 	}
-	return all
+	return classes
 }
 
-// Addr is where clients connect.
-func (d *Daemon) Addr() net.Addr { return d.front.Addr() }
+// Addr returns the address where HTTP clients connect.
+func (d *Daemon) Addr() net.Addr { return d.httpFront.Addr() }
 
-// FlightAddr is where Flight clients connect; nil where that front is off.
+// FlightAddr returns the address where Flight clients connect, or nil if that front is off.
 func (d *Daemon) FlightAddr() net.Addr {
-	if d.flight == nil {
+	if d.flightFront == nil {
 		return nil
 	}
-	return d.flight.Addr()
+	return d.flightFront.Addr()
 }
 
-// Stats returns the core's counts.
+// Stats returns the core's counters.
 func (d *Daemon) Stats() broker.Stats { return d.core.Stats() }
 
-// answerWithin is how long after it was told to stop a broker may take to answer what is
-// open: the platform may kill it soon after.
-func (d *Daemon) answerWithin() time.Duration {
+// answerTimeout returns how long after the stop signal the broker may take to answer open
+// queries. The platform may kill the process soon after that.
+func (d *Daemon) answerTimeout() time.Duration {
 	longest := time.Duration(0)
 	for i, class := range d.cfg.Settings.Classes {
 		if d.cfg.Classes[i].Retired {
 			continue
 		}
 		deadline := time.Duration(class.DeadlineMs * float64(time.Millisecond))
-		longest = max(longest, cmp.Or(deadline, longestCounted)) // without one clients may wait for any time
+		longest = max(longest, cmp.Or(deadline, maxCountedDeadline)) // without a deadline clients may wait indefinitely
 	}
-	return min(longest, longestCounted) + killGrace - stopSpare
+	return min(longest, maxCountedDeadline) + killGracePeriod - killSafetyMargin
 }
 
-// Stop takes new connections through the hand-over window, answers all that
-// was taken and ends.
+// Stop accepts new connections during the hand-over window, answers every accepted query
+// and shuts the broker down. If the time does not suffice, or ctx ends first, it returns an
+// error.
 func (d *Daemon) Stop(ctx context.Context) error {
-	told, within := time.Now(), d.answerWithin()
-	d.core.EndBy(told.Add(within))
-	window := time.Duration(d.window.Load())
-	if d.succeeded() {
-		d.front.HandedOver(told.Add(within * restShare / 100))
-	}
-	d.log.Info().Str("event", "draining").Dur("window", window).Msg("told to stop")
-	ctx, cancel := context.WithTimeout(ctx, window+drainWithin)
+	stopTime, answerTimeout := time.Now(), d.answerTimeout()
+	d.core.EndBy(stopTime.Add(answerTimeout))
+	window := time.Duration(d.handOverWindow.Load())
+	if d.hasSuccessor() {
+		d.httpFront.HandedOver(stopTime.Add(answerTimeout * idleKeepPercent / 100))
+	}
+	d.log.Info().Str("event", "draining").Dur("window", window).Msg("stop requested; draining")
+	ctx, cancel := context.WithTimeout(ctx, window+drainTimeout)
 	defer cancel()
-	d.front.Drain(ctx, window)
+	d.httpFront.Drain(ctx, window)
 	if d.tracer != nil {
 		d.tracer.EndFollowers()
 	}
-	if d.flight != nil {
-		d.flight.Drain(ctx)
+	if d.flightFront != nil {
+		d.flightFront.Drain(ctx)
 	}
 	err := ctx.Err()
 	d.mu.Lock()
-	d.over = true // a reload from now on would start what nothing ends
-	d.seen.stop()
+	d.stopping = true // a later reload would start a watch that nothing stops
+	d.roster.stop()
 	d.mu.Unlock()
-	d.cancel()
-	d.stop()
-	d.leave()
+	d.stopListWait()
+	d.stopCore()
+	d.closeTakeover()
 	d.wg.Wait()
-	d.nodes.Close()
-	d.remote.Close()
+	d.frameNodes.Close()
+	d.flightNodes.Close()
 	d.loop.Stop()
 	if d.admin != nil {
 		d.admin.Close()
--- a/daemon/export_test.go
+++ b/daemon/export_test.go
@@ -2,7 +2,7 @@
 
 import "onyxsail/tracing/record"
 
-// Traces returns the broker's own account of queries, where tracing is on.
+// Traces returns the kept traces of queries that match f. Tracing must be on.
 func (d *Daemon) Traces(f record.Filter) ([]*record.Trace, error) {
 	traces, _, err := d.tracer.Read(f)
 	return traces, err
--- a/daemon/figures.go
+++ b/daemon/figures.go
@@ -8,59 +8,60 @@
 	"onyxsail/broker"
 )
 
-// reloads counts the configuration files that were read while the broker runs.
-type reloads struct{ accepted, invalid atomic.Int64 }
+// reloadCounters counts the reloads of the configuration file by their result.
+type reloadCounters struct{ accepted, invalid atomic.Int64 }
 
-// TurnedDown counts a file that could not be taken at a reload.
-func (d *Daemon) TurnedDown() { d.reloads.invalid.Add(1) }
+// CountInvalidReload counts a reload whose configuration file was rejected.
+func (d *Daemon) CountInvalidReload() { d.reloadCounts.invalid.Add(1) }
 
 // Ready implements admin.Broker.
-func (d *Daemon) Ready() bool { return d.front.Ready() }
+func (d *Daemon) Ready() bool { return d.httpFront.Ready() }
 
 // SendAway implements admin.Broker.
-func (d *Daemon) SendAway(away bool) { d.front.SendAway(away) }
+func (d *Daemon) SendAway(away bool) { d.httpFront.SendAway(away) }
 
 // Figures implements admin.Broker.
 func (d *Daemon) Figures() []admin.Figure {
 	ctx, cancel := context.WithTimeout(context.Background(), broker.SurveyWithin)
 	defer cancel()
-	list := d.core.Survey(ctx)
-	var all []admin.Figure
-	for _, c := range d.byClass() {
-		all = append(all, admin.Figure{Name: "fulfilled." + c.name, Value: c.Fulfilled},
+	survey := d.core.Survey(ctx)
+	var figures []admin.Figure
+	for _, c := range d.countsByClassName() {
+		figures = append(figures, admin.Figure{Name: "fulfilled." + c.name, Value: c.Fulfilled},
 			admin.Figure{Name: "throttled." + c.name, Value: c.Throttled},
 			admin.Figure{Name: "faulted." + c.name, Value: c.Faulted})
 	}
-	return append(all,
-		admin.Figure{Name: "relayed", Value: d.nodes.Relayed() + d.remote.Relayed()},
+	return append(figures,
+		admin.Figure{Name: "relayed", Value: d.frameNodes.Relayed() + d.flightNodes.Relayed()},
 		admin.Figure{Name: "open_requests", Value: d.core.Stats().Open},
-		admin.Figure{Name: "registry_entries", Value: int64(list.Listed)},
-		admin.Figure{Name: "out_of_rotation", Value: int64(list.Avoided)},
-		admin.Figure{Name: "cfg_accepted", Value: d.reloads.accepted.Load()},
-		admin.Figure{Name: "cfg_invalid", Value: d.reloads.invalid.Load()},
+		admin.Figure{Name: "registry_entries", Value: int64(survey.Listed)},
+		admin.Figure{Name: "out_of_rotation", Value: int64(survey.Avoided)},
+		admin.Figure{Name: "cfg_accepted", Value: d.reloadCounts.accepted.Load()},
+		admin.Figure{Name: "cfg_invalid", Value: d.reloadCounts.invalid.Load()},
 	)
 }
 
-// namedCounts are the counts of all that has borne one class's name.
-type namedCounts struct {
+// namedClassCounts are the counters of all classes that have had the same name, summed up.
+type namedClassCounts struct {
 	name string
 	broker.ClassCounts
 }
 
-// byClass adds up the counts of the classes by name, in the order of their first index.
-func (d *Daemon) byClass() (all []namedCounts) {
+// countsByClassName sums up the counters of the classes by name, in the order of their
+// first index.
+func (d *Daemon) countsByClassName() (all []namedClassCounts) {
 	byIndex := d.core.Classes()
 	d.mu.Lock()
-	classes := d.cfg.Classes // all that the core has, as a reload puts them here first
+	classes := d.cfg.Classes // includes all classes of the core, as a reload sets d.cfg first
 	d.mu.Unlock()
-	at := make(map[string]int, len(classes))
+	position := make(map[string]int, len(classes))
 	for i, counts := range byIndex {
 		name := classes[i].Name
-		k, known := at[name]
+		k, known := position[name]
 		if !known {
 			k = len(all)
-			at[name] = k
-			all = append(all, namedCounts{name: name})
+			position[name] = k
+			all = append(all, namedClassCounts{name: name})
 		}
 		all[k].Fulfilled += counts.Fulfilled
 		all[k].Throttled += counts.Throttled
--- a/daemon/moves_test.go
+++ b/daemon/moves_test.go
@@ -16,30 +16,31 @@
 	"onyxsail/internal/testkit"
 )
 
-// Discovery moves while the new one is down: what the old one tells until the new one has
-// answered counts as told, and is taken in. From then on the old one is asked, and heard,
-// no more. A third that takes the place of the second, unanswered, ends its watch.
-func TestDiscoveryMovesWhileTheNewOneIsDown(t *testing.T) {
+// A reload moves the broker to a new discovery that is down. Guards against updates of the
+// old discovery being lost before the new one has answered, against the old one still being
+// polled or applied afterwards, and against the watch of a discovery that never answered
+// surviving the next move.
+func TestOldDiscoveryIsFollowedUntilNewOneAnswers(t *testing.T) {
 	var nodes []*testkit.Node
 	var list []testkit.Entry
 	for i := range 3 {
 		n := testkit.NewNode(t, fmt.Sprintf("s-%d", i), false)
 		nodes, list = append(nodes, n), append(list, n.Entry())
 	}
-	old, third := testkit.NewDiscovery(t, list...), testkit.NewDiscovery(t, list...)
-	down, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and never answers
+	oldDiscovery, thirdDiscovery := testkit.NewDiscovery(t, list...), testkit.NewDiscovery(t, list...)
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer down.Close()
-	at := func(addr string) *config.Config {
+	defer unresponsive.Close()
+	configFor := func(addr string) *config.Config {
 		cfg, err := config.Parse(testkit.Config(addr, list, testkit.Settings(nil), nil), func(string) string { return "" })
 		if err != nil {
 			t.Fatal(err)
 		}
 		return cfg
 	}
-	d, err := daemon.Start(at(old.Addr), zerolog.New(io.Discard))
+	d, err := daemon.Start(configFor(oldDiscovery.Addr), zerolog.New(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,30 +53,30 @@
 	ask := func() {
 		t.Helper()
 		ids++
-		if got := testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: fmt.Sprintf("q%d", ids), Shards: six, Within: 3 * time.Second}); got.Kind != "served" {
+		if got := testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: fmt.Sprintf("q%d", ids), Shards: sixShards, Within: 3 * time.Second}); got.Kind != "served" {
 			t.Fatalf("got %+v", got)
 		}
 	}
-	testkit.Eventually(t, "the old one is watched", func() bool { return len(old.Calls()) > 1 })
-	d.Reload(at(down.Addr().String()))
-	drained := nodes[0].Entry()
-	drained.State = "terminating"
-	version := old.Change(drained)
-	testkit.Eventually(t, "the old one tells the drain", func() bool { return !old.Told(version).IsZero() })
-	limit := old.Told(version).Add(500 * time.Millisecond)
+	testkit.Eventually(t, "the old discovery is watched", func() bool { return len(oldDiscovery.Calls()) > 1 })
+	d.Reload(configFor(unresponsive.Addr().String()))
+	draining := nodes[0].Entry()
+	draining.State = "terminating"
+	version := oldDiscovery.Change(draining)
+	testkit.Eventually(t, "the old discovery sends the drain", func() bool { return !oldDiscovery.Told(version).IsZero() })
+	limit := oldDiscovery.Told(version).Add(500 * time.Millisecond)
 	for i := 0; i < 20 || time.Now().Before(limit.Add(100*time.Millisecond)); i++ {
 		ask()
 	}
 	if i := slices.IndexFunc(nodes[0].Calls(), func(c testkit.Call) bool { return c.At.After(limit) }); i >= 0 {
-		t.Fatal("a part was sent long after its drain was told by the old discovery")
+		t.Fatal("a part was sent more than 500 ms after the old discovery had sent the node's drain")
 	}
-	d.Reload(at(third.Addr))
-	testkit.Eventually(t, "the third one is watched", func() bool { return len(third.Calls()) > 1 })
-	asked := len(old.Calls())
-	time.Sleep(1500 * time.Millisecond) // longer than a watch waits
-	if n := len(old.Calls()); n > asked+1 {
-		t.Errorf("the old one was asked %d times more", n-asked)
+	d.Reload(configFor(thirdDiscovery.Addr))
+	testkit.Eventually(t, "the third discovery is watched", func() bool { return len(thirdDiscovery.Calls()) > 1 })
+	callsBefore := len(oldDiscovery.Calls())
+	time.Sleep(1500 * time.Millisecond) // longer than one long poll
+	if n := len(oldDiscovery.Calls()); n > callsBefore+1 {
+		t.Errorf("the old discovery was called %d more times", n-callsBefore)
 	}
-	before := len(nodes[0].Calls()) // the third says that the node is in service
-	testkit.Eventually(t, "the node is used again", func() bool { ask(); return len(nodes[0].Calls()) > before })
+	partsBefore := len(nodes[0].Calls()) // the third discovery lists the node as in service
+	testkit.Eventually(t, "the node is used again", func() bool { ask(); return len(nodes[0].Calls()) > partsBefore })
 }
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -25,8 +25,8 @@
 	"onyxsail/tracing"
 )
 
-// Names of the operator's commands on Flight, and of the reason and field with
-// which a follower names the leader.
+// Names of the operators' Flight actions. ReasonNotLeader and LeaderFlight are the error
+// reason and the metadata key with which a follower returns the leader's Flight address.
 const (
 	ActionStatus    = "status"
 	ActionConfigGet = "config.get"
@@ -34,113 +34,116 @@
 	ActionTraceRead = "trace.read"
 	ActionTraceTail = "trace.tail"
 	ReasonNotLeader = "NOT_LEADER"
-	LeaderFlight    = "leader_flight"
+	LeaderFlightKey = "leader_flight"
 )
 
-// level lets log lines through from a level that may change while the broker
-// runs.
-type level struct{ least atomic.Int32 }
+// levelSampler passes log lines from a minimum level up. The level may change while the
+// broker runs.
+type levelSampler struct{ minLevel atomic.Int32 }
 
 // Sample implements zerolog.Sampler.
-func (l *level) Sample(at zerolog.Level) bool { return int32(at) >= l.least.Load() }
+func (s *levelSampler) Sample(level zerolog.Level) bool { return int32(level) >= s.minLevel.Load() }
 
-func (l *level) set(name string) {
-	least, err := zerolog.ParseLevel(name)
+func (s *levelSampler) set(name string) {
+	minLevel, err := zerolog.ParseLevel(name)
 	if err != nil || name == "" {
-		least = zerolog.InfoLevel
+		minLevel = zerolog.InfoLevel
 	}
-	l.least.Store(int32(least))
+	s.minLevel.Store(int32(minLevel))
 }
 
-// roster hands the list on to the core and, where a store runs, keeps it whole
-// for the store.
-type roster struct {
-	core  *broker.Core
-	store *store.Store
-	nodes map[string]broker.Node
-	ready func() // called once a list with nodes is in hand
-	once  sync.Once
+// rosterForwarder forwards updates of the list of nodes to the core. Where a store runs, it
+// also maintains the full list and passes it to the store.
+type rosterForwarder struct {
+	core         *broker.Core
+	store        *store.Store
+	nodes        map[string]broker.Node
+	onFirstNodes func() // called once, with the first list that has nodes
+	once         sync.Once
 
-	mu      sync.Mutex
-	now     source // goes on until the next one has been answered
-	next    source // has not been yet
-	sources int
+	mu           sync.Mutex
+	current      rosterSource // its updates are forwarded
+	pending      rosterSource // becomes current with its first answer
+	lastSourceID int
 }
 
-// source is one that news of the list come from.
-type source struct {
-	id  int
-	end context.CancelFunc
+// rosterSource is a watch of one discovery, which updates of the list come from. The zero
+// value is no source.
+type rosterSource struct {
+	id     int
+	cancel context.CancelFunc
 }
 
-// stop ends a source, if it is one.
-func (s source) stop() {
-	if s.end != nil {
-		s.end()
+// stop ends the source; it does nothing on the zero value.
+func (s rosterSource) stop() {
+	if s.cancel != nil {
+		s.cancel()
 	}
 }
 
-// source takes a new source of news, which end ends, and returns what it calls when it
-// has been answered and what it delivers to. The one before it goes on until then: what
-// that has heard counts as told, and the new one may be down. From then on news of the
-// old one are ignored, as they would bring an old list back.
-func (r *roster) source(end context.CancelFunc) (heard func(), deliver func(broker.Roster)) {
+// addSource registers a new source that cancel stops. It returns the callbacks of the
+// source: onAnswer for each answer of its discovery, and deliver for updates of the list.
+// The previous source stays in use until the first answer, because the new discovery may be
+// down and what the old one reports until then still applies. Afterwards updates of the
+// previous source are dropped, as they would bring back an outdated list.
+func (r *rosterForwarder) addSource(cancel context.CancelFunc) (onAnswer func(), deliver func(broker.Roster)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.next.stop()
-	r.sources++
-	own := source{r.sources, end}
-	r.next = own
-	heard = func() {
+	r.pending.stop()
+	r.lastSourceID++
+	added := rosterSource{r.lastSourceID, cancel}
+	r.pending = added
+	onAnswer = func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if own.id == r.next.id {
-			r.now.stop()
-			r.now, r.next = own, source{}
+		if added.id == r.pending.id {
+			r.current.stop()
+			r.current, r.pending = added, rosterSource{}
 		}
 	}
-	return heard, func(news broker.Roster) {
+	return onAnswer, func(update broker.Roster) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if own.id == r.now.id {
-			r.deliver(news)
+		if added.id == r.current.id {
+			r.forward(update)
 		}
 	}
 }
 
-// stop ends all sources.
-func (r *roster) stop() {
+// stop ends all sources of updates.
+func (r *rosterForwarder) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.now.stop()
-	r.next.stop()
+	r.current.stop()
+	r.pending.stop()
 }
 
-func (r *roster) deliver(news broker.Roster) {
-	r.core.Roster(news)
-	if len(news.Nodes) > 0 {
-		r.once.Do(r.ready)
+// forward passes an update to the core and the resulting full list to the store.
+func (r *rosterForwarder) forward(update broker.Roster) {
+	r.core.Roster(update)
+	if len(update.Nodes) > 0 {
+		r.once.Do(r.onFirstNodes)
 	}
 	if r.store == nil {
 		return
 	}
-	if news.Kind != decide.ListDelta {
+	if update.Kind != decide.ListDelta {
 		clear(r.nodes)
 	}
-	for _, n := range news.Nodes {
+	for _, n := range update.Nodes {
 		if r.nodes[n.ID] = n; n.State == decide.Gone {
 			delete(r.nodes, n.ID)
 		}
 	}
-	if news.Kind == decide.ListCached {
-		return // old news must not take the place of the store's own
+	if update.Kind == decide.ListCached {
+		return // a cached list must not replace a newer one in the store
 	}
-	all := make([]broker.Node, 0, len(r.nodes))
+	nodes := make([]broker.Node, 0, len(r.nodes))
 	for _, n := range r.nodes {
-		all = append(all, n)
+		nodes = append(nodes, n)
 	}
-	sort.Slice(all, func(i, j int) bool { return all[i].ID < all[j].ID })
-	r.store.Remember(store.Roster{Version: news.Version, Nodes: all})
+	sort.Slice(nodes, func(i, j int) bool { return nodes[i].ID < nodes[j].ID })
+	r.store.RecordRoster(store.Roster{Version: update.Version, Nodes: nodes})
 }
 
 func (d *Daemon) openStore() error {
@@ -149,73 +152,73 @@
 		peers[i] = store.Peer{Name: p.Name, Raft: p.Raft, Flight: p.Flight}
 	}
 	s, err := store.Open(store.Options{
-		Name: d.cfg.Name, Dir: d.cfg.Store.Dir, Peers: peers, Log: d.log, Changed: d.configure,
+		Name: d.cfg.Name, Dir: d.cfg.Store.Dir, Peers: peers, Log: d.log, OnChange: d.applyStoreConfig,
 	})
 	if err != nil {
 		return err
 	}
-	d.store, d.seen.store = s, s
+	d.store, d.roster.store = s, s
 	return nil
 }
 
-// configure takes a new configuration into use. Version 0 is the state before
-// any was set: then the operator's file holds.
-func (d *Daemon) configure(s store.State) {
-	c := s.Config
+// applyStoreConfig applies the replicated configuration. Version 0 means that none has been
+// set yet: then the configuration file stays in effect.
+func (d *Daemon) applyStoreConfig(state store.State) {
+	c := state.Config
 	if c.Version == 0 {
 		return
 	}
-	d.level.set(c.LogLevel)
-	d.window.Store(int64(time.Duration(c.HandOverMs) * time.Millisecond))
+	d.logLevel.set(c.LogLevel)
+	d.handOverWindow.Store(int64(time.Duration(c.HandOverMs) * time.Millisecond))
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	open := d.cfg.Settings.MaxOpen
-	if c.MaxOpen > 0 && (open == 0 || c.MaxOpen < open) { // the settings' figure is a limit of the platform's
-		open = c.MaxOpen
+	maxOpen := d.cfg.Settings.MaxOpen
+	if c.MaxOpen > 0 && (maxOpen == 0 || c.MaxOpen < maxOpen) { // the settings' value is a limit of the platform
+		maxOpen = c.MaxOpen
 	}
-	d.limits = broker.Limits{QueueLimit: c.QueueLimit, MaxOpen: open}
+	d.limits = broker.Limits{QueueLimit: c.QueueLimit, MaxOpen: maxOpen}
 	d.applyLimits()
-	d.log.Info().Str("event", "configured").Uint64("version", c.Version).Msg("a configuration took effect")
+	d.log.Info().Str("event", "configured").Uint64("version", c.Version).Msg("replicated configuration applied")
 }
 
-// Status is what the status command tells.
+// Status is the result of the status action.
 type Status struct {
 	Name    string          `json:"name"`
 	Stats   broker.Stats    `json:"stats"`
 	Store   *store.Status   `json:"store,omitempty"`
 	Tracing *tracing.Counts `json:"tracing,omitempty"`
-	// Addresses of the nodes that have several, the preferred one first.
+	// Addresses has the addresses of each node with more than one, in order of preference.
 	Addresses map[string][]reach.View `json:"addresses,omitempty"`
 }
 
-// Status returns the daemon's status.
+// Status returns the status of the broker, its store and its tracing.
 func (d *Daemon) Status() Status {
 	s := Status{Name: d.cfg.Name, Stats: d.Stats()}
 	if d.store != nil {
-		own := d.store.Status()
-		s.Store = &own
+		storeStatus := d.store.Status()
+		s.Store = &storeStatus
 	}
-	s.Addresses = d.nodes.Addresses()
-	maps.Copy(s.Addresses, d.remote.Addresses())
+	s.Addresses = d.frameNodes.Addresses()
+	maps.Copy(s.Addresses, d.flightNodes.Addresses())
 	if d.tracer != nil {
-		c := d.tracer.Counts()
-		s.Tracing = &c
+		counts := d.tracer.Counts()
+		s.Tracing = &counts
 	}
 	return s
 }
 
-func (d *Daemon) actions() []flightfront.Action {
-	all := []flightfront.Action{{
+func (d *Daemon) flightActions() []flightfront.Action {
+	actions := []flightfront.Action{{
 		Name: ActionStatus, About: "counts of this broker and its view of the store's group",
 		Run: func(context.Context, []byte) ([]byte, error) { return json.Marshal(d.Status()) },
 	}}
 	if d.tracer != nil {
-		all = append(all, d.traceActions()...)
+		actions = append(actions, d.traceActions()...)
 	}
 	if d.store == nil {
-		return all
+		return actions
 	}
-	return append(all,
+	return append(actions,
 		flightfront.Action{
 			Name: ActionConfigGet, About: "the configuration as this instance has it",
 			Run: func(context.Context, []byte) ([]byte, error) { return json.Marshal(d.store.State().Config) },
@@ -227,36 +230,37 @@
 }
 
 func (d *Daemon) setConfig(body []byte) ([]byte, error) {
-	var p store.Patch
-	dec := json.NewDecoder(bytes.NewReader(body))
-	dec.DisallowUnknownFields()
-	if err := dec.Decode(&p); err != nil {
+	var patch store.Patch
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&patch); err != nil {
 		return nil, status.Errorf(codes.InvalidArgument, "configuration: %v", err)
 	}
-	c, err := d.store.SetConfig(p)
+	c, err := d.store.SetConfig(patch)
 	if err != nil {
-		return nil, storeError(err)
+		return nil, flightStatus(err)
 	}
 	return json.Marshal(c)
 }
 
-// storeError gives the store's errors their codes.
-func storeError(err error) error {
-	var not *store.NotLeader
+// flightStatus maps the store's errors to Flight status codes. A follower that knows the
+// leader attaches its name and Flight address as error details.
+func flightStatus(err error) error {
+	var notLeader *store.NotLeaderError
 	switch {
-	case errors.As(err, &not) && not.Leader.Name == "":
+	case errors.As(err, &notLeader) && notLeader.Leader.Name == "":
 		return status.Error(codes.Unavailable, err.Error())
-	case errors.As(err, &not):
-		s := status.New(codes.FailedPrecondition, err.Error())
-		with, derr := s.WithDetails(&errdetails.ErrorInfo{
+	case errors.As(err, &notLeader):
+		st := status.New(codes.FailedPrecondition, err.Error())
+		detailed, detailsErr := st.WithDetails(&errdetails.ErrorInfo{
 			Reason: ReasonNotLeader, Domain: "gannetchute",
-			Metadata: map[string]string{"leader": not.Leader.Name, LeaderFlight: not.Leader.Flight},
+			Metadata: map[string]string{"leader": notLeader.Leader.Name, LeaderFlightKey: notLeader.Leader.Flight},
 		})
-		if derr != nil {
-			return s.Err()
+		if detailsErr != nil {
+			return st.Err()
 		}
-		return with.Err()
-	case errors.Is(err, store.ErrUndecided):
+		return detailed.Err()
+	case errors.Is(err, store.ErrOutcomeUnknown):
 		return status.Error(codes.Unknown, err.Error())
 	case errors.Is(err, store.ErrInvalid):
 		return status.Error(codes.InvalidArgument, err.Error())
--- a/daemon/proof_test.go
+++ b/daemon/proof_test.go
@@ -23,31 +23,32 @@
 )
 
 var (
-	proofFor    = flag.Duration("proof.for", 0, "how long the proof runs; 0: the short form")
-	proofSeed   = flag.Uint64("proof.seed", 3, "the seed of the faults")
-	proofShow   = flag.String("proof.show", "none", "whose accounts are logged, by how they ended: none, failed, refused or expired")
-	proofTraced = flag.Bool("proof.traced", true, "have the broker keep an account of bad queries, in memory")
+	proofDuration     = flag.Duration("proof.for", 0, "duration of the query load; 0: the short form")
+	proofSeed         = flag.Uint64("proof.seed", 3, "seed of the injected faults")
+	proofShowOutcomes = flag.String("proof.show", "none", "log the traces of queries with these outcomes: none, failed, refused or expired")
+	proofTraced       = flag.Bool("proof.traced", true, "have the broker keep traces of failed queries in memory")
 )
 
-// TestProofAddresses asks queries of all classes of nodes that are each reached
-// by IPv4, IPv6 and a Unix socket, in frames and in Flight, while one way at a
-// node refuses, stalls or resets by a seed. The nodes count the parts that ran.
+// TestProofAddresses guards against address fallback losing queries or running a part
+// twice. Queries of all classes go to nodes that are each reachable over IPv4, IPv6 and a
+// Unix socket, by frames or Flight, while a seeded fault injector makes one address of a
+// node at a time refuse, stall or reset. The nodes record the parts that ran.
 func TestProofAddresses(t *testing.T) {
 	var nodes []*testkit.Node
 	var list []testkit.Entry
-	var ways [][]*testkit.Way
+	var proxies [][]*testkit.Way
 	for i := range 6 {
 		n := testkit.NewNode(t, fmt.Sprintf("s-%d", i), i%2 == 1)
-		three := []*testkit.Way{
+		nodeProxies := []*testkit.Way{
 			testkit.NewWay(t, "tcp", "127.0.0.1:0", n), testkit.NewWay(t, "tcp", "[::1]:0", n),
 			testkit.NewWay(t, "unix", filepath.Join(t.TempDir(), "n"), n),
 		}
 		e := n.Entry()
-		e.Addr, e.Addrs = three[0].Addr, []string{three[0].Addr, three[1].Addr, three[2].Addr}
-		nodes, list, ways = append(nodes, n), append(list, e), append(ways, three)
+		e.Addr, e.Addrs = nodeProxies[0].Addr, []string{nodeProxies[0].Addr, nodeProxies[1].Addr, nodeProxies[2].Addr}
+		nodes, list, proxies = append(nodes, n), append(list, e), append(proxies, nodeProxies)
 	}
-	disco := testkit.NewDiscovery(t, list...)
-	cfg, err := config.Parse(testkit.Config(disco.Addr, list, testkit.Settings(nil), accounts()), func(string) string { return "" })
+	discovery := testkit.NewDiscovery(t, list...)
+	cfg, err := config.Parse(testkit.Config(discovery.Addr, list, testkit.Settings(nil), tracingOfFailures()), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,86 +57,87 @@
 		t.Fatal(err)
 	}
 	classes := []string{"screen", "edit", "order", "part"}
-	kinds := map[string]int{}
-	var shown []string // ids of queries whose accounts are wanted
-	type asked struct {
+	outcomes := map[string]int{}
+	var shownIDs []string // IDs of queries whose traces are logged
+	type served struct {
 		began time.Time
 		took  time.Duration
 	}
-	run := func(name string, each int, least time.Duration) []asked {
+	runQueries := func(name string, perWorker int, minDuration time.Duration) []served {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
-		var all []asked
-		until := time.Now().Add(least)
-		for w := range 8 {
+		var results []served
+		until := time.Now().Add(minDuration)
+		for worker := range 8 {
 			wg.Go(func() {
-				for i := 0; i < each || time.Now().Before(until); i++ {
-					q := testkit.Query{Class: classes[i%4], ID: fmt.Sprintf("%s%d-%d", name, w, i), Key: fmt.Sprintf("%s%d-%d", name, w, i),
+				for i := 0; i < perWorker || time.Now().Before(until); i++ {
+					q := testkit.Query{Class: classes[i%4], ID: fmt.Sprintf("%s%d-%d", name, worker, i), Key: fmt.Sprintf("%s%d-%d", name, worker, i),
 						Shards: []int{i % 18, (i + 5) % 18}, Within: 3 * time.Second}
 					began := time.Now()
 					r := testkit.AskHTTP(context.Background(), d.Addr().String(), q)
 					mu.Lock()
-					kinds[name+" "+r.Kind]++
+					outcomes[name+" "+r.Kind]++
 					if r.Kind == "none" {
 						t.Logf("%s %s: no answer after %v: %s: %v; %s", name, q.ID, r.Took, r.Loss, r.Err, r.Path)
 					}
-					if strings.Contains(*proofShow, r.Kind) {
+					if strings.Contains(*proofShowOutcomes, r.Kind) {
 						t.Logf("%s %s: %s after %v", name, q.ID, r.Kind, r.Took)
-						shown = append(shown, q.ID)
+						shownIDs = append(shownIDs, q.ID)
 					}
 					if r.Kind == "served" {
-						all = append(all, asked{began, r.Took})
+						results = append(results, served{began, r.Took})
 					}
 					mu.Unlock()
 				}
 			})
 		}
 		wg.Wait()
-		return all
+		return results
 	}
-	calm := run("calm", 200, max(time.Second, *proofFor/4))
-	stop, stopped := make(chan struct{}), make(chan struct{})
-	var turns []time.Time // when a way was turned bad
+	baseline := runQueries("calm", 200, max(time.Second, *proofDuration/4))
+	stopFaults, faultsStopped := make(chan struct{}), make(chan struct{})
+	var faultTimes []time.Time // when an address became faulty
 	go func() {
-		defer close(stopped)
+		defer close(faultsStopped)
 		rng := rand.New(rand.NewPCG(*proofSeed, 8))
 		modes := []string{testkit.Refuse, testkit.Stall, testkit.ResetHalf, testkit.ResetFull}
-		faulty := make([]*testkit.Way, len(ways))
+		faultyProxies := make([]*testkit.Way, len(proxies))
 		tick := time.NewTicker(60 * time.Millisecond)
 		defer tick.Stop()
 		for {
 			select {
-			case <-stop:
+			case <-stopFaults:
 				return
 			case <-tick.C:
 			}
-			i := rng.IntN(len(ways))
-			if faulty[i] != nil {
-				faulty[i].Set(testkit.Pass)
+			i := rng.IntN(len(proxies))
+			if faultyProxies[i] != nil {
+				faultyProxies[i].Set(testkit.Pass)
 			}
-			faulty[i] = ways[i][rng.IntN(3)]
-			faulty[i].Set(modes[rng.IntN(len(modes))])
-			turns = append(turns, time.Now())
+			faultyProxies[i] = proxies[i][rng.IntN(3)]
+			faultyProxies[i].Set(modes[rng.IntN(len(modes))])
+			faultTimes = append(faultTimes, time.Now())
 		}
 	}()
-	faults := run("fault", 200, max(4*time.Second, *proofFor))
-	close(stop)
-	<-stopped
+	duringFaults := runQueries("fault", 200, max(4*time.Second, *proofDuration))
+	close(stopFaults)
+	<-faultsStopped
 	if err := d.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	for _, id := range shown {
-		t.Logf("the broker's account of %s:\n%s", id, account(t, d, id))
+	for _, id := range shownIDs {
+		t.Logf("trace of %s:\n%s", id, traceText(t, d, id))
 	}
-	// A part of an order may run once; one of an edit again within its window.
-	ran := map[string][]time.Time{}
+	// A part of the unsafe class "order" may run only once; one of the keyed class "edit"
+	// may run again within its window.
+	runs := map[string][]time.Time{}
 	for _, n := range nodes {
 		for _, c := range n.Calls() {
-			ran[c.ID] = append(ran[c.ID], c.At)
+			runs[c.ID] = append(runs[c.ID], c.At)
 		}
 	}
-	twice := 0
-	for id, at := range ran {
+	repeated := 0
+	for id, at := range runs {
 		slices.SortFunc(at, time.Time.Compare)
 		var i int
 		query, _, _ := strings.Cut(id, ".")
@@ -144,27 +146,27 @@
 		}
 		switch classes[i%4] {
 		case "order":
-			twice += len(at) - 1
+			repeated += len(at) - 1
 		case "edit":
 			for _, x := range at[1:] {
 				if x.Sub(at[0]) > 1200*time.Millisecond {
-					twice++
+					repeated++
 				}
 			}
 		}
 	}
-	lost := kinds["calm none"] + kinds["fault none"]
-	// Most queries meet no fault: those count that were open when a way turned
-	// bad, or within near of that.
-	const near = 5 * time.Millisecond
-	var base, touched []time.Duration
-	for _, a := range calm {
-		base = append(base, a.took)
-	}
-	for _, a := range faults {
-		for _, turn := range turns {
-			if a.began.Before(turn.Add(near)) && a.began.Add(a.took).After(turn) {
-				touched = append(touched, a.took)
+	lost := outcomes["calm none"] + outcomes["fault none"]
+	// Most queries meet no fault. Only those that were open within faultMargin of the start
+	// of a fault are compared with the baseline.
+	const faultMargin = 5 * time.Millisecond
+	var baselineTimes, timesNearFaults []time.Duration
+	for _, a := range baseline {
+		baselineTimes = append(baselineTimes, a.took)
+	}
+	for _, a := range duringFaults {
+		for _, faultTime := range faultTimes {
+			if a.began.Before(faultTime.Add(faultMargin)) && a.began.Add(a.took).After(faultTime) {
+				timesNearFaults = append(timesNearFaults, a.took)
 				break
 			}
 		}
@@ -173,29 +175,30 @@
 		slices.Sort(x)
 		return x[len(x)*99/100]
 	}
-	if twice > 0 || lost > 0 || len(touched) < 100 {
-		t.Errorf("%d parts ran twice outside their allowance, %d queries were lost, %d served near a fault", twice, lost, len(touched))
+	if repeated > 0 || lost > 0 || len(timesNearFaults) < 100 {
+		t.Errorf("%d parts ran again where that is not allowed, %d queries got no answer, %d were served near a fault, want 100 or more", repeated, lost, len(timesNearFaults))
 	}
-	over := p99(touched) - p99(base)
-	t.Logf("%v; %d ways turned bad, %d served queries open then, the longest %v", kinds, len(turns), len(touched), touched[len(touched)-1])
+	overBaseline := p99(timesNearFaults) - p99(baselineTimes)
+	t.Logf("%v; %d faults, %d served queries open at the start of one, the slowest took %v", outcomes, len(faultTimes), len(timesNearFaults), timesNearFaults[len(timesNearFaults)-1])
 	fmt.Printf("proof: addresses twice-run %d outside allowance, fallback p99 %.1f ms over baseline, lost %d\n",
-		twice, float64(over)/float64(time.Millisecond), lost)
+		repeated, float64(overBaseline)/float64(time.Millisecond), lost)
 }
 
-// accounts has a broker keep traces of all queries that end badly.
-func accounts() map[string]any {
+// tracingOfFailures returns settings with which a broker keeps the traces of all queries
+// that fail, unless -proof.traced is off.
+func tracingOfFailures() map[string]any {
 	if !*proofTraced {
 		return nil
 	}
 	return map[string]any{"tracing": map[string]any{"budget_per_s": 10_000, "memory_kb": 64 << 10}}
 }
 
-// account is what the broker says of one query: when it was read, each attempt with its
-// address, and how it was answered.
-func account(t *testing.T, d *daemon.Daemon, id string) string {
+// traceText formats the broker's trace of one query: when it was read, each attempt with
+// its address, and how it was answered.
+func traceText(t *testing.T, d *daemon.Daemon, id string) string {
 	t.Helper()
 	if !*proofTraced {
-		return "none was kept"
+		return "tracing is off"
 	}
 	traces, err := d.Traces(record.Filter{ID: id})
 	if err != nil {
@@ -208,7 +211,7 @@
 		}
 	}
 	if len(traces) == 0 {
-		return "none: it was never read, or it ended well"
+		return "no trace: the query was never read, or it succeeded"
 	}
 	return text.String()
 }
--- a/daemon/route.go
+++ b/daemon/route.go
@@ -12,71 +12,72 @@
 	"onyxsail/reach"
 )
 
-// router sends what is for a node to the client of its kind, which the node's
-// address in the list tells. The core's goroutine alone uses it.
+// router is the core's node client. It dispatches to the frame client or the Flight client
+// by the scheme of the node's listed address. Only the core's goroutine uses it.
 type router struct {
-	frames, flight broker.NodeClient
-	sink           broker.Sink
-	kinds          map[string]broker.NodeClient
-	claims         *reach.Claims // nil until a node has several addresses
-	log            zerolog.Logger
+	frameClient, flightClient broker.NodeClient
+	sink                      broker.Sink
+	clientByNode              map[string]broker.NodeClient
+	claims                    *reach.Claims // nil until a node with several addresses is listed
+	log                       zerolog.Logger
 }
 
 // Update implements broker.NodeClient.
 func (r *router) Update(nodes []broker.Node) {
-	nodes = r.settle(nodes)
-	kinds := make(map[string]broker.NodeClient, len(nodes))
-	var frames, flight []broker.Node
+	nodes = r.resolveAddressClaims(nodes)
+	clientByNode := make(map[string]broker.NodeClient, len(nodes))
+	var frameNodes, flightNodes []broker.Node
 	for _, n := range nodes {
 		if strings.HasPrefix(n.Addr, "grpc+") { // grpc+tcp:, grpc+unix:
-			kinds[n.ID], flight = r.flight, append(flight, n)
+			clientByNode[n.ID], flightNodes = r.flightClient, append(flightNodes, n)
 		} else {
-			kinds[n.ID], frames = r.frames, append(frames, n)
+			clientByNode[n.ID], frameNodes = r.frameClient, append(frameNodes, n)
 		}
 	}
-	r.kinds = kinds
-	r.frames.Update(frames)
-	r.flight.Update(flight)
+	r.clientByNode = clientByNode
+	r.frameClient.Update(frameNodes)
+	r.flightClient.Update(flightNodes)
 }
 
-// settle leaves each address to one node, where any has several. A node that
-// keeps none cannot be reached.
-func (r *router) settle(nodes []broker.Node) []broker.Node {
+// resolveAddressClaims assigns each address to a single node once any node lists several.
+// A node that is left without an address is dropped, as it cannot be reached.
+func (r *router) resolveAddressClaims(nodes []broker.Node) []broker.Node {
 	if r.claims == nil {
 		if !slices.ContainsFunc(nodes, func(n broker.Node) bool { return len(n.Addrs) > 0 }) {
 			return nodes
 		}
 		r.claims = reach.NewClaims()
 	}
-	all := make([]reach.Listing, len(nodes))
+	listings := make([]reach.Listing, len(nodes))
 	for i, n := range nodes {
-		all[i].ID = n.ID
+		listings[i].ID = n.ID
 		texts := n.Addrs
 		if len(texts) == 0 {
 			texts = []string{n.Addr}
 		}
-		for _, text := range texts {
-			if a, err := address.Parse(text); err == nil {
-				all[i].Addrs = append(all[i].Addrs, a)
+		for _, addr := range texts {
+			if a, err := address.Parse(addr); err == nil {
+				listings[i].Addrs = append(listings[i].Addrs, a)
 			}
 		}
 	}
-	// The order among those that come in one turn must not be a map's.
-	slices.SortStableFunc(all, func(a, b reach.Listing) int { return strings.Compare(a.ID, b.ID) })
-	granted, lost := r.claims.Update(all)
+	// Claims made in the same turn are resolved by their order, which must not depend on
+	// the iteration order of a map.
+	slices.SortStableFunc(listings, func(a, b reach.Listing) int { return strings.Compare(a.ID, b.ID) })
+	granted, lost := r.claims.Update(listings)
 	for _, l := range lost {
 		r.log.Warn().Str("event", "address-claim").Str("node", l.ID).Str("addr", l.Addr.String()).Str("to", l.To).
-			Msg("two nodes are listed with one address; the newer claim has it")
+			Msg("two nodes are listed with the same address; the newer claim wins")
 	}
-	own := make(map[string][]string, len(granted))
+	grantedAddrs := make(map[string][]string, len(granted))
 	for _, g := range granted {
 		for _, a := range g.Addrs {
-			own[g.ID] = append(own[g.ID], a.String())
+			grantedAddrs[g.ID] = append(grantedAddrs[g.ID], a.String())
 		}
 	}
 	out := nodes[:0:0]
 	for _, n := range nodes {
-		texts := own[n.ID]
+		texts := grantedAddrs[n.ID]
 		if len(texts) == 0 {
 			continue
 		}
@@ -93,8 +94,8 @@
 
 // Send implements broker.NodeClient.
 func (r *router) Send(node string, calls []broker.Attempt) {
-	if k := r.kinds[node]; k != nil {
-		k.Send(node, calls)
+	if client := r.clientByNode[node]; client != nil {
+		client.Send(node, calls)
 		return
 	}
 	for _, a := range calls {
@@ -102,17 +103,17 @@
 	}
 }
 
-// Cancel implements broker.NodeClient. The node may have left the list since,
-// so both clients are told; the one that does not know the attempt ignores it.
+// Cancel implements broker.NodeClient. The node may have left the list since the attempt
+// was sent, so both clients are called; the one that does not know the attempt ignores it.
 func (r *router) Cancel(node string, id broker.AttemptID) {
-	r.frames.Cancel(node, id)
-	r.flight.Cancel(node, id)
+	r.frameClient.Cancel(node, id)
+	r.flightClient.Cancel(node, id)
 }
 
 // Probe implements broker.NodeClient.
 func (r *router) Probe(node string) {
-	if k := r.kinds[node]; k != nil {
-		k.Probe(node)
+	if client := r.clientByNode[node]; client != nil {
+		client.Probe(node)
 		return
 	}
 	r.sink.Probed(node, decide.Unreachable, 0)
@@ -120,7 +121,7 @@
 
 // CloseIdle implements broker.NodeClient.
 func (r *router) CloseIdle(node string) {
-	if k := r.kinds[node]; k != nil {
-		k.CloseIdle(node)
+	if client := r.clientByNode[node]; client != nil {
+		client.CloseIdle(node)
 	}
 }
--- a/daemon/rules_test.go
+++ b/daemon/rules_test.go
@@ -20,102 +20,108 @@
 	"onyxsail/internal/testkit"
 )
 
-// rig is a broker among stand-ins, reached through one kind of front.
-type rig struct {
-	d     *daemon.Daemon
-	disco *testkit.Discovery
-	nodes []*testkit.Node
-	ask   func(context.Context, testkit.Query) testkit.Reply
-	ids   atomic.Int64
+// harness runs a broker with fake nodes and a fake discovery. Its queries go through one
+// kind of front.
+type harness struct {
+	broker    *daemon.Daemon
+	discovery *testkit.Discovery
+	nodes     []*testkit.Node
+	ask       func(context.Context, testkit.Query) testkit.Reply
+	lastID    atomic.Int64
 }
 
-// kinds are what every rule is tested on: the platform's protocol, Flight on
-// both sides, and queries whose parts go to both kinds of node.
-var kinds = []struct {
+// protocols are the combinations that the tests run on: the platform's protocols (HTTP
+// and frames), Flight on both sides, and HTTP queries whose parts go to both kinds of node.
+var protocols = []struct {
 	name   string
 	flight bool
-	node   func(i int) bool // whether node i speaks Flight
+	node   func(i int) bool // reports whether node i speaks Flight
 }{
 	{"platform", false, func(int) bool { return false }},
 	{"flight", true, func(int) bool { return true }},
 	{"mixed", false, func(i int) bool { return i%2 == 1 }},
 }
 
-// each runs a rule's test on every kind. A rig has n nodes that hold all.
-func each(t *testing.T, n int, change func(map[string]any), test func(*testing.T, *rig)) {
-	for _, k := range kinds {
-		t.Run(k.name, func(t *testing.T) {
-			r := &rig{}
-			var list []testkit.Entry
-			for i := range n {
-				node := testkit.NewNode(t, fmt.Sprintf("s-%d", i), k.node(i))
-				r.nodes = append(r.nodes, node)
-				list = append(list, node.Entry())
+// forEachProtocol runs a test on every combination of protocols, with nodeCount nodes that
+// each hold all shards.
+func forEachProtocol(t *testing.T, nodeCount int, change func(map[string]any), test func(*testing.T, *harness)) {
+	for _, protocol := range protocols {
+		t.Run(protocol.name, func(t *testing.T) {
+			h := &harness{}
+			var entries []testkit.Entry
+			for i := range nodeCount {
+				node := testkit.NewNode(t, fmt.Sprintf("s-%d", i), protocol.node(i))
+				h.nodes = append(h.nodes, node)
+				entries = append(entries, node.Entry())
 			}
-			r.disco = testkit.NewDiscovery(t, list...)
-			data := testkit.Config(r.disco.Addr, list, testkit.Settings(change), map[string]any{
+			h.discovery = testkit.NewDiscovery(t, entries...)
+			data := testkit.Config(h.discovery.Addr, entries, testkit.Settings(change), map[string]any{
 				"flight": map[string]any{"listen": "127.0.0.1:0"},
 			})
 			cfg, err := config.Parse(data, func(string) string { return "" })
 			if err != nil {
 				t.Fatal(err)
 			}
-			if r.d, err = daemon.Start(cfg, zerolog.New(io.Discard)); err != nil {
+			if h.broker, err = daemon.Start(cfg, zerolog.New(io.Discard)); err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() {
-				if err := r.d.Stop(context.Background()); err != nil {
+				if err := h.broker.Stop(context.Background()); err != nil {
 					t.Error(err)
 				}
 			})
-			r.ask = func(ctx context.Context, q testkit.Query) testkit.Reply {
+			h.ask = func(ctx context.Context, q testkit.Query) testkit.Reply {
 				if q.ID == "" {
-					q.ID = fmt.Sprintf("q%d", r.ids.Add(1))
+					q.ID = fmt.Sprintf("q%d", h.lastID.Add(1))
 				}
 				if q.Within == 0 {
 					q.Within = 3 * time.Second
 				}
-				if k.flight {
-					return testkit.AskFlight(ctx, r.d.FlightAddr().String(), q)
+				if protocol.flight {
+					return testkit.AskFlight(ctx, h.broker.FlightAddr().String(), q)
 				}
-				return testkit.AskHTTP(ctx, r.d.Addr().String(), q)
+				return testkit.AskHTTP(ctx, h.broker.Addr().String(), q)
 			}
-			test(t, r)
+			test(t, h)
 		})
 	}
 }
 
-func (r *rig) all(end string) {
-	for _, n := range r.nodes {
+// setAllNodes makes all nodes end every part in the given way.
+func (h *harness) setAllNodes(end string) {
+	for _, n := range h.nodes {
 		n.Always(end)
 	}
 }
 
-func (r *rig) calls() (all []testkit.Call) {
-	for _, n := range r.nodes {
+// allCalls returns the calls that all nodes have received.
+func (h *harness) allCalls() (all []testkit.Call) {
+	for _, n := range h.nodes {
 		all = append(all, n.Calls()...)
 	}
 	return all
 }
 
-var six = []int{0, 3, 5, 7, 11, 17}
+var sixShards = []int{0, 3, 5, 7, 11, 17}
 
-func TestAnswerIsWholeAndOnce(t *testing.T) {
-	each(t, 4, nil, func(t *testing.T, r *rig) {
+// Guards against an answer that lacks parts or has wrong values, against a query that is
+// not split over several nodes, and against parts without their text or remaining time.
+func TestSplitQueryAnswerIsComplete(t *testing.T) {
+	forEachProtocol(t, 4, nil, func(t *testing.T, h *harness) {
 		var got testkit.Reply
-		for range 4 { // before the first answers are in, the module spreads nothing
-			if got = r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind != "served" ||
-				!got.Whole || len(got.Values) != len(six) {
+		for range 4 { // the decision module does not spread parts before the first answers
+			if got = h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Kind != "served" ||
+				!got.Whole || len(got.Values) != len(sixShards) {
 				t.Fatalf("got %+v", got)
 			}
 		}
 		used := map[string]bool{}
-		for _, s := range six {
+		for _, s := range sixShards {
 			if got.Values[s] != testkit.Value(s) {
 				t.Errorf("shard %d: %q", s, got.Values[s])
 			}
 		}
-		for _, n := range r.nodes {
+		for _, n := range h.nodes {
 			for _, c := range n.Calls() {
 				used[n.ID] = true
 				if c.Text != "c41e77d0" || c.Wait <= 0 || c.Wait > 3*time.Second {
@@ -124,47 +130,49 @@
 			}
 		}
 		if len(used) < 2 {
-			t.Errorf("parts went to %v only: the query was not split", used)
+			t.Errorf("all parts went to %v: the query was not split", used)
 		}
 	})
 }
 
-// An answer must come before the client's time is up, also when nothing does.
-func TestFinalAnswerInTime(t *testing.T) {
-	// The module ends a query two ticks early: long ticks, so that a busy machine
-	// does not make the client miss an answer that was given in time.
-	each(t, 4, func(s map[string]any) { s["tickMs"] = 150.0 }, func(t *testing.T, r *rig) {
-		r.all(testkit.Silent)
-		got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six, Within: time.Second})
+// Guards against a client getting no final answer before its deadline when no node answers.
+func TestFinalAnswerComesBeforeDeadline(t *testing.T) {
+	// The decision module ends a query two ticks before its deadline. With long ticks a busy
+	// machine does not make the client miss an answer that was sent in time.
+	forEachProtocol(t, 4, func(s map[string]any) { s["tickMs"] = 150.0 }, func(t *testing.T, h *harness) {
+		h.setAllNodes(testkit.Silent)
+		got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards, Within: time.Second})
 		if got.Kind == "none" || got.Kind == "served" {
-			t.Fatalf("got %+v, want a final answer before the client's time is up", got)
+			t.Fatalf("got %+v, want a final answer before the client's deadline", got)
 		}
-		if s := r.d.Stats(); s.Queries != 1 || s.Refused+s.Failed+s.Expired != 1 {
+		if s := h.broker.Stats(); s.Queries != 1 || s.Refused+s.Failed+s.Expired != 1 {
 			t.Errorf("stats %+v", s)
 		}
 	})
 }
 
-func TestThreeAttemptsAPart(t *testing.T) {
-	each(t, 5, nil, func(t *testing.T, r *rig) {
-		r.all(testkit.Fail)
-		if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}}); got.Kind != "refused" {
+// Guards against a failing part being retried without limit, or not at all.
+func TestAttemptsPerPartAreLimited(t *testing.T) {
+	forEachProtocol(t, 5, nil, func(t *testing.T, h *harness) {
+		h.setAllNodes(testkit.Fail)
+		if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}}); got.Kind != "refused" {
 			t.Fatalf("got %+v", got)
 		}
-		if n := len(r.calls()); n < 2 || n > 3 {
-			t.Errorf("%d attempts of one part, want further ones and 3 at most", n)
+		if n := len(h.allCalls()); n < 2 || n > 3 {
+			t.Errorf("%d attempts of one part, want 2 or 3", n)
 		}
 	})
 }
 
-// A part that may have run is repeated in a keyed class inside its window only.
-func TestKeyedRepeatsInsideWindow(t *testing.T) {
+// Guards against retrying a keyed part that may have run after its idempotency window has
+// ended, and against not retrying it within the window.
+func TestKeyedPartIsRetriedOnlyWithinWindow(t *testing.T) {
 	for window, want := range map[float64]int{1200: 2, 30: 1} {
-		each(t, 4, func(s map[string]any) {
+		forEachProtocol(t, 4, func(s map[string]any) {
 			s["classes"].([]any)[1].(map[string]any)["windowMs"] = window
-		}, func(t *testing.T, r *rig) {
+		}, func(t *testing.T, h *harness) {
 			var first atomic.Bool
-			for _, n := range r.nodes {
+			for _, n := range h.nodes {
 				n.Work(func(testkit.Call) string {
 					if first.Swap(true) {
 						return testkit.Done
@@ -173,8 +181,8 @@
 					return testkit.Break
 				})
 			}
-			got := r.ask(context.Background(), testkit.Query{Class: "edit", Key: "k1", Shards: []int{2}})
-			calls := r.calls()
+			got := h.ask(context.Background(), testkit.Query{Class: "edit", Key: "k1", Shards: []int{2}})
+			calls := h.allCalls()
 			if len(calls) != want || (got.Kind == "served") != (want == 2) {
 				t.Fatalf("window %v ms: %d attempts, got %+v", window, len(calls), got)
 			}
@@ -187,13 +195,14 @@
 	}
 }
 
-// A part of an unsafe class that may have run is neither repeated nor refused;
-// one that was turned away unseen is sent again.
-func TestUnsafeRepeatsOnlyWhatNeverRan(t *testing.T) {
+// Guards against retrying a part of an unsafe class that may have run, against answering
+// its query with a refusal, which invites a retry, and against not retrying a part that a
+// node rejected before running it.
+func TestUnsafePartIsRetriedOnlyIfItNeverRan(t *testing.T) {
 	for end, want := range map[string]string{testkit.Fail: "failed", testkit.Break: "failed", testkit.Full: "served"} {
-		each(t, 4, nil, func(t *testing.T, r *rig) {
+		forEachProtocol(t, 4, nil, func(t *testing.T, h *harness) {
 			var first atomic.Bool
-			for _, n := range r.nodes {
+			for _, n := range h.nodes {
 				n.Work(func(testkit.Call) string {
 					if first.Swap(true) {
 						return testkit.Done
@@ -201,136 +210,139 @@
 					return end
 				})
 			}
-			got := r.ask(context.Background(), testkit.Query{Class: "order", Shards: []int{2}})
-			if n := len(r.calls()); got.Kind != want || (n > 1) != (want == "served") {
+			got := h.ask(context.Background(), testkit.Query{Class: "order", Shards: []int{2}})
+			if n := len(h.allCalls()); got.Kind != want || (n > 1) != (want == "served") {
 				t.Fatalf("after %q: %d attempts, got %+v", end, n, got)
 			}
 		})
 	}
 }
 
-// A node that cannot be reached never ran the part: also an unsafe class goes
-// elsewhere.
-func TestUnreachableNeverRan(t *testing.T) {
-	each(t, 3, nil, func(t *testing.T, r *rig) {
-		for _, n := range r.nodes[1:] {
+// Guards against a query of an unsafe class failing at an unreachable node: the node never
+// ran the part, so it can safely go to another one.
+func TestUnsafePartIsRetriedAfterUnreachableNode(t *testing.T) {
+	forEachProtocol(t, 3, nil, func(t *testing.T, h *harness) {
+		for _, n := range h.nodes[1:] {
 			n.Stop()
 		}
 		for i := range 4 {
-			if got := r.ask(context.Background(), testkit.Query{Class: "order", Shards: []int{i}}); got.Kind != "served" {
+			if got := h.ask(context.Background(), testkit.Query{Class: "order", Shards: []int{i}}); got.Kind != "served" {
 				t.Fatalf("got %+v", got)
 			}
 		}
 	})
 }
 
-// A stream that breaks in the middle of its answer is never a value.
-func TestBrokenAnswerIsNoValue(t *testing.T) {
-	each(t, 3, nil, func(t *testing.T, r *rig) {
-		r.nodes[0].Always(testkit.Break)
+// Guards against the value of a stream that broke in the middle of its answer being served.
+func TestTruncatedAnswerIsNotServed(t *testing.T) {
+	forEachProtocol(t, 3, nil, func(t *testing.T, h *harness) {
+		h.nodes[0].Always(testkit.Break)
 		for i := range 6 {
-			got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{i, i + 6}})
+			got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{i, i + 6}})
 			for s, v := range got.Values {
 				if v != testkit.Value(s) {
 					t.Fatalf("shard %d: %q came from a broken stream", s, v)
 				}
 			}
 		}
-		if len(r.nodes[0].Calls()) == 0 {
-			t.Fatal("the breaking node was never asked")
+		if len(h.nodes[0].Calls()) == 0 {
+			t.Fatal("the node that breaks its streams was never called")
 		}
 	})
 }
 
-// No new work goes to a node later than 500 ms after its drain was told.
-func TestDrainIsKept(t *testing.T) {
-	each(t, 3, nil, func(t *testing.T, r *rig) {
-		e := r.nodes[0].Entry()
+// Guards against new parts going to a node later than 500 ms after discovery has sent its
+// drain.
+func TestDrainingNodeGetsNoNewParts(t *testing.T) {
+	forEachProtocol(t, 3, nil, func(t *testing.T, h *harness) {
+		e := h.nodes[0].Entry()
 		e.State = "terminating"
-		version := r.disco.Change(e)
-		testkit.Eventually(t, "the drain is told", func() bool { return !r.disco.Told(version).IsZero() })
-		limit := r.disco.Told(version).Add(500 * time.Millisecond)
+		version := h.discovery.Change(e)
+		testkit.Eventually(t, "the drain is sent", func() bool { return !h.discovery.Told(version).IsZero() })
+		limit := h.discovery.Told(version).Add(500 * time.Millisecond)
 		for i := 0; i < 20 || time.Now().Before(limit.Add(100*time.Millisecond)); i++ {
-			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind != "served" {
+			if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Kind != "served" {
 				t.Fatalf("got %+v", got)
 			}
 		}
-		for _, c := range r.nodes[0].Calls() {
+		for _, c := range h.nodes[0].Calls() {
 			if c.At.After(limit) {
-				t.Fatalf("a part was sent %v after the drain was told", c.At.Sub(limit)+500*time.Millisecond)
+				t.Fatalf("a part was sent %v after the drain was sent", c.At.Sub(limit)+500*time.Millisecond)
 			}
 		}
 	})
 }
 
-// Discovery is overbooked when a drain and a node's end are to be told: it
-// refuses, breaks off and talks nonsense first. Until it tells them the list in
-// hand serves, with the node that is gone still on it; once it has, both hold.
-func TestListInHandServesWhileDiscoveryFails(t *testing.T) {
-	each(t, 3, nil, func(t *testing.T, r *rig) {
+// Discovery is overloaded while it has a drain and a node's end to report: at first it
+// refuses calls, breaks them off and sends garbage. Guards against queries failing until
+// the update arrives, while the last known list still has the node that is gone, and
+// against the update not being applied afterwards.
+func TestLastKnownListServesWhileDiscoveryFails(t *testing.T) {
+	forEachProtocol(t, 3, nil, func(t *testing.T, h *harness) {
 		ask := func() {
 			t.Helper()
-			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind != "served" {
+			if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Kind != "served" {
 				t.Fatalf("got %+v", got)
 			}
 		}
 		ask()
-		r.disco.Fail("broken", "refused", "garbled", "broken", "refused")
-		drained, gone := r.nodes[0].Entry(), r.nodes[1].Entry()
-		drained.State, gone.State = "terminating", "terminated"
-		r.disco.Change(drained)
-		r.nodes[1].Stop()
-		version := r.disco.Change(gone)
-		for end := time.Now().Add(20 * time.Second); r.disco.Told(version).IsZero(); ask() {
+		h.discovery.Fail("broken", "refused", "garbled", "broken", "refused")
+		draining, gone := h.nodes[0].Entry(), h.nodes[1].Entry()
+		draining.State, gone.State = "terminating", "terminated"
+		h.discovery.Change(draining)
+		h.nodes[1].Stop()
+		version := h.discovery.Change(gone)
+		for end := time.Now().Add(20 * time.Second); h.discovery.Told(version).IsZero(); ask() {
 			if time.Now().After(end) {
-				t.Fatal("discovery was not asked again")
+				t.Fatal("discovery was not called again")
 			}
 		}
-		limit := r.disco.Told(version).Add(500 * time.Millisecond)
+		limit := h.discovery.Told(version).Add(500 * time.Millisecond)
 		for i := 0; i < 20 || time.Now().Before(limit.Add(100*time.Millisecond)); i++ {
 			ask()
 		}
-		if left := r.disco.Left(); left > 0 {
-			t.Errorf("%d answers were never asked for", left)
+		if left := h.discovery.Left(); left > 0 {
+			t.Errorf("%d faulty answers of discovery were never fetched", left)
 		}
-		for _, c := range r.nodes[0].Calls() {
+		for _, c := range h.nodes[0].Calls() {
 			if c.At.After(limit) {
-				t.Fatalf("a part was sent %v after the drain was told", c.At.Sub(limit)+500*time.Millisecond)
+				t.Fatalf("a part was sent %v after the drain was sent", c.At.Sub(limit)+500*time.Millisecond)
 			}
 		}
 	})
 }
 
-// A node that has just started gets its share little by little.
-func TestColdNodeIsSpared(t *testing.T) {
-	each(t, 3, nil, func(t *testing.T, r *rig) {
-		e := r.nodes[0].Entry()
+// Guards against a node that has just started getting its full share at once instead of
+// through slow start.
+func TestColdNodeGetsReducedShare(t *testing.T) {
+	forEachProtocol(t, 3, nil, func(t *testing.T, h *harness) {
+		e := h.nodes[0].Entry()
 		e.Started = time.Now().UnixMilli()
-		version := r.disco.Change(e)
-		testkit.Eventually(t, "the start is told", func() bool { return !r.disco.Told(version).IsZero() })
-		testkit.Eventually(t, "the start is taken in", func() bool { return r.d.Stats().Turns > 0 })
-		before := len(r.nodes[0].Calls())
+		version := h.discovery.Change(e)
+		testkit.Eventually(t, "the start of the node is sent", func() bool { return !h.discovery.Told(version).IsZero() })
+		testkit.Eventually(t, "the start of the node is applied", func() bool { return h.broker.Stats().Turns > 0 })
+		before := len(h.nodes[0].Calls())
 		var wg sync.WaitGroup
-		for range 10 { // a burst beyond what any warm node could be sent of late
+		for range 10 { // a burst larger than the recent load of any warm node
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six})
+				h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards})
 			}()
 		}
 		wg.Wait()
-		cold, all := len(r.nodes[0].Calls())-before, len(r.calls())
+		cold, all := len(h.nodes[0].Calls())-before, len(h.allCalls())
 		if all < 30 || cold*6 > all {
-			t.Fatalf("%d of %d parts went to the cold node, want under half an even share", cold, all)
+			t.Fatalf("%d of %d parts went to the cold node, want less than half of an even share", cold, all)
 		}
 	})
 }
 
-// A partial answer is given where the class allows it, never called whole, and
-// never given from less than the least share.
-func TestPartialAnswerIsHonest(t *testing.T) {
-	each(t, 4, nil, func(t *testing.T, r *rig) {
-		for _, n := range r.nodes {
+// Guards against a partial answer being marked as whole, being served below the class's
+// minimum share, or not being served where the class allows it.
+func TestPartialAnswerIsMarkedAndMeetsMinimumShare(t *testing.T) {
+	forEachProtocol(t, 4, nil, func(t *testing.T, h *harness) {
+		for _, n := range h.nodes {
 			n.Work(func(c testkit.Call) string {
 				if c.Shard == 5 {
 					return testkit.Fail
@@ -338,182 +350,187 @@
 				return testkit.Done
 			})
 		}
-		got := r.ask(context.Background(), testkit.Query{Class: "part", Shards: []int{1, 2, 3, 5}})
+		got := h.ask(context.Background(), testkit.Query{Class: "part", Shards: []int{1, 2, 3, 5}})
 		if got.Kind != "served" || got.Whole || len(got.Values) != 3 {
-			t.Errorf("class with a floor: got %+v", got)
+			t.Errorf("class with a minimum share of one half: got %+v", got)
 		}
-		if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{1, 2, 3, 5}}); got.Kind != "refused" {
-			t.Errorf("class that needs all: got %+v", got)
+		if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{1, 2, 3, 5}}); got.Kind != "refused" {
+			t.Errorf("class that needs all parts: got %+v", got)
 		}
 	})
 }
 
-// What is given up is answered at once, with the hint that the module gave.
-func TestGivenUpIsToldAtOnce(t *testing.T) {
-	each(t, 3, nil, func(t *testing.T, r *rig) {
-		r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}) // teaches usual times
-		r.all(testkit.Full)
-		got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}, Within: 15 * time.Second})
+// Guards against a query that cannot be served waiting for its deadline: it is refused at
+// once, with the retry hint of the decision module.
+func TestRefusalIsImmediateWithRetryHint(t *testing.T) {
+	forEachProtocol(t, 3, nil, func(t *testing.T, h *harness) {
+		h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}) // lets the decision module learn the usual latency
+		h.setAllNodes(testkit.Full)
+		got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}, Within: 15 * time.Second})
 		if got.Kind != "refused" || got.RetryAfter <= 0 {
-			t.Fatalf("got %+v, want a refusal with a hint", got)
+			t.Fatalf("got %+v, want a refusal with a retry hint", got)
 		}
-		if s := r.d.Stats(); s.Open != 0 {
+		if s := h.broker.Stats(); s.Open != 0 {
 			t.Errorf("stats %+v", s)
 		}
 	})
 }
 
-// What the broker has no room for is refused before it is taken in.
-func TestFullBrokerRefuses(t *testing.T) {
-	each(t, 3, func(s map[string]any) { s["caps"].(map[string]any)["maxOpen"] = 7 }, func(t *testing.T, r *rig) {
-		r.all(testkit.Silent)
+// Guards against a broker accepting more queries and parts than maxOpen.
+func TestBrokerAtMaxOpenRefuses(t *testing.T) {
+	forEachProtocol(t, 3, func(s map[string]any) { s["caps"].(map[string]any)["maxOpen"] = 7 }, func(t *testing.T, h *harness) {
+		h.setAllNodes(testkit.Silent)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan testkit.Reply, 1)
-		go func() { done <- r.ask(ctx, testkit.Query{Class: "screen", Shards: six}) }()
-		testkit.Eventually(t, "the first query is held", func() bool { return r.d.Stats().Open == 1 })
-		if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{1}}); got.Kind != "refused" {
+		go func() { done <- h.ask(ctx, testkit.Query{Class: "screen", Shards: sixShards}) }()
+		testkit.Eventually(t, "the first query is open", func() bool { return h.broker.Stats().Open == 1 })
+		if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{1}}); got.Kind != "refused" {
 			t.Errorf("got %+v", got)
 		}
 		cancel()
 		<-done
-		testkit.Eventually(t, "the query of the client that left is dropped", func() bool { return r.d.Stats().Open == 0 })
+		testkit.Eventually(t, "the query of the disconnected client is dropped", func() bool { return h.broker.Stats().Open == 0 })
 	})
 }
 
-// A client that leaves ends its query, and its parts are given up.
-func TestClientLeaves(t *testing.T) {
-	each(t, 2, nil, func(t *testing.T, r *rig) {
-		r.all(testkit.Silent)
+// Guards against a disconnected client's query staying open and its parts not being
+// cancelled at the nodes.
+func TestClientDisconnectCancelsParts(t *testing.T) {
+	forEachProtocol(t, 2, nil, func(t *testing.T, h *harness) {
+		h.setAllNodes(testkit.Silent)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan testkit.Reply, 1)
-		go func() { done <- r.ask(ctx, testkit.Query{Class: "screen", Shards: []int{1, 2}}) }()
-		testkit.Eventually(t, "both parts are out", func() bool { return len(r.calls()) >= 2 })
+		go func() { done <- h.ask(ctx, testkit.Query{Class: "screen", Shards: []int{1, 2}}) }()
+		testkit.Eventually(t, "both parts are sent", func() bool { return len(h.allCalls()) >= 2 })
 		cancel()
 		<-done
-		testkit.Eventually(t, "both parts are given up", func() bool {
-			return len(r.nodes[0].GivenUp())+len(r.nodes[1].GivenUp()) >= 2
+		testkit.Eventually(t, "both parts are cancelled", func() bool {
+			return len(h.nodes[0].GivenUp())+len(h.nodes[1].GivenUp()) >= 2
 		})
-		if s := r.d.Stats(); s.Left != 1 || s.Open != 0 {
+		if s := h.broker.Stats(); s.Left != 1 || s.Open != 0 {
 			t.Errorf("stats %+v", s)
 		}
 	})
 }
 
-// A straggler gets one copy at another node while the original stays out, and
-// the twin that loses is called off.
-func TestStragglerIsCopied(t *testing.T) {
-	each(t, 4, nil, func(t *testing.T, r *rig) {
-		for i := range 30 { // times to judge a straggler by
-			r.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{i % 18, (i + 5) % 18}})
-		}
-		r.nodes[0].Always(testkit.Silent)
-		testkit.Eventually(t, "the silent node is asked", func() bool {
-			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind == "none" {
+// Guards against a straggler not being hedged: it gets a copy at another node while the
+// original stays open, and the attempt that loses is cancelled.
+func TestLosingCopyOfStragglerIsCancelled(t *testing.T) {
+	forEachProtocol(t, 4, nil, func(t *testing.T, h *harness) {
+		for i := range 30 { // samples of the usual latency
+			h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{i % 18, (i + 5) % 18}})
+		}
+		h.nodes[0].Always(testkit.Silent)
+		testkit.Eventually(t, "an attempt at the silent node is cancelled", func() bool {
+			if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Kind == "none" {
 				t.Errorf("got %+v", got)
 			}
-			return len(r.nodes[0].GivenUp()) > 0
+			return len(h.nodes[0].GivenUp()) > 0
 		})
 	})
 }
 
-func TestInvalidQueries(t *testing.T) {
-	each(t, 1, nil, func(t *testing.T, r *rig) {
+// Guards against invalid queries being accepted or counted.
+func TestInvalidQueriesAreRejected(t *testing.T) {
+	forEachProtocol(t, 1, nil, func(t *testing.T, h *harness) {
 		for _, q := range []testkit.Query{
 			{Class: "nothing", Shards: []int{1}}, {Class: "screen"}, {Class: "screen", Shards: []int{18}},
 			{Class: "screen", Shards: []int{1, 1}}, {Class: "edit", Shards: []int{1}}, {Class: "screen", ID: "a b", Shards: []int{1}},
 		} {
-			if got := r.ask(context.Background(), q); got.Kind != "invalid" {
+			if got := h.ask(context.Background(), q); got.Kind != "invalid" {
 				t.Errorf("%+v: got %+v", q, got)
 			}
 		}
-		if s := r.d.Stats(); s.Queries != 0 {
+		if s := h.broker.Stats(); s.Queries != 0 {
 			t.Errorf("stats %+v", s)
 		}
 	})
 }
 
-// A broker that knows no node is not ready; the first list makes it so.
-func TestReadyOnlyWithNodes(t *testing.T) {
-	d := testkit.NewDiscovery(t)
-	cfg, err := config.Parse(testkit.Config(d.Addr, nil, testkit.Settings(nil), nil), func(string) string { return "" })
+// Guards against a broker without nodes reporting ready, and against it not becoming ready
+// with the first list that has nodes.
+func TestBrokerWithoutNodesIsNotReady(t *testing.T) {
+	discovery := testkit.NewDiscovery(t)
+	cfg, err := config.Parse(testkit.Config(discovery.Addr, nil, testkit.Settings(nil), nil), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := daemon.Start(cfg, zerolog.New(io.Discard))
+	d, err := daemon.Start(cfg, zerolog.New(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ready := func() int {
-		res, err := http.Get("http://" + b.Addr().String() + "/ready")
+		res, err := http.Get("http://" + d.Addr().String() + "/ready")
 		if err != nil {
 			t.Fatal(err)
 		}
 		res.Body.Close()
 		return res.StatusCode
 	}
-	testkit.Eventually(t, "the empty list is told", func() bool { return len(d.Calls()) >= 2 })
+	testkit.Eventually(t, "the empty list is sent", func() bool { return len(discovery.Calls()) >= 2 })
 	if got := ready(); got != http.StatusServiceUnavailable {
 		t.Errorf("without a node: %d", got)
 	}
-	d.Change(testkit.NewNode(t, "s-1", false).Entry())
-	testkit.Eventually(t, "ready", func() bool { return ready() == http.StatusOK })
-	if b.FlightAddr() != nil {
+	discovery.Change(testkit.NewNode(t, "s-1", false).Entry())
+	testkit.Eventually(t, "the broker is ready", func() bool { return ready() == http.StatusOK })
+	if d.FlightAddr() != nil {
 		t.Error("the Flight front is on")
 	}
 	http.DefaultClient.CloseIdleConnections()
-	if err := b.Stop(context.Background()); err != nil {
+	if err := d.Stop(context.Background()); err != nil {
 		t.Error(err)
 	}
 }
 
-// After load nothing is left of it: goroutines, connections to nodes and the tables
-// of queries come back to what they were, also where a node has answered nothing.
-func TestLoadLeavesNothing(t *testing.T) {
-	each(t, 4, nil, func(t *testing.T, r *rig) {
+// Guards against goroutines and table entries of queries being leaked under load, in
+// particular when a node never answers.
+func TestLoadLeaksNoGoroutinesOrQueries(t *testing.T) {
+	forEachProtocol(t, 4, nil, func(t *testing.T, h *harness) {
 		ask := func(n int, end string) {
-			r.nodes[3].Always(end)
+			h.nodes[3].Always(end)
 			var wg sync.WaitGroup
 			for range n {
 				wg.Add(1)
 				go func() {
 					defer wg.Done()
-					r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six, Within: 500 * time.Millisecond})
+					h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards, Within: 500 * time.Millisecond})
 				}()
 			}
 			wg.Wait()
 			http.DefaultClient.CloseIdleConnections()
 		}
 		ask(4, testkit.Done)
-		calm := runtime.NumGoroutine() + 16 // of the stand-ins' and the clients' connections
+		baseline := runtime.NumGoroutine() + 16 // margin for the connections of the fakes and the clients
 		for range 4 {
 			ask(40, testkit.Silent)
 		}
 		ask(4, testkit.Done)
 		testkit.Eventually(t, "the goroutines end", func() bool {
 			http.DefaultClient.CloseIdleConnections()
-			return runtime.NumGoroutine() <= calm && r.d.Stats().Open == 0
+			return runtime.NumGoroutine() <= baseline && h.broker.Stats().Open == 0
 		})
 	})
 }
 
-// Where the settings do not let a broker call parts off, none is told so by a frame. Of
-// Flight's streams that can't be told: they end by the deadline that each carries.
-func TestNothingIsCalledOffWhereThatIsForbidden(t *testing.T) {
-	forbid := func(s map[string]any) { s["caps"].(map[string]any)["cancel"] = false }
-	each(t, 2, forbid, func(t *testing.T, r *rig) {
-		r.all(testkit.Silent)
-		if got := r.ask(context.Background(), testkit.Query{Class: "order", Shards: six[:1], Within: 300 * time.Millisecond}); got.Kind == "served" {
+// Guards against cancel frames being sent where the settings forbid them. Nodes that speak
+// Flight are not checked: their streams end at the deadline that each carries, which cannot
+// be told apart from a cancellation.
+func TestNoCancelIsSentWhereSettingsForbidIt(t *testing.T) {
+	forbidCancel := func(s map[string]any) { s["caps"].(map[string]any)["cancel"] = false }
+	forEachProtocol(t, 2, forbidCancel, func(t *testing.T, h *harness) {
+		h.setAllNodes(testkit.Silent)
+		if got := h.ask(context.Background(), testkit.Query{Class: "order", Shards: sixShards[:1], Within: 300 * time.Millisecond}); got.Kind == "served" {
 			t.Errorf("got %+v", got)
 		}
-		r.all(testkit.Done)
-		for range 3 { // on the same connections, so that a word about the first would have come
-			if got := r.ask(context.Background(), testkit.Query{Class: "screen", Shards: six}); got.Kind != "served" {
+		h.setAllNodes(testkit.Done)
+		for range 3 { // on the same connections, so a cancel frame of the first query would have arrived
+			if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Kind != "served" {
 				t.Errorf("got %+v", got)
 			}
 		}
-		for _, n := range r.nodes {
-			if given := n.GivenUp(); len(given) != 0 && !strings.HasPrefix(n.Addr, broker.FlightScheme) {
-				t.Errorf("%s was told to give up %v", n.ID, given)
+		for _, n := range h.nodes {
+			if cancelled := n.GivenUp(); len(cancelled) != 0 && !strings.HasPrefix(n.Addr, broker.FlightScheme) {
+				t.Errorf("%s was sent cancels of %v", n.ID, cancelled)
 			}
 		}
 	})
--- a/daemon/takeover.go
+++ b/daemon/takeover.go
@@ -12,181 +12,188 @@
 	"onyxsail/takeover"
 )
 
-// neighbours tells whether another process of this broker runs beside this one. While one
-// does, each keeps to half of what the platform allows the broker.
-type neighbours struct {
-	mu       sync.Mutex
-	before   bool // the one whose place this one takes
-	next     bool // one that takes this one's place
-	changed  func(beside bool)
-	stopping bool // the host is being closed, or has been
+// siblingProcesses tracks the other processes of this broker during a takeover. While one
+// runs, each process uses half of what the platform allows the broker.
+type siblingProcesses struct {
+	mu          sync.Mutex
+	predecessor bool // the process that this one replaces is running
+	successor   bool // a process that replaces this one is running
+	onChange    func(siblingRunning bool)
+	stopping    bool // the takeover server is being closed, or has been
 }
 
-// OnNeighbour has f called now and whenever another process of this broker begins or ends
-// to run beside this one. It must not block.
-func (d *Daemon) OnNeighbour(f func(beside bool)) {
-	n := &d.beside
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.changed = f
-	f(n.processes() > 1)
+// OnSiblingChange calls onChange now and whenever another process of this broker starts or
+// ends during a takeover. onChange must not block.
+func (d *Daemon) OnSiblingChange(onChange func(siblingRunning bool)) {
+	siblings := &d.siblings
+	siblings.mu.Lock()
+	defer siblings.mu.Unlock()
+	siblings.onChange = onChange
+	onChange(siblings.processCount() > 1)
 }
 
-// processes is how many of this broker this one knows to run, itself included; n.mu is held.
-func (n *neighbours) processes() int {
+// processCount returns the number of known processes of this broker, including this one.
+// s.mu must be held.
+func (s *siblingProcesses) processCount() int {
 	count := 1
-	if n.before {
+	if s.predecessor {
 		count++
 	}
-	if n.next {
+	if s.successor {
 		count++
 	}
 	return count
 }
 
-// neighbour notes a change, and shares the descriptors anew.
-func (d *Daemon) neighbour(change func(*neighbours)) {
-	n := &d.beside
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	change(n)
-	processes := n.processes()
-	beside := processes > 1
-	clients, frames := d.clients, d.frames
-	if beside {
-		clients, frames = max(1, clients/2), max(1, frames/2)
-	}
-	d.front.SetMaxConns(clients)
-	d.nodes.SetMaxConns(frames)
+// updateSiblings applies a change to the sibling processes and adjusts the limits of this
+// process to it.
+func (d *Daemon) updateSiblings(change func(*siblingProcesses)) {
+	siblings := &d.siblings
+	siblings.mu.Lock()
+	defer siblings.mu.Unlock()
+	change(siblings)
+	processCount := siblings.processCount()
+	siblingRunning := processCount > 1
+	clientConns, frameConns := d.maxClientConns, d.maxFrameConns
+	if siblingRunning {
+		clientConns, frameConns = max(1, clientConns/2), max(1, frameConns/2)
+	}
+	d.httpFront.SetMaxConns(clientConns)
+	d.frameNodes.SetMaxConns(frameConns)
 	d.mu.Lock()
-	d.processes = processes
+	d.processCount = processCount
 	d.applyLimits()
 	d.mu.Unlock()
-	if n.changed != nil {
-		n.changed(beside)
+	if siblings.onChange != nil {
+		siblings.onChange(siblingRunning)
 	}
 }
 
-// applyLimits tells the core its limits; d.mu is held.
-func (d *Daemon) applyLimits() { d.core.SetLimits(sharedLimits(d.limits, d.processes)) }
+// applyLimits sets the core's limits for this process. d.mu must be held.
+func (d *Daemon) applyLimits() { d.core.SetLimits(limitsPerProcess(d.limits, d.processCount)) }
 
-// sharedLimits are those of one of so many processes of a broker. What is sent to a node in
-// slow start is shared by the module, which is told their number.
-func sharedLimits(limits broker.Limits, processes int) broker.Limits {
-	limits.Processes = processes
-	if processes > 1 && limits.MaxOpen > 0 {
+// limitsPerProcess returns the limits of each process when a broker has processCount of
+// them. Traffic to a node in slow start is divided by the decision module itself, which is
+// given the number of processes.
+func limitsPerProcess(limits broker.Limits, processCount int) broker.Limits {
+	limits.Processes = processCount
+	if processCount > 1 && limits.MaxOpen > 0 {
 		limits.MaxOpen = max(1, limits.MaxOpen/2)
 	}
 	return limits
 }
 
-// Beside implements takeover.Neighbour.
-func (d *Daemon) Beside(is bool) { d.neighbour(func(n *neighbours) { n.next = is }) }
+// SiblingRunning implements takeover.SiblingObserver.
+func (d *Daemon) SiblingRunning(running bool) {
+	d.updateSiblings(func(s *siblingProcesses) { s.successor = running })
+}
 
-// join looks for a process whose place this one is to take, and returns its listening
-// socket; nil where there is none. A process that cannot be joined stops no start: this
-// one then listens for itself. One of another broker does: each client would get either.
-func (d *Daemon) join() (*net.TCPListener, error) {
-	if !replaceable(d.cfg) {
+// joinPredecessor looks for a running process of this broker and returns its listening
+// socket, or nil if there is none. If that process does not hand its socket over, this one
+// opens its own. A process of another broker at the address is an error: each client would
+// reach one of the two brokers at random.
+func (d *Daemon) joinPredecessor() (*net.TCPListener, error) {
+	if !takeoverPossible(d.cfg) {
 		return nil, nil
 	}
-	before, err := takeover.Join(os.TempDir(), d.cfg.Listen)
+	predecessor, err := takeover.Connect(os.TempDir(), d.cfg.Listen)
 	if err != nil {
-		d.log.Warn().Str("event", "takeover").Err(err).Msg("the running process cannot be joined")
+		d.log.Warn().Str("event", "takeover").Err(err).Msg("takeover from the running process failed; opening a listening socket instead")
 	}
-	if before == nil {
+	if predecessor == nil {
 		return nil, nil
 	}
-	if before.Name != "" && before.Name != d.cfg.Name {
-		before.Close()
-		return nil, errors.Join(before.Listener.Close(), &TakenError{Addr: d.cfg.Listen, Broker: before.Name, Own: d.cfg.Name})
+	if predecessor.Name != "" && predecessor.Name != d.cfg.Name {
+		predecessor.Close()
+		return nil, errors.Join(predecessor.Listener.Close(), &AddressTakenError{Addr: d.cfg.Listen, OtherName: predecessor.Name, OwnName: d.cfg.Name})
 	}
-	d.before = before
-	return before.Listener, nil
+	d.predecessor = predecessor
+	return predecessor.Listener, nil
 }
 
-// TakenError says that another broker runs at the address for clients.
-type TakenError struct {
-	Addr        string
-	Broker, Own string // the names of that broker and of this one
+// AddressTakenError reports that another broker runs at the address for clients.
+type AddressTakenError struct {
+	Addr               string
+	OtherName, OwnName string // names of that broker and of this one
 }
 
-func (e *TakenError) Error() string {
-	return fmt.Sprintf("listen: the broker %q runs at %s, and this one is %q", e.Broker, e.Addr, e.Own)
+func (e *AddressTakenError) Error() string {
+	return fmt.Sprintf("listen: broker %q already runs at %s, and this one is %q", e.OtherName, e.Addr, e.OwnName)
 }
 
-// followBefore keeps to half of the limits until the process before has ended.
-func (d *Daemon) followBefore() {
-	if d.before == nil {
+// watchPredecessor halves the limits until the predecessor has ended.
+func (d *Daemon) watchPredecessor() {
+	if d.predecessor == nil {
 		return
 	}
-	d.neighbour(func(n *neighbours) { n.before = true })
+	d.updateSiblings(func(s *siblingProcesses) { s.predecessor = true })
 	d.wg.Go(func() {
-		d.before.Wait()
-		d.log.Info().Str("event", "takeover").Msg("the process before has ended")
-		d.neighbour(func(n *neighbours) { n.before = false })
+		d.predecessor.Wait()
+		d.log.Info().Str("event", "takeover").Msg("the predecessor process has ended")
+		d.updateSiblings(func(s *siblingProcesses) { s.predecessor = false })
 	})
 }
 
-// replaceable says whether another process could find this one: an address that the system
-// chooses is nobody else's.
-func replaceable(cfg *config.Config) bool {
+// takeoverPossible reports whether another process could find this one. With a port that
+// the system chooses, no other process knows the address.
+func takeoverPossible(cfg *config.Config) bool {
 	_, port, err := net.SplitHostPort(cfg.Listen)
 	return err == nil && port != "0"
 }
 
-// serving begins to take clients, and to wait for the process that takes this one's place.
-func (d *Daemon) serving() {
-	d.openHost()
-	if d.before != nil { // it may be told to stop as soon as this one says yes
-		if err := d.before.Ready(); err != nil {
-			d.log.Warn().Str("event", "takeover").Err(err).Msg("the process before was not told")
+// startServing starts to accept clients and to wait for a successor process.
+func (d *Daemon) startServing() {
+	d.startTakeoverServer()
+	if d.predecessor != nil { // it may be told to stop as soon as this process reports ready
+		if err := d.predecessor.NotifyReady(); err != nil {
+			d.log.Warn().Str("event", "takeover").Err(err).Msg("the predecessor process was not notified that this one is ready")
 		}
 	}
-	d.front.SetReady(true)
+	d.httpFront.SetReady(true)
 }
 
-// openHost waits for the process that takes this one's place.
-func (d *Daemon) openHost() {
-	if !replaceable(d.cfg) {
+// startTakeoverServer starts to wait for a successor process.
+func (d *Daemon) startTakeoverServer() {
+	if !takeoverPossible(d.cfg) {
 		return
 	}
-	host, err := takeover.NewHost(takeover.HostOptions{
-		Dir: os.TempDir(), Addr: d.cfg.Listen, Name: d.cfg.Name, Listener: d.front.Listener(), Neighbour: d, Log: d.log,
+	server, err := takeover.NewServer(takeover.ServerOptions{
+		Dir: os.TempDir(), Addr: d.cfg.Listen, Name: d.cfg.Name, Listener: d.httpFront.Listener(), Observer: d, Log: d.log,
 	})
 	if err != nil {
-		d.log.Warn().Str("event", "takeover").Err(err).Msg("no process can take this one's place without a gap")
+		d.log.Warn().Str("event", "takeover").Err(err).Msg("cannot open the takeover socket; replacing this process will interrupt service")
 		return
 	}
-	d.beside.mu.Lock()
-	late := d.beside.stopping
-	if !late {
-		d.host = host
+	d.siblings.mu.Lock()
+	stopping := d.siblings.stopping
+	if !stopping {
+		d.takeoverServer = server
 	}
-	d.beside.mu.Unlock()
-	if late {
-		host.Close()
+	d.siblings.mu.Unlock()
+	if stopping {
+		server.Close()
 	}
 }
 
-// succeeded says whether another process takes clients at the same socket.
-func (d *Daemon) succeeded() bool {
-	d.beside.mu.Lock()
-	host := d.host
-	d.beside.mu.Unlock()
-	return host != nil && host.Succeeded()
+// hasSuccessor reports whether another process accepts clients at the same socket.
+func (d *Daemon) hasSuccessor() bool {
+	d.siblings.mu.Lock()
+	server := d.takeoverServer
+	d.siblings.mu.Unlock()
+	return server != nil && server.HasSuccessor()
 }
 
-// leave tells the other processes that this one ends.
-func (d *Daemon) leave() {
-	d.beside.mu.Lock()
-	host := d.host
-	d.host, d.beside.stopping = nil, true
-	d.beside.mu.Unlock()
-	if host != nil {
-		host.Close()
-	}
-	if d.before != nil {
-		d.before.Close()
+// closeTakeover closes the connections to the other processes, which tells them that this
+// one ends.
+func (d *Daemon) closeTakeover() {
+	d.siblings.mu.Lock()
+	server := d.takeoverServer
+	d.takeoverServer, d.siblings.stopping = nil, true
+	d.siblings.mu.Unlock()
+	if server != nil {
+		server.Close()
+	}
+	if d.predecessor != nil {
+		d.predecessor.Close()
 	}
 }
--- a/daemon/takeover_test.go
+++ b/daemon/takeover_test.go
@@ -6,9 +6,9 @@
 	"onyxsail/broker"
 )
 
-// Each of two processes of a broker keeps to half of the open queries, and the module is told
-// that there are two; one alone has all.
-func TestProcessesShareLimits(t *testing.T) {
+// Guards against two processes of one broker together exceeding its limits: each gets half
+// of the open queries, and the decision module is given the number of processes.
+func TestSiblingProcessesShareLimits(t *testing.T) {
 	for _, c := range []struct {
 		limits    broker.Limits
 		processes int
@@ -17,20 +17,20 @@
 		{broker.Limits{MaxOpen: 356}, 1, broker.Limits{MaxOpen: 356, Processes: 1}},
 		{broker.Limits{MaxOpen: 356}, 2, broker.Limits{MaxOpen: 178, Processes: 2}},
 		{broker.Limits{MaxOpen: 1}, 2, broker.Limits{MaxOpen: 1, Processes: 2}},
-		{broker.Limits{}, 2, broker.Limits{Processes: 2}}, // no bound stays none
+		{broker.Limits{}, 2, broker.Limits{Processes: 2}}, // no limit stays unlimited
 	} {
-		if got := sharedLimits(c.limits, c.processes); got != c.want {
+		if got := limitsPerProcess(c.limits, c.processes); got != c.want {
 			t.Errorf("%+v, %d processes: %+v, want %+v", c.limits, c.processes, got, c.want)
 		}
 	}
-	n := neighbours{before: true}
-	if n.processes() != 2 {
-		t.Errorf("%d processes beside the one before, want 2", n.processes())
+	siblings := siblingProcesses{predecessor: true}
+	if siblings.processCount() != 2 {
+		t.Errorf("%d processes with a predecessor, want 2", siblings.processCount())
 	}
-	if n.next = true; n.processes() != 3 {
-		t.Errorf("%d processes between two, want 3", n.processes())
+	if siblings.successor = true; siblings.processCount() != 3 {
+		t.Errorf("%d processes with a predecessor and a successor, want 3", siblings.processCount())
 	}
-	if n = (neighbours{}); n.processes() != 1 {
-		t.Errorf("%d processes alone, want 1", n.processes())
+	if siblings = (siblingProcesses{}); siblings.processCount() != 1 {
+		t.Errorf("%d processes without siblings, want 1", siblings.processCount())
 	}
 }
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -13,34 +13,34 @@
 	"onyxsail/tracing/record"
 )
 
-// maxRead bounds the traces of one answer: they are gathered before the first
-// is sent.
-const maxRead = 5000
+// maxTracesPerRead bounds the traces of one answer, as all are read into memory before the
+// first is sent.
+const maxTracesPerRead = 5000
 
-// TraceItem is one result of the trace commands.
+// TraceItem is one result of the trace actions.
 type TraceItem struct {
 	Trace      *record.Trace `json:"trace,omitempty"`
-	Unreadable string        `json:"unreadable,omitempty"` // a file of the spool, and why
+	Unreadable string        `json:"unreadable,omitempty"` // a file of the spool and the error
 }
 
-// ParseFilter reads a trace command's body; an empty one picks all.
+// ParseFilter decodes the body of a trace action; an empty one selects all traces.
 func ParseFilter(body []byte) (record.Filter, error) {
-	f := record.Filter{Limit: maxRead}
+	filter := record.Filter{Limit: maxTracesPerRead}
 	if len(body) > 0 {
-		dec := json.NewDecoder(bytes.NewReader(body))
-		dec.DisallowUnknownFields()
-		if err := dec.Decode(&f); err != nil {
-			return f, status.Errorf(codes.InvalidArgument, "filter: %v", err)
+		decoder := json.NewDecoder(bytes.NewReader(body))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&filter); err != nil {
+			return filter, status.Errorf(codes.InvalidArgument, "filter: %v", err)
 		}
 	}
-	if f.Limit < 1 || f.Limit > maxRead {
-		return f, status.Errorf(codes.InvalidArgument, "filter: limit: got %d, want 1 to %d", f.Limit, maxRead)
+	if filter.Limit < 1 || filter.Limit > maxTracesPerRead {
+		return filter, status.Errorf(codes.InvalidArgument, "filter: limit: got %d, want 1 to %d", filter.Limit, maxTracesPerRead)
 	}
-	return f, nil
+	return filter, nil
 }
 
 func (d *Daemon) traceActions() []flightfront.Action {
-	item := func(i TraceItem, send func([]byte) error) error {
+	sendItem := func(i TraceItem, send func([]byte) error) error {
 		data, err := json.Marshal(i)
 		if err != nil {
 			return fmt.Errorf("encoding a trace: %w", err)
@@ -54,17 +54,17 @@
 			if err != nil {
 				return err
 			}
-			traces, bad, err := d.tracer.Read(f)
+			traces, unreadable, err := d.tracer.Read(f)
 			if err != nil {
 				return status.Error(codes.Internal, err.Error())
 			}
-			for _, b := range bad {
-				if err := item(TraceItem{Unreadable: fmt.Sprintf("%s: %v", b.File, b.Err)}, send); err != nil {
+			for _, b := range unreadable {
+				if err := sendItem(TraceItem{Unreadable: fmt.Sprintf("%s: %v", b.File, b.Err)}, send); err != nil {
 					return err
 				}
 			}
 			for _, t := range traces {
-				if err := item(TraceItem{Trace: t}, send); err != nil {
+				if err := sendItem(TraceItem{Trace: t}, send); err != nil {
 					return err
 				}
 			}
@@ -77,7 +77,7 @@
 			if err != nil {
 				return err
 			}
-			return d.tracer.Follow(ctx, f, func(t *record.Trace) error { return item(TraceItem{Trace: t}, send) })
+			return d.tracer.Follow(ctx, f, func(t *record.Trace) error { return sendItem(TraceItem{Trace: t}, send) })
 		},
 	}}
 }
--- a/store/state.go
+++ b/store/state.go
@@ -68,17 +68,17 @@
 }
 
 func (p *Patch) apply(c Config) Config {
-	set(&c.QueueLimit, p.QueueLimit)
-	set(&c.MaxOpen, p.MaxOpen)
-	set(&c.LogLevel, p.LogLevel)
-	set(&c.HandOverMs, p.HandOverMs)
+	setIfPresent(&c.QueueLimit, p.QueueLimit)
+	setIfPresent(&c.MaxOpen, p.MaxOpen)
+	setIfPresent(&c.LogLevel, p.LogLevel)
+	setIfPresent(&c.HandOverMs, p.HandOverMs)
 	c.Version++
 	return c
 }
 
-func set[T any](to *T, v *T) {
-	if v != nil {
-		*to = *v
+func setIfPresent[T any](target *T, value *T) {
+	if value != nil {
+		*target = *value
 	}
 }
 
@@ -101,28 +101,28 @@
 }
 
 // machine is the state machine that Raft drives.
-type machine struct {
-	mu      sync.Mutex
-	state   State
-	changed func(State)
+type stateMachine struct {
+	mu       sync.Mutex
+	state    State
+	onChange func(State)
 }
 
-func (m *machine) get() State {
+func (m *stateMachine) get() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
-func (m *machine) put(s State) {
+func (m *stateMachine) put(s State) {
 	m.mu.Lock()
 	m.state = s
 	m.mu.Unlock()
-	m.changed(s)
+	m.onChange(s)
 }
 
 // Apply implements raft.FSM. It must come to the same result on every
 // instance, so a command is judged by the state alone.
-func (m *machine) Apply(l *raft.Log) any {
+func (m *stateMachine) Apply(l *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
 		return fmt.Errorf("log entry %d: %w", l.Index, err)
@@ -142,10 +142,10 @@
 }
 
 // Snapshot implements raft.FSM.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) { return snapshot(m.get()), nil }
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) { return snapshot(m.get()), nil }
 
 // Restore implements raft.FSM.
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	var s State
 	if err := json.NewDecoder(r).Decode(&s); err != nil {
@@ -158,12 +158,12 @@
 type snapshot State
 
 // Persist implements raft.FSMSnapshot.
-func (s snapshot) Persist(to raft.SnapshotSink) error {
-	if err := json.NewEncoder(to).Encode(State(s)); err != nil {
-		_ = to.Cancel()
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	if err := json.NewEncoder(sink).Encode(State(s)); err != nil {
+		_ = sink.Cancel()
 		return fmt.Errorf("writing a snapshot: %w", err)
 	}
-	return to.Close()
+	return sink.Close()
 }
 
 // Release implements raft.FSMSnapshot.
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -90,9 +90,9 @@
 func (g *group) start(i int, l net.Listener) {
 	g.t.Helper()
 	s, err := store.Open(store.Options{
-		Name: g.peers[i].Name, Dir: g.dirs[i], Peers: g.peers, Log: zerolog.New(io.Discard), Listen: l,
-		Disk: func(d store.Disk) store.Disk { return disk{d, g, i} },
-		Tune: func(c *raft.Config) {
+		Name: g.peers[i].Name, Dir: g.dirs[i], Peers: g.peers, Log: zerolog.New(io.Discard), Listener: l,
+		WrapDisk: func(d store.Disk) store.Disk { return disk{d, g, i} },
+		TuneRaft: func(c *raft.Config) {
 			c.HeartbeatTimeout, c.ElectionTimeout = 150*time.Millisecond, 150*time.Millisecond
 			c.LeaderLeaseTimeout, c.CommitTimeout = 100*time.Millisecond, 5*time.Millisecond
 			c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = 4, 2, 20*time.Millisecond
@@ -176,7 +176,7 @@
 	g.allHave(100)
 	other := g.live[(lead+1)%3]
 	open := 5
-	var not *store.NotLeader
+	var not *store.NotLeaderError
 	if _, err := other.SetConfig(store.Patch{MaxOpen: &open}); !errors.As(err, &not) || not.Leader != g.peers[lead] {
 		t.Errorf("a follower took a write or did not name the leader: %v", err)
 	}
@@ -189,7 +189,7 @@
 			t.Errorf("%+v: %v", p, err)
 		}
 	}
-	g.live[lead].Remember(store.Roster{Version: 7, Nodes: []broker.Node{{ID: "s-1", Addr: "127.0.0.1:1"}}})
+	g.live[lead].RecordRoster(store.Roster{Version: 7, Nodes: []broker.Node{{ID: "s-1", Addr: "127.0.0.1:1"}}})
 	testkit.Eventually(t, "the roster is everywhere", func() bool {
 		for _, s := range g.live {
 			if r := s.State().Roster; r.Version != 7 || len(r.Nodes) != 1 {
@@ -224,9 +224,9 @@
 	g.wrote.Store(&cut)
 	open := 2
 	_, err := g.live[lead].SetConfig(store.Patch{MaxOpen: &open})
-	var not *store.NotLeader
-	if !errors.Is(err, store.ErrUndecided) || errors.As(err, &not) {
-		t.Errorf("got %v, want %v", err, store.ErrUndecided)
+	var not *store.NotLeaderError
+	if !errors.Is(err, store.ErrOutcomeUnknown) || errors.As(err, &not) {
+		t.Errorf("got %v, want %v", err, store.ErrOutcomeUnknown)
 	}
 }
 
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -22,11 +22,11 @@
 
 const (
 	// version is that of the messages. A process of another one is no neighbour.
-	version = 1
+	protocolVersion = 1
 	// helloWithin is how long the first process may take to send its socket.
-	helloWithin = time.Second
-	maxMessage  = 4 << 10 // bytes
-	network     = "unixpacket"
+	handshakeTimeout = time.Second
+	maxMessageBytes  = 4 << 10 // bytes
+	socketNetwork    = "unixpacket"
 )
 
 // message is one packet between the two processes.
@@ -38,22 +38,22 @@
 
 // place is a socket's path, kept short enough for an address however deep its folder lies:
 // the folder is named by a descriptor.
-type place struct {
-	folder *os.File
-	name   string
+type socketLocation struct {
+	dir      *os.File
+	fileName string
 }
 
 // at opens the place of the broker that listens at addr.
-func at(dir, addr string) (place, error) {
-	folder, err := os.Open(dir)
+func openLocation(dir, addr string) (socketLocation, error) {
+	d, err := os.Open(dir)
 	if err != nil {
-		return place{}, fmt.Errorf("opening the folder of processes: %w", err)
+		return socketLocation{}, fmt.Errorf("opening the folder of processes: %w", err)
 	}
-	return place{folder, "gannetchute-" + strings.NewReplacer(":", "_", "/", "_").Replace(addr) + ".sock"}, nil
+	return socketLocation{d, "gannetchute-" + strings.NewReplacer(":", "_", "/", "_").Replace(addr) + ".sock"}, nil
 }
 
-func (p place) path(name string) string {
-	return filepath.Join(fmt.Sprintf("/proc/self/fd/%d", p.folder.Fd()), name)
+func (p socketLocation) path(name string) string {
+	return filepath.Join(fmt.Sprintf("/proc/self/fd/%d", p.dir.Fd()), name)
 }
 
 // Predecessor is the process whose place this one takes.
@@ -61,78 +61,78 @@
 	// Listener is the clients' listening socket, which both processes have.
 	Listener *net.TCPListener
 	// Name is that of its broker; "" where it does not tell.
-	Name  string
-	conn  *net.UnixConn
-	known chan struct{} // closed once the process before knows that this one takes clients
-	ended chan struct{} // closed once it has ended
+	Name       string
+	conn       *net.UnixConn
+	readyAcked chan struct{} // closed once the process before knows that this one takes clients
+	ended      chan struct{} // closed once it has ended
 }
 
 // Join connects to the broker that runs at addr and shares the folder. Without an error and
 // a Predecessor there is none.
-func Join(dir, addr string) (*Predecessor, error) {
-	p, err := at(dir, addr)
+func Connect(dir, addr string) (*Predecessor, error) {
+	location, err := openLocation(dir, addr)
 	if err != nil {
 		return nil, err
 	}
-	defer p.folder.Close()
-	conn, err := net.DialUnix(network, nil, &net.UnixAddr{Name: p.path(p.name), Net: network})
+	defer location.dir.Close()
+	conn, err := net.DialUnix(socketNetwork, nil, &net.UnixAddr{Name: location.path(location.fileName), Net: socketNetwork})
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) { // a socket may be left from one that was killed
 		return nil, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("joining the running process: %w", err)
 	}
-	own := &Predecessor{conn: conn, known: make(chan struct{}), ended: make(chan struct{})}
-	if err = sameUser(conn); err == nil {
-		own.Listener, own.Name, err = hello(conn)
+	predecessor := &Predecessor{conn: conn, readyAcked: make(chan struct{}), ended: make(chan struct{})}
+	if err = checkSameUser(conn); err == nil {
+		predecessor.Listener, predecessor.Name, err = receiveListener(conn)
 	}
 	if err != nil {
 		_ = conn.Close()
 		return nil, fmt.Errorf("joining the running process: %w", err)
 	}
-	go own.follow() // until the connection ends
-	return own, nil
+	go predecessor.readMessages() // until the connection ends
+	return predecessor, nil
 }
 
 // errForeign says that the other process belongs to another user: a folder for temporary
 // files may be everybody's.
-var errForeign = errors.New("the other process belongs to another user")
+var errOtherUser = errors.New("the other process belongs to another user")
 
 // userOf returns the user of the process at the other end; a test puts another in its place.
-var userOf = func(conn *net.UnixConn) (user uint32, err error) {
+var peerUID = func(conn *net.UnixConn) (uid uint32, err error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	failed := raw.Control(func(fd uintptr) {
-		var peer *unix.Ucred
-		if peer, err = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED); err == nil {
-			user = peer.Uid
+	controlErr := raw.Control(func(fd uintptr) {
+		var credentials *unix.Ucred
+		if credentials, err = unix.GetsockoptUcred(int(fd), unix.SOL_SOCKET, unix.SO_PEERCRED); err == nil {
+			uid = credentials.Uid
 		}
 	})
-	return user, errors.Join(failed, err)
+	return uid, errors.Join(controlErr, err)
 }
 
 // sameUser fails where the other process is not one of this process's user.
-func sameUser(conn *net.UnixConn) error {
-	user, err := userOf(conn)
-	if err == nil && user != uint32(os.Geteuid()) {
-		err = errForeign
+func checkSameUser(conn *net.UnixConn) error {
+	uid, err := peerUID(conn)
+	if err == nil && uid != uint32(os.Geteuid()) {
+		err = errOtherUser
 	}
 	return err
 }
 
 // hello reads the first message, which carries the socket and the broker's name.
-func hello(conn *net.UnixConn) (socket *net.TCPListener, name string, err error) {
-	if err := conn.SetReadDeadline(time.Now().Add(helloWithin)); err != nil {
+func receiveListener(conn *net.UnixConn) (listener *net.TCPListener, name string, err error) {
+	if err := conn.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, "", err
 	}
-	text, rights := make([]byte, maxMessage), make([]byte, unix.CmsgSpace(4))
-	n, nr, _, _, err := conn.ReadMsgUnix(text, rights)
+	data, oob := make([]byte, maxMessageBytes), make([]byte, unix.CmsgSpace(4))
+	n, oobn, _, _, err := conn.ReadMsgUnix(data, oob)
 	if err != nil {
 		return nil, "", err
 	}
-	files, err := filesOf(rights[:nr])
+	files, err := filesFromRights(oob[:oobn])
 	if err != nil {
 		return nil, "", err
 	}
@@ -141,30 +141,30 @@
 			_ = f.Close()
 		}
 	}()
-	var m message
-	if err := json.Unmarshal(text[:n], &m); err != nil || m.Version != version || len(files) != 1 {
-		return nil, "", fmt.Errorf("got %.80q and %d sockets, want version %d and one", text[:n], len(files), version)
+	var msg message
+	if err := json.Unmarshal(data[:n], &msg); err != nil || msg.Version != protocolVersion || len(files) != 1 {
+		return nil, "", fmt.Errorf("got %.80q and %d sockets, want version %d and one", data[:n], len(files), protocolVersion)
 	}
 	l, err := net.FileListener(files[0])
 	if err != nil {
 		return nil, "", err
 	}
-	own, ok := l.(*net.TCPListener)
+	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		_ = l.Close()
 		return nil, "", fmt.Errorf("the socket listens at %v, want TCP", l.Addr())
 	}
-	return own, m.Name, conn.SetReadDeadline(time.Time{})
+	return tcp, msg.Name, conn.SetReadDeadline(time.Time{})
 }
 
 // filesOf takes the descriptors out of a control message.
-func filesOf(rights []byte) (files []*os.File, err error) {
-	all, err := unix.ParseSocketControlMessage(rights)
+func filesFromRights(oob []byte) (files []*os.File, err error) {
+	messages, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil, err
 	}
-	for i := range all {
-		fds, err := unix.ParseUnixRights(&all[i])
+	for i := range messages {
+		fds, err := unix.ParseUnixRights(&messages[i])
 		if err != nil {
 			return files, err
 		}
@@ -179,38 +179,38 @@
 // Ready tells the process before that this one takes clients, and returns when that knows:
 // it may be told to stop at once. Without an answer in time, or where that process has
 // ended, it returns an error.
-func (p *Predecessor) Ready() error {
-	if err := send(p.conn, message{Version: version, Ready: true}, nil); err != nil {
+func (p *Predecessor) NotifyReady() error {
+	if err := send(p.conn, message{Version: protocolVersion, Ready: true}, nil); err != nil {
 		return err
 	}
 	select {
-	case <-p.known:
+	case <-p.readyAcked:
 		return nil
 	case <-p.ended:
-		return errEnded
-	case <-time.After(helloWithin):
-		return errNoAnswer
+		return errPredecessorEnded
+	case <-time.After(handshakeTimeout):
+		return errAckTimeout
 	}
 }
 
 var (
-	errEnded    = errors.New("the process before has ended")
-	errNoAnswer = errors.New("the process before does not answer")
+	errPredecessorEnded = errors.New("the process before has ended")
+	errAckTimeout       = errors.New("the process before does not answer")
 )
 
 // follow reads what the process before says until it has ended.
-func (p *Predecessor) follow() {
+func (p *Predecessor) readMessages() {
 	defer close(p.ended)
-	text, known := make([]byte, maxMessage), false
+	data, acked := make([]byte, maxMessageBytes), false
 	for {
-		n, err := p.conn.Read(text)
+		n, err := p.conn.Read(data)
 		if err != nil {
 			return
 		}
-		var m message
-		if json.Unmarshal(text[:n], &m) == nil && m.Ready && !known {
-			known = true
-			close(p.known)
+		var msg message
+		if json.Unmarshal(data[:n], &msg) == nil && msg.Ready && !acked {
+			acked = true
+			close(p.readyAcked)
 		}
 	}
 }
@@ -221,12 +221,12 @@
 // Close ends the connection to the process before.
 func (p *Predecessor) Close() { _ = p.conn.Close() }
 
-func send(conn *net.UnixConn, m message, rights []byte) error {
-	text, err := json.Marshal(m)
+func send(conn *net.UnixConn, msg message, oob []byte) error {
+	data, err := json.Marshal(msg)
 	if err != nil {
 		return err
 	}
-	if _, _, err := conn.WriteMsgUnix(text, rights, nil); err != nil {
+	if _, _, err := conn.WriteMsgUnix(data, oob, nil); err != nil {
 		return fmt.Errorf("telling the other process: %w", err)
 	}
 	return nil
@@ -234,140 +234,140 @@
 
 // Neighbour takes the news of a second process. Its methods are called from the goroutine
 // of the connection and must not block.
-type Neighbour interface {
+type SiblingObserver interface {
 	// Beside says that a second process runs, or has ended.
-	Beside(is bool)
+	SiblingRunning(is bool)
 }
 
 // Host waits for the process that takes this one's place.
-type Host struct {
-	opts  HostOptions
-	place place
-	l     *net.UnixListener
-	done  sync.WaitGroup
+type Server struct {
+	opts     ServerOptions
+	location socketLocation
+	listener *net.UnixListener
+	wg       sync.WaitGroup
 
 	mu    sync.Mutex
 	conns map[*net.UnixConn]bool // true: its process takes clients
 }
 
 // HostOptions make a Host.
-type HostOptions struct {
-	Dir       string // a folder that both processes have
-	Addr      string // where the broker listens for clients
-	Name      string // the broker's
-	Listener  *net.TCPListener
-	Neighbour Neighbour
-	Log       zerolog.Logger
+type ServerOptions struct {
+	Dir      string // a folder that both processes have
+	Addr     string // where the broker listens for clients
+	Name     string // the broker's
+	Listener *net.TCPListener
+	Observer SiblingObserver
+	Log      zerolog.Logger
 }
 
 // maxWaiting bounds the processes that may be connected at once.
-const maxWaiting = 4
+const maxSuccessors = 4
 
 // NewHost opens the socket, in the place of a former process's. Close ends it.
-func NewHost(o HostOptions) (*Host, error) {
-	p, err := at(o.Dir, o.Addr)
+func NewServer(o ServerOptions) (*Server, error) {
+	location, err := openLocation(o.Dir, o.Addr)
 	if err != nil {
 		return nil, err
 	}
-	own := fmt.Sprintf("%s.%d", p.name, os.Getpid()) // whole when it gets its name
-	_ = os.Remove(p.path(own))                       // of a killed process with this number
-	l, err := net.ListenUnix(network, &net.UnixAddr{Name: p.path(own), Net: network})
+	tempName := fmt.Sprintf("%s.%d", location.fileName, os.Getpid()) // whole when it gets its name
+	_ = os.Remove(location.path(tempName))                           // of a killed process with this number
+	l, err := net.ListenUnix(socketNetwork, &net.UnixAddr{Name: location.path(tempName), Net: socketNetwork})
 	if err == nil {
 		l.SetUnlinkOnClose(false)
-		if err = os.Chmod(p.path(own), 0o600); err == nil {
-			err = os.Rename(p.path(own), p.path(p.name))
+		if err = os.Chmod(location.path(tempName), 0o600); err == nil {
+			err = os.Rename(location.path(tempName), location.path(location.fileName))
 		}
 		if err != nil {
 			_ = l.Close()
-			_ = os.Remove(p.path(own))
+			_ = os.Remove(location.path(tempName))
 		}
 	}
 	if err != nil {
-		_ = p.folder.Close()
+		_ = location.dir.Close()
 		return nil, fmt.Errorf("waiting for a next process: %w", err)
 	}
-	h := &Host{opts: o, place: p, l: l, conns: map[*net.UnixConn]bool{}}
-	h.done.Go(h.accept)
-	return h, nil
+	s := &Server{opts: o, location: location, listener: l, conns: map[*net.UnixConn]bool{}}
+	s.wg.Go(s.accept)
+	return s, nil
 }
 
-func (h *Host) accept() {
+func (s *Server) accept() {
 	for {
-		conn, err := h.l.AcceptUnix()
+		conn, err := s.listener.AcceptUnix()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(helloWithin / 100) // out of descriptors: let some close
+			time.Sleep(handshakeTimeout / 100) // out of descriptors: let some close
 			continue
 		}
-		h.mu.Lock()
-		full := len(h.conns) >= maxWaiting
+		s.mu.Lock()
+		full := len(s.conns) >= maxSuccessors
 		if !full {
-			h.conns[conn] = false
+			s.conns[conn] = false
 		}
-		h.mu.Unlock()
+		s.mu.Unlock()
 		if full {
 			_ = conn.Close()
 			continue
 		}
-		h.done.Go(func() { h.serve(conn) })
+		s.wg.Go(func() { s.serve(conn) })
 	}
 }
 
 // serve sends the socket and follows the other process until it ends.
-func (h *Host) serve(conn *net.UnixConn) {
-	h.opts.Neighbour.Beside(true)
+func (s *Server) serve(conn *net.UnixConn) {
+	s.opts.Observer.SiblingRunning(true)
 	defer func() {
 		_ = conn.Close()
-		h.mu.Lock()
-		delete(h.conns, conn)
-		beside := len(h.conns) > 0
-		h.mu.Unlock()
-		h.opts.Neighbour.Beside(beside)
+		s.mu.Lock()
+		delete(s.conns, conn)
+		siblingRunning := len(s.conns) > 0
+		s.mu.Unlock()
+		s.opts.Observer.SiblingRunning(siblingRunning)
 	}()
-	err := sameUser(conn)
+	err := checkSameUser(conn)
 	if err == nil {
-		err = h.hand(conn)
+		err = s.sendListener(conn)
 	}
 	if err != nil {
-		h.opts.Log.Warn().Str("event", "takeover").Err(err).Msg("a next process could not be given the socket")
+		s.opts.Log.Warn().Str("event", "takeover").Err(err).Msg("a next process could not be given the socket")
 		return
 	}
-	text := make([]byte, maxMessage)
+	data := make([]byte, maxMessageBytes)
 	for {
-		n, err := conn.Read(text)
+		n, err := conn.Read(data)
 		if err != nil {
 			return
 		}
-		var m message
-		if json.Unmarshal(text[:n], &m) == nil && m.Version == version && m.Ready {
-			h.mu.Lock()
-			h.conns[conn] = true
-			h.mu.Unlock()
-			if err := send(conn, message{Version: version, Ready: true}, nil); err != nil {
+		var msg message
+		if json.Unmarshal(data[:n], &msg) == nil && msg.Version == protocolVersion && msg.Ready {
+			s.mu.Lock()
+			s.conns[conn] = true
+			s.mu.Unlock()
+			if err := send(conn, message{Version: protocolVersion, Ready: true}, nil); err != nil {
 				return
 			}
-			h.opts.Log.Info().Str("event", "takeover").Msg("a next process takes clients")
+			s.opts.Log.Info().Str("event", "takeover").Msg("a next process takes clients")
 		}
 	}
 }
 
 // hand sends the listening socket.
-func (h *Host) hand(conn *net.UnixConn) error {
-	f, err := h.opts.Listener.File()
+func (s *Server) sendListener(conn *net.UnixConn) error {
+	f, err := s.opts.Listener.File()
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	return send(conn, message{Version: version, Name: h.opts.Name}, unix.UnixRights(int(f.Fd())))
+	return send(conn, message{Version: protocolVersion, Name: s.opts.Name}, unix.UnixRights(int(f.Fd())))
 }
 
 // Succeeded says whether a next process has the socket and takes clients.
-func (h *Host) Succeeded() bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, ready := range h.conns {
+func (s *Server) HasSuccessor() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, ready := range s.conns {
 		if ready {
 			return true
 		}
@@ -376,13 +376,13 @@
 }
 
 // Close ends the host and its connections: the next process sees that this one ends.
-func (h *Host) Close() {
-	_ = h.l.Close()
-	h.mu.Lock()
-	for conn := range h.conns {
+func (s *Server) Close() {
+	_ = s.listener.Close()
+	s.mu.Lock()
+	for conn := range s.conns {
 		_ = conn.Close()
 	}
-	h.mu.Unlock()
-	h.done.Wait()
-	_ = h.place.folder.Close()
+	s.mu.Unlock()
+	s.wg.Wait()
+	_ = s.location.dir.Close()
 }
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -15,34 +15,34 @@
 )
 
 // neighbour notes the news of other processes.
-type neighbour chan bool
+type siblingEvents chan bool
 
-func (n neighbour) Beside(is bool) { n <- is }
+func (n siblingEvents) SiblingRunning(running bool) { n <- running }
 
-func (n neighbour) want(t *testing.T, is bool) {
+func (n siblingEvents) expect(t *testing.T, running bool) {
 	t.Helper()
 	select {
 	case got := <-n:
-		if got != is {
-			t.Fatalf("beside %v, want %v", got, is)
+		if got != running {
+			t.Fatalf("beside %v, want %v", got, running)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatalf("no news, want beside %v", is)
+		t.Fatalf("no news, want beside %v", running)
 	}
 }
 
 const addr = "127.0.0.1:8000"
 
 // host is a first process.
-func host(t *testing.T, dir string) (*Host, *net.TCPListener, neighbour) {
+func host(t *testing.T, dir string) (*Server, *net.TCPListener, siblingEvents) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	news := make(neighbour, 16)
-	h, err := NewHost(HostOptions{Dir: dir, Addr: addr, Listener: l.(*net.TCPListener), Neighbour: news, Log: zerolog.Nop()})
+	news := make(siblingEvents, 16)
+	h, err := NewServer(ServerOptions{Dir: dir, Addr: addr, Listener: l.(*net.TCPListener), Observer: news, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,7 +52,7 @@
 
 func join(t *testing.T, dir string) *Predecessor {
 	t.Helper()
-	p, err := Join(dir, addr)
+	p, err := Connect(dir, addr)
 	if err != nil || p == nil {
 		t.Fatalf("joining: %v, %v", p, err)
 	}
@@ -71,14 +71,14 @@
 	}
 	h, l, news := host(t, dir)
 	next := join(t, dir)
-	news.want(t, true)
-	if h.Succeeded() {
+	news.expect(t, true)
+	if h.HasSuccessor() {
 		t.Error("succeeded before the next process is ready")
 	}
-	if err := next.Ready(); err != nil {
+	if err := next.NotifyReady(); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "it is known to be ready", h.Succeeded)
+	testkit.Eventually(t, "it is known to be ready", h.HasSuccessor)
 	for i := range 2 {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -113,16 +113,16 @@
 	h, _, news := host(t, dir)
 	for _, ready := range []bool{false, true} {
 		next := join(t, dir)
-		news.want(t, true)
+		news.expect(t, true)
 		if ready {
-			if err := next.Ready(); err != nil {
+			if err := next.NotifyReady(); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Eventually(t, "it is known to be ready", h.Succeeded)
+			testkit.Eventually(t, "it is known to be ready", h.HasSuccessor)
 		}
 		next.Close()
-		news.want(t, false)
-		if h.Succeeded() {
+		news.expect(t, false)
+		if h.HasSuccessor() {
 			t.Error("succeeded by a process that has died")
 		}
 	}
@@ -130,12 +130,12 @@
 
 // A process of another user neither gets the socket nor is taken for the one before.
 func TestProcessOfAnotherUser(t *testing.T) {
-	own := userOf
-	t.Cleanup(func() { userOf = own }) // once the host has ended
-	userOf = func(*net.UnixConn) (uint32, error) { return uint32(os.Geteuid()) + 1, nil }
+	own := peerUID
+	t.Cleanup(func() { peerUID = own }) // once the host has ended
+	peerUID = func(*net.UnixConn) (uint32, error) { return uint32(os.Geteuid()) + 1, nil }
 	dir := t.TempDir()
 	host(t, dir)
-	if p, err := Join(dir, addr); p != nil || !errors.Is(err, errForeign) {
+	if p, err := Connect(dir, addr); p != nil || !errors.Is(err, errOtherUser) {
 		t.Errorf("got %v, %v", p, err)
 	}
 }
@@ -144,22 +144,22 @@
 // lies in the folder otherwise is an error or no predecessor, and hangs nothing.
 func TestNobodyToJoin(t *testing.T) {
 	dir := t.TempDir()
-	if p, err := Join(dir, addr); p != nil || err != nil {
+	if p, err := Connect(dir, addr); p != nil || err != nil {
 		t.Errorf("an empty folder: %v, %v", p, err)
 	}
-	if _, err := Join(filepath.Join(dir, "none"), addr); err == nil {
+	if _, err := Connect(filepath.Join(dir, "none"), addr); err == nil {
 		t.Error("no folder: no error")
 	}
 	h, _, _ := host(t, dir)
 	h.Close() // the socket's name stays, as after a kill
-	if p, err := Join(dir, addr); p != nil || err != nil {
+	if p, err := Connect(dir, addr); p != nil || err != nil {
 		t.Errorf("a socket that nobody has: %v, %v", p, err)
 	}
 	name := filepath.Join(dir, "gannetchute-127.0.0.1_8000.sock")
 	if err := os.Remove(name); err != nil {
 		t.Fatal(err)
 	}
-	foreign, err := net.ListenUnix(network, &net.UnixAddr{Name: name, Net: network})
+	foreign, err := net.ListenUnix(socketNetwork, &net.UnixAddr{Name: name, Net: socketNetwork})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 		}
 	}()
 	for _, text := range answers {
-		if p, err := Join(dir, addr); p != nil || err == nil {
+		if p, err := Connect(dir, addr); p != nil || err == nil {
 			t.Errorf("%q: %v, %v", text, p, err)
 		}
 	}
