--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads what the daemon is told: the platform's environment and
-// NODE_CONFIG, or an operator's file. Errors name the field at fault.
+// Package config reads the daemon's configuration: the platform's file, which NODE_CONFIG
+// names, or an operator's file, with the overrides of the environment. Errors name the
+// invalid field.
 package config
 
 import (
@@ -26,15 +27,15 @@
 	"onyxsail/tracing"
 )
 
-// Limits are what the platform allows the process.
+// Limits are the resources that the platform allows the process; 0 means not given.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Flight sets up the Arrow Flight front. Nodes that speak Flight need nothing
-// here: their address in the list says so.
+// Flight configures the Arrow Flight front. Nodes that speak Flight need no configuration:
+// their address in the list tells the protocol.
 type Flight struct {
 	Listen string `json:"listen"`
 }
@@ -42,34 +43,35 @@
 // Peer is one instance of the replicated store.
 type Peer struct {
 	Name   string `json:"name"`
-	Raft   string `json:"raft"`   // where the instances speak Raft
-	Flight string `json:"flight"` // where its Flight front listens
+	Raft   string `json:"raft"`   // the instance's address for Raft
+	Flight string `json:"flight"` // the address of its Flight front
 }
 
-// Store sets up the replicated store.
+// Store configures the replicated store.
 type Store struct {
 	Dir   string `json:"dir"`
-	Peers []Peer `json:"peers"` // all instances, this one too
+	Peers []Peer `json:"peers"` // all instances, including this one
 }
 
-// Class is what the fronts need of a class beside what the module knows.
+// Class is the part of a class that the fronts need in addition to the settings of the
+// decision module.
 type Class struct {
 	Name  string
 	Keyed bool
-	// Retired is one that a reload has left out: no new query may name it.
+	// Retired is set when a reload has removed the class: new queries cannot use it.
 	Retired  bool
 	settings decide.Class
 }
 
-// Config is all that the daemon is told, decoded once.
+// Config is the decoded configuration of the daemon.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	// Console is where operators call, a host and port; empty: nowhere.
+	// Console is the host:port of the operators' port; empty: off.
 	Console string
-	// FileDiscovery is the file's own word, which NODE_DISCOVERY may have
-	// overridden in Discovery.
+	// FileDiscovery is the file's value of discovery; in Discovery, NODE_DISCOVERY may
+	// have overridden it.
 	FileDiscovery string
 
 	Seed     uint64
@@ -83,22 +85,22 @@
 	StreamsPerConn int
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration
-	HandOverWindow time.Duration // new connections are taken this long after SIGTERM
+	HandOverWindow time.Duration // new connections are accepted this long after SIGTERM
 	LogLevel       string
 	Flight         *Flight
 	Store          *Store
-	Tracing        *tracing.Config // with its defaults; nil: off
+	Tracing        *tracing.Config // with defaults applied; nil: off
 
-	// Notes are what the file holds and this broker passes over: fields that it
-	// does not know, and a list in known that cannot be read.
+	// Warnings are the parts of the file that this broker ignores: unknown fields and
+	// values that it can do without, such as an invalid list in known.
 	Warnings []FieldError
 
-	rawSettings rawSettings     // what a reload checks as it is written
-	keyPaths    map[string]bool // of the file, by path
+	rawSettings rawSettings     // settings that a reload checks in their raw form
+	keyPaths    map[string]bool // paths of the file's keys
 }
 
-// file is what the platform's file says, in the platform's words. It may say
-// more, and then names what this program has never heard of.
+// file is the configuration file as it is written. The platform may add fields that this
+// program does not know.
 type file struct {
 	Name      string
 	Listen    string
@@ -119,7 +121,7 @@
 	Tracing    *tracing.Config
 }
 
-// Field is an error in one field.
+// FieldError is an error or a warning about one field.
 type FieldError struct {
 	Path string
 	Err  error
@@ -127,28 +129,30 @@
 
 func (f *FieldError) Error() string { return f.Path + ": " + f.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *FieldError) Unwrap() error { return f.Err }
 
+// fieldErrorf returns a FieldError for the field at path.
 func fieldErrorf(path, format string, args ...any) error {
 	return &FieldError{path, fmt.Errorf(format, args...)}
 }
 
-// defaultHandOver lies over the longest time that new connections still come
-// after SIGTERM, 0.4 s, and under the 0.7 s after which none may be lost.
+// defaultHandOverWindow is longer than the 0.4 s for which new connections still arrive
+// after SIGTERM at most, and shorter than the 0.7 s after which none may be lost any more.
 const defaultHandOverWindow = 550 * time.Millisecond
 
-// readFile reads a file; a test puts another in its place.
+// readFile reads a file. Tests replace it.
 var readFile = os.ReadFile
 
-// A file that can't be read for a moment is tried again every readAgain, for readWithin:
-// what the file says at SIGHUP must be in use some seconds later.
+// A read that fails with a transient error is retried every readRetryInterval for
+// readRetryTimeout. The total is bounded because a reload at SIGHUP must take effect within
+// some seconds.
 const (
 	readRetryInterval = 20 * time.Millisecond
 	readRetryTimeout  = 1500 * time.Millisecond
 )
 
-// readPatiently reads a file, again where the system or its disk fails for a moment.
+// readFileWithRetry reads a file and retries after transient errors of the system or disk.
 func readFileWithRetry(path string) ([]byte, error) {
 	for start := time.Now(); ; time.Sleep(readRetryInterval) {
 		data, err := readFile(path)
@@ -159,16 +163,17 @@
 	}
 }
 
+// transientErrors are the errors after which readFileWithRetry tries again.
 var transientErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EIO, syscall.EINTR, syscall.EAGAIN}
 
-// Load reads the file at path, or the one that NODE_CONFIG names when path is
-// empty. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONSOLE override the file.
+// Load reads the file at path, or the file that NODE_CONFIG names if path is empty. The
+// variables NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONSOLE override the file.
 func Load(path string, getenv func(string) string) (*Config, error) {
 	if path == "" {
 		path = getenv("NODE_CONFIG")
 	}
 	if path == "" {
-		return nil, fieldErrorf("NODE_CONFIG", "not set, and no file was named")
+		return nil, fieldErrorf("NODE_CONFIG", "not set, and no file was given")
 	}
 	data, err := readFileWithRetry(path)
 	if err != nil {
@@ -177,8 +182,8 @@
 	return Parse(data, getenv)
 }
 
-// NeedRestart names the fields in which the two differ and that a broker takes
-// from its start alone.
+// FieldsNeedingRestart returns the names of the fields that differ between old and now and
+// that only a restart applies.
 func FieldsNeedingRestart(old, now *Config) []string {
 	var names []string
 	compare := func(name string, a, b any) {
@@ -202,7 +207,7 @@
 	return names
 }
 
-// Check reads the file as Load does and takes for a fault what Load passes over.
+// LoadStrict reads the file like Load, but returns the first warning as an error.
 func LoadStrict(path string, getenv func(string) string) (*Config, error) {
 	c, err := Load(path, getenv)
 	if err == nil && len(c.Warnings) > 0 {
@@ -211,9 +216,8 @@
 	return c, err
 }
 
-// Parse decodes a configuration. What the platform says beyond the fields that
-// this program knows stops no start and stands in Notes; a field that is not
-// known in a section of the program's own is a fault.
+// Parse decodes a configuration. Unknown fields of the platform do not prevent a start and
+// are listed in Warnings; an unknown field in a section of this program's own is an error.
 func Parse(data []byte, getenv func(string) string) (*Config, error) {
 	var f file
 	c := &Config{HandOverWindow: defaultHandOverWindow}
@@ -253,7 +257,7 @@
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
 		l, err := discovery.ParseList(f.Known, c.Zones, c.Kinds)
-		if err != nil { // it may be old anyway: discovery has the list
+		if err != nil { // not fatal: the list may be outdated anyway, and discovery has it
 			c.Warnings = append(c.Warnings, FieldError{"known", err})
 		} else {
 			c.Known = l
@@ -262,8 +266,8 @@
 	return c, c.validate()
 }
 
-// console takes the operators' address, the environment's before the file's. One that
-// cannot be used stops no start: the clients need no operator.
+// setConsole sets the address of the operators' port; the environment takes precedence over
+// the file. An invalid address is only a warning: the broker can serve clients without it.
 func (c *Config) setConsole(raw json.RawMessage, env string) {
 	addr := env
 	if addr == "" && len(raw) > 0 && string(raw) != "null" {
@@ -282,7 +286,7 @@
 	c.Console = addr
 }
 
-// decode reads the top level field by field.
+// decode decodes the top level field by field, so that errors name the field.
 func (c *Config) decode(data []byte, f *file) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(data, &fields); err != nil {
@@ -320,11 +324,11 @@
 	return c.recordForReload(fields)
 }
 
-// errUnknown is the fault of a field that the program does not know.
-var errUnknownField = errors.New("unknown field, passed over")
+// errUnknownField is the warning for a field that the program does not know.
+var errUnknownField = errors.New("unknown field, ignored")
 
-// seed makes a seed of whatever is told: 16 hex digits are one, and any other
-// text is as good.
+// parseSeed derives a seed from any JSON value: up to 16 hex digits are the seed itself, and
+// any other text is hashed.
 func parseSeed(raw json.RawMessage) uint64 {
 	var text string
 	if len(raw) == 0 || string(raw) == "null" {
@@ -337,12 +341,12 @@
 		return n
 	}
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(text)) // never fails
+	_, _ = h.Write([]byte(text)) // a hash never returns an error
 	return h.Sum64()
 }
 
-// settings flattens the nested object to the paths of the simulator's wire,
-// which one parser reads for both.
+// parseSettings flattens the nested object into the path=value lines of the simulator's wire
+// format, so that one parser reads both.
 func (c *Config) parseSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return fieldErrorf("settings", "missing")
@@ -365,12 +369,12 @@
 		return &FieldError{"settings", err}
 	}
 	c.Settings = s
-	// The wire's text has no spaces and commas in a name, and this form has:
-	// the list and the clients name things as they stand here.
+	// Names are taken from the JSON, not from the flattened lines: those replace spaces and
+	// commas, but the list of nodes and the clients use the names as written here.
 	c.Zones, c.Kinds = stringList(tree["zones"]), stringList(tree["kinds"])
 	for i := range s.Classes {
-		if s.Classes[i].Fetch > 0 { // the protocol has no form for it: the first answer is the last
-			c.Warnings = append(c.Warnings, FieldError{"settings.domain.classFetch", errors.New("second steps have no form on this protocol, left out")})
+		if s.Classes[i].Fetch > 0 { // the protocol cannot express it: the first answer is the final one
+			c.Warnings = append(c.Warnings, FieldError{"settings.domain.classFetch", errors.New("second steps are not supported by this protocol, ignored")})
 			s.Classes[i].Fetch = 0
 		}
 		name := ""
@@ -399,6 +403,7 @@
 	return err
 }
 
+// nonNegativeNumber returns the number at path, or 0 if it is not set.
 func nonNegativeNumber(pairs map[string]string, path string) (float64, error) {
 	v, ok := pairs[path]
 	if !ok {
@@ -406,12 +411,12 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n >= 0) {
-		return 0, fieldErrorf("settings."+path, "got %q, want a number from 0 up", v)
+		return 0, fieldErrorf("settings."+path, "got %q, want a number, 0 or more", v)
 	}
-	return min(n, 1e9), nil // milliseconds for eleven days, and no conversion overflows
+	return min(n, 1e9), nil // eleven days in milliseconds, so that no conversion overflows
 }
 
-// names reads a list of names.
+// stringList converts a JSON list to strings; any other value gives an empty list.
 func stringList(v any) []string {
 	all, _ := v.([]any)
 	out := make([]string, 0, len(all))
@@ -421,8 +426,8 @@
 	return out
 }
 
-// flatten writes path=value pairs in the form of the simulator's wire: lists
-// of plain values are joined by commas, lists of objects are counted.
+// flatten adds the path=value pairs of v in the simulator's wire format: lists of plain
+// values are joined by commas, and lists of objects get a count and an index per item.
 func flatten(pairs map[string]string, path string, v any) {
 	keyPath := func(key string) string {
 		if path == "" {
@@ -455,6 +460,8 @@
 	}
 }
 
+// wireValue formats a plain value. Spaces, commas and newlines, which separate values in the
+// wire format, are replaced.
 func wireValue(v any) string {
 	if v == nil {
 		return ""
@@ -462,7 +469,7 @@
 	return strings.NewReplacer(" ", "_", ",", "_", "\n", "_").Replace(fmt.Sprint(v))
 }
 
-// loopback says whether addr is a host and port of this machine.
+// isLoopback reports whether addr is a loopback host and a port.
 func isLoopback(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || port == "" {
@@ -472,6 +479,7 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
+// validate returns an error that names the first invalid field.
 func (c *Config) validate() error {
 	for path, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
@@ -506,7 +514,7 @@
 		return nil
 	}
 	if c.Flight == nil {
-		return fieldErrorf("flight", "missing: the store's commands come over Flight")
+		return fieldErrorf("flight", "missing: the store needs the Flight front for its commands")
 	}
 	if c.Store.Dir == "" {
 		return fieldErrorf("store.dir", "missing")
@@ -516,7 +524,7 @@
 	for i, p := range c.Store.Peers {
 		prefix := fmt.Sprintf("store.peers[%d].", i)
 		if p.Name == "" || seen[p.Name] {
-			return fieldErrorf(prefix+"name", "got %q, want a name, each once", p.Name)
+			return fieldErrorf(prefix+"name", "got %q, want a name that is not empty and unique", p.Name)
 		}
 		if !isLoopback(p.Raft) {
 			return fieldErrorf(prefix+"raft", "got %q, want a loopback host:port", p.Raft)
@@ -528,7 +536,7 @@
 		listed = listed || p.Name == c.Name
 	}
 	if !listed {
-		return fieldErrorf("store.peers", "%q is not among them", c.Name)
+		return fieldErrorf("store.peers", "this broker, %q, is not among the peers", c.Name)
 	}
 	return nil
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -12,9 +12,10 @@
 	"onyxsail/internal/testkit"
 )
 
-func none(string) string { return "" }
+// noEnv is a getenv without any variable set.
+func noEnv(string) string { return "" }
 
-func TestParse(t *testing.T) {
+func TestParsePlatformFile(t *testing.T) {
 	n := testkit.Entry{ID: "a", Addr: "127.0.0.1:9", Zone: "banqiao", Kind: "std-2c", State: "in_service", Weight: 1}
 	data := testkit.Config("127.0.0.1:1", []testkit.Entry{n}, testkit.Settings(nil), nil)
 	c, err := Parse(data, func(name string) string { return map[string]string{"NODE_NAME": "n9"}[name] })
@@ -32,10 +33,11 @@
 	}
 }
 
-// What the platform adds to its file stops no start: all brokers once refused to
-// start at "admin", and later at "console". It is named, and check-config, which is
-// for those who write files, takes it for a fault.
-func TestWhatThePlatformAddsStopsNoStart(t *testing.T) {
+// Guards against a field that the platform adds to its file preventing the start: all
+// brokers once refused to start because of "admin", and later of "console". Such a field
+// gives a warning that names it. check-config, which is for authors of files, reports it
+// as an error.
+func TestUnknownPlatformFieldsAreOnlyWarnings(t *testing.T) {
 	for path, extra := range map[string]map[string]any{
 		"admin":   {"admin": "10.0.0.14:9901"},
 		"console": {"console": map[string]any{"any": []int{1}}},
@@ -45,18 +47,18 @@
 		})},
 	} {
 		data := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), extra)
-		c, err := Parse(data, none)
+		c, err := Parse(data, noEnv)
 		if err != nil || len(c.Warnings) != 1 || c.Warnings[0].Path != path || c.Settings.Classes[1].Fetch != 0 {
 			t.Errorf("%s: got %+v, %v", path, c, err)
 		}
-		if _, err := LoadStrict(testkit.WriteFile(t, data), none); err == nil || !strings.Contains(err.Error(), path) {
+		if _, err := LoadStrict(testkit.WriteFile(t, data), noEnv); err == nil || !strings.Contains(err.Error(), path) {
 			t.Errorf("%s, checked: got %v", path, err)
 		}
 	}
 }
 
-// Each of these is legal by the platform's pages.
-func TestLegalConfigurationsStart(t *testing.T) {
+// Guards against rejecting configurations that the platform's documentation allows.
+func TestLegalConfigurationsAreAccepted(t *testing.T) {
 	list := func(zone string) map[string]any {
 		return map[string]any{"version": 1, "full": true, "servers": []testkit.Entry{{ID: "a", Addr: "127.0.0.1:9", Zone: zone, State: "in_service"}}}
 	}
@@ -79,12 +81,12 @@
 			s["caps"].(map[string]any)["connIdleMs"] = 31 * 86.4e6
 		})},
 	} {
-		c, err := Parse(testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), extra), none)
+		c, err := Parse(testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), extra), noEnv)
 		if err != nil || len(c.Warnings) > 0 || c.ConnIdle <= 0 {
 			t.Errorf("%s: got %+v, %v", name, c, err)
 		}
 		if extra["known"] != nil && (c == nil || c.Known == nil || len(c.Known.Nodes) != 1) {
-			t.Errorf("%s: the list in known was lost", name)
+			t.Errorf("%s: the list in known was not read", name)
 		}
 		if name == "a zone of two words" && c.Known.Nodes[0].Zone != 0 || name == "another zone" && c.Known.Nodes[0].Zone >= 0 {
 			t.Errorf("%s: the node is in zone %d", name, c.Known.Nodes[0].Zone)
@@ -92,8 +94,8 @@
 	}
 }
 
-// A fault names its field.
-func TestFaults(t *testing.T) {
+// Guards against an invalid field being accepted, and against errors that do not name it.
+func TestErrorsNameTheField(t *testing.T) {
 	flight := map[string]any{"listen": "127.0.0.1:1"}
 	peers := func(p ...map[string]any) map[string]any { return map[string]any{"dir": "/tmp/x", "peers": p} }
 	for _, c := range []struct {
@@ -130,24 +132,24 @@
 		{"store.peers", map[string]any{"flight": flight, "store": peers()}},
 		{"store.peers[0].raft", map[string]any{"flight": flight, "store": peers(map[string]any{"name": "n1", "raft": "0.0.0.0:1"})}},
 	} {
-		_, err := Parse(testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), c.extra), none)
+		_, err := Parse(testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), c.extra), noEnv)
 		if err == nil || !strings.Contains(err.Error(), c.field) {
 			t.Errorf("%s: got %v", c.field, err)
 		}
 	}
-	if _, err := Load("", none); err == nil || !strings.Contains(err.Error(), "NODE_CONFIG") {
-		t.Errorf("no file: got %v", err)
+	if _, err := Load("", noEnv); err == nil || !strings.Contains(err.Error(), "NODE_CONFIG") {
+		t.Errorf("no file given: got %v", err)
 	}
 	var f *FieldError
-	if _, err := Load("/nowhere/at/all", none); !errors.As(err, &f) || !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that is not there: got %v", err)
+	if _, err := Load("/nowhere/at/all", noEnv); !errors.As(err, &f) || !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("a missing file: got %v", err)
 	}
 }
 
-// The operator's files of the repository are sound, and make one group.
-func TestOperatorFiles(t *testing.T) {
+// Guards against the operator files in deploy being invalid or not forming one store group.
+func TestOperatorFilesAreValid(t *testing.T) {
 	for _, name := range []string{"n1", "n2", "n3"} {
-		c, err := Load("../deploy/operator-"+name+".json", none)
+		c, err := Load("../deploy/operator-"+name+".json", noEnv)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -158,15 +160,15 @@
 	}
 }
 
-// Whatever the file holds, it is read or refused by a field's name, and never more
-// than that: a panic would stop every broker's start, or end all at a reload.
+// Guards against files that make the parser panic, which would prevent the start of all
+// brokers or end them all at a reload, and against accepting inconsistent ones.
 func FuzzParse(f *testing.F) {
 	n := testkit.Entry{ID: "a", Addr: "127.0.0.1:9", Zone: "banqiao", Kind: "std-2c", State: "in_service", Weight: 1}
 	f.Add(testkit.Config("127.0.0.1:1", []testkit.Entry{n}, testkit.Settings(nil), map[string]any{"console": 1}))
 	f.Add([]byte(`{"name":"n","listen":"a:1","discovery":"b:2","seed":[],"limits":{"sockets":1e300},"settings":{"classes":[{"name":"x"},3]}}`))
 	f.Add([]byte(`{"settings":{"classes":{"count":5},"zones":[1,{}],"tenants":[[],{}]}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		c, err := Parse(data, none)
+		c, err := Parse(data, noEnv)
 		if err == nil && (c.Name == "" || len(c.Classes) != len(c.Settings.Classes) || c.Limits.Sockets < 0 || c.Limits.MemoryMB < 0) {
 			t.Errorf("%q: got %+v", data, c)
 		}
--- a/config/read_test.go
+++ b/config/read_test.go
@@ -8,15 +8,15 @@
 	"onyxsail/internal/testkit"
 )
 
-// A file that can't be read for a moment, for want of a descriptor or as its disk fails, is
-// read anew: a start must not end, nor a move of discovery be lost, for that. One that is
-// not there, or is wrong, is told at once.
-func TestFileThatCannotBeReadForAMoment(t *testing.T) {
-	whole := readFile
-	t.Cleanup(func() { readFile = whole })
+// Guards against a start failing, or a move of discovery being lost, because the file cannot
+// be read for a moment, for lack of descriptors or because of a disk error: such reads are
+// retried. A missing or inaccessible file is an error at once.
+func TestTransientReadErrorsAreRetried(t *testing.T) {
+	original := readFile
+	t.Cleanup(func() { readFile = original })
 	for _, c := range []struct {
 		errno syscall.Errno
-		reads int // of which the last succeeds
+		reads int // the number of reads, of which the last succeeds; 0: none succeeds
 	}{{syscall.EMFILE, 4}, {syscall.ENFILE, 4}, {syscall.EIO, 4}, {syscall.EINTR, 4}, {syscall.ENOMEM, 4}, {syscall.ENOENT, 0}, {syscall.EACCES, 0}} {
 		reads := 0
 		readFile = func(name string) ([]byte, error) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// A file that is empty or cut short at any byte is turned down whole.
-func TestFileCutShort(t *testing.T) {
+// Guards against accepting a file that is empty or truncated at any byte.
+func TestTruncatedFileIsRejected(t *testing.T) {
 	whole := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), nil)
 	env := func(string) string { return "" }
 	if _, err := Parse(whole, env); err != nil {
@@ -44,7 +44,7 @@
 	}
 	for n := range len(whole) {
 		if _, err := Parse(whole[:n], env); err == nil {
-			t.Errorf("cut off after %d of %d bytes: taken", n, len(whole))
+			t.Errorf("truncated after %d of %d bytes: accepted", n, len(whole))
 		}
 	}
 }
--- a/config/reload.go
+++ b/config/reload.go
@@ -11,17 +11,17 @@
 	"onyxsail/decide"
 )
 
-// maxClasses bounds the classes that a broker has met since its start, those that have
-// vanished among them.
+// maxClasses bounds the number of different classes since the start of a broker, including
+// retired ones.
 const maxClasses = 1024
 
-// Reload reads the file anew for a broker that runs with old. A discovery that
-// the file did not name before wins over NODE_DISCOVERY: the environment is
-// that of the start and can't tell of a move. An unchanged one moves nothing.
+// Reload reads the file again for a broker that runs with old. If the file's discovery
+// address has changed, it takes precedence over NODE_DISCOVERY: the environment is that of
+// the start and cannot reflect a move. Otherwise discovery stays as in old.
 //
-// The file is turned down whole where it lacks a key that the one in use has, or where a
-// deadline or the number of attempts is not a number above 0. In the result the classes
-// keep the indexes that they have in old; those that the file leaves out are retired.
+// The whole file is rejected if it lacks a key that the file in use has, or if a deadline or
+// the number of attempts is not a number above 0. In the result the classes keep their
+// indexes in old; classes that the file no longer has are retired.
 func Reload(path string, getenv func(string) string, old *Config) (*Config, error) {
 	c, err := Load(path, getenv)
 	if err != nil {
@@ -39,12 +39,12 @@
 	return c, c.keepClassIndexes(old)
 }
 
-// complete says what the file lacks that the one in use has, and which of its figures is
-// none that a query could run under.
+// checkComplete returns an error if the file lacks a key of the file in use, or has a
+// deadline or number of attempts under which no query could run.
 func (c *Config) checkComplete(old *Config) error {
 	for _, path := range slices.Sorted(maps.Keys(old.keyPaths)) {
 		if !c.keyPaths[path] {
-			return fieldErrorf(path, "missing, and the file in use has it")
+			return fieldErrorf(path, "missing, but present in the file in use")
 		}
 	}
 	for i, class := range c.rawSettings.Classes {
@@ -55,7 +55,8 @@
 	return checkPositive("settings.caps.maxAttempts", c.rawSettings.Caps.MaxAttempts)
 }
 
-// aboveZero checks that a value is a number above 0: a text that looks like one is none.
+// checkPositive returns an error unless the value is a JSON number above 0; a string that
+// contains a number is an error too.
 func checkPositive(path string, value json.RawMessage) error {
 	var n float64
 	if err := json.Unmarshal(value, &n); err != nil || !(n > 0) || math.IsInf(n, 0) || string(value) == "null" {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// essential are the settings that a reload looks at as they are written.
+// rawSettings are the settings that a reload checks in their raw form.
 type rawSettings struct {
 	Classes []struct {
 		DeadlineMs json.RawMessage `json:"deadlineMs"`
@@ -74,8 +75,9 @@
 	} `json:"caps"`
 }
 
-// remember keeps what a later reload compares with, of the fields of the top level. The
-// list in known may be long and is read by itself.
+// recordForReload records the keys and raw settings that a later reload checks. Of the
+// top-level fields, only settings and limits are recorded with their nested keys; the list
+// in known may be long and is parsed separately.
 func (c *Config) recordForReload(fields map[string]json.RawMessage) error {
 	if raw := fields["settings"]; len(raw) > 0 {
 		if err := json.Unmarshal(raw, &c.rawSettings); err != nil {
@@ -85,7 +87,7 @@
 	c.keyPaths = map[string]bool{}
 	for name, raw := range fields {
 		if !platformFields[name] {
-			continue // the operator's own, which may go at any time
+			continue // an operator's field, which may be removed at any time
 		}
 		c.keyPaths[name] = true
 		if name != "settings" && name != "limits" {
@@ -102,13 +104,13 @@
 	return nil
 }
 
-// platformFields are the platform's fields of the file's top level.
+// platformFields are the top-level fields of the file that the platform defines.
 var platformFields = map[string]bool{
 	"name": true, "listen": true, "discovery": true, "console": true, "seed": true, "limits": true, "known": true, "settings": true,
 }
 
-// keysOf returns the paths of all keys below a value. Of a list's items, which "[]" stands
-// for, these are the keys that each of them has.
+// nestedKeyPaths returns the paths of all keys in a value. The items of a list share the
+// path element "[]" and contribute the keys that all of them have.
 func nestedKeyPaths(prefix string, value any) (all []string) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -132,9 +134,9 @@
 	return all
 }
 
-// followOn gives the classes the indexes that a broker which runs with old has for them.
-// One that is described anew is another class of the same name: what is under way keeps
-// the one that it came under.
+// keepClassIndexes gives the classes the indexes that they have in old. A class whose
+// settings have changed counts as a new class of the same name, so that open queries keep
+// the settings under which they were submitted.
 func (c *Config) keepClassIndexes(old *Config) error {
 	settings, classes := slices.Clone(old.Settings.Classes), slices.Clone(old.Classes)
 	for i := range classes {
@@ -150,13 +152,13 @@
 		classes[index].Retired = false
 	}
 	if len(classes) > maxClasses {
-		return &FieldError{"settings.classes", errors.New("too many different ones since the start: the broker must be replaced")}
+		return &FieldError{"settings.classes", errors.New("too many different classes since the start: the broker must be restarted")}
 	}
 	c.Classes, c.Settings.Classes = classes, settings
 	return nil
 }
 
-// classOf makes a class of its name and settings.
+// newClass returns a class with the given name and settings.
 func newClass(name string, settings decide.Class) Class {
 	return Class{Name: name, Keyed: settings.Effect == decide.Keyed, settings: settings}
 }
--- a/config/reload_test.go
+++ b/config/reload_test.go
@@ -10,42 +10,42 @@
 	"onyxsail/internal/testkit"
 )
 
-// running is a configuration in use and the file that it came from, as the platform writes
-// it.
-func running(t testing.TB, change func(settings map[string]any)) (*Config, []byte) {
+// configInUse returns a parsed configuration and its file, in the platform's form.
+func configInUse(t testing.TB, change func(settings map[string]any)) (*Config, []byte) {
 	t.Helper()
 	data := testkit.Config("127.0.0.1:1", nil, testkit.Settings(change), map[string]any{"console": "127.0.0.1:2"})
-	c, err := Parse(data, none)
+	c, err := Parse(data, noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c, data
 }
 
-func reload(t testing.TB, data []byte, old *Config) (*Config, error) {
+// reloadData reloads from a file with the given content.
+func reloadData(t testing.TB, data []byte, old *Config) (*Config, error) {
 	t.Helper()
 	path := testkit.WriteFile(t, data)
-	return Reload(path, none, old)
+	return Reload(path, noEnv, old)
 }
 
-// edit changes a file's tree.
-func edit(t *testing.T, data []byte, change func(file, settings map[string]any)) []byte {
+// editFile applies a change to the JSON object of a file and returns the new file.
+func editFile(t *testing.T, data []byte, change func(file, settings map[string]any)) []byte {
 	t.Helper()
 	return testkit.Edit(t, data, func(file map[string]any) { change(file, file["settings"].(map[string]any)) })
 }
 
-// A file without a key that the one in use has is turned down whole, whichever it is, and
-// so is one with a figure that no query could run under.
-func TestReloadTurnsDown(t *testing.T) {
-	old, data := running(t, nil)
-	if _, err := reload(t, data, old); err != nil {
+// Guards against a reload accepting a file that lacks any key of the file in use, or whose
+// deadline or number of attempts would fail every query.
+func TestReloadRejectsMissingKeysAndInvalidLimits(t *testing.T) {
+	old, data := configInUse(t, nil)
+	if _, err := reloadData(t, data, old); err != nil {
 		t.Fatalf("unchanged: %v", err)
 	}
-	first := func(settings map[string]any) map[string]any {
+	firstClass := func(settings map[string]any) map[string]any {
 		return settings["classes"].([]any)[0].(map[string]any)
 	}
 	for _, name := range []string{"name", "listen", "discovery", "console", "seed", "limits", "known", "settings"} {
-		got, err := reload(t, edit(t, data, func(file, _ map[string]any) { delete(file, name) }), old)
+		got, err := reloadData(t, editFile(t, data, func(file, _ map[string]any) { delete(file, name) }), old)
 		if err == nil || got != nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("without %s: %v", name, err)
 		}
@@ -53,43 +53,45 @@
 	var all map[string]any
 	_ = json.Unmarshal(data, &all)
 	for name := range all["settings"].(map[string]any) {
-		_, err := reload(t, edit(t, data, func(_, s map[string]any) { delete(s, name) }), old)
+		_, err := reloadData(t, editFile(t, data, func(_, s map[string]any) { delete(s, name) }), old)
 		if err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("without settings.%s: %v", name, err)
 		}
 	}
-	for name := range first(all["settings"].(map[string]any)) {
-		_, err := reload(t, edit(t, data, func(_, s map[string]any) { delete(first(s), name) }), old)
+	for name := range firstClass(all["settings"].(map[string]any)) {
+		_, err := reloadData(t, editFile(t, data, func(_, s map[string]any) { delete(firstClass(s), name) }), old)
 		if err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("without settings.classes[].%s: %v", name, err)
 		}
 	}
 	for _, value := range []any{0, -1, "soon", "1000", nil, true, []any{1}, map[string]any{}} {
-		_, err := reload(t, edit(t, data, func(_, s map[string]any) { first(s)["deadlineMs"] = value }), old)
+		_, err := reloadData(t, editFile(t, data, func(_, s map[string]any) { firstClass(s)["deadlineMs"] = value }), old)
 		if err == nil || !strings.Contains(err.Error(), "deadlineMs") {
 			t.Errorf("a deadline of %v: %v", value, err)
 		}
-		_, err = reload(t, edit(t, data, func(_, s map[string]any) { s["caps"].(map[string]any)["maxAttempts"] = value }), old)
+		_, err = reloadData(t, editFile(t, data, func(_, s map[string]any) { s["caps"].(map[string]any)["maxAttempts"] = value }), old)
 		if err == nil || !strings.Contains(err.Error(), "maxAttempts") {
 			t.Errorf("%v attempts: %v", value, err)
 		}
 	}
-	own := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), map[string]any{"console": "127.0.0.1:2", "log_level": "debug"})
-	verbose, err := Parse(own, none)
+	withLogLevel := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), map[string]any{"console": "127.0.0.1:2", "log_level": "debug"})
+	oldWithLogLevel, err := Parse(withLogLevel, noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := reload(t, edit(t, own, func(file, _ map[string]any) { delete(file, "log_level") }), verbose); err != nil {
-		t.Errorf("without a field of the operator's own: %v", err)
+	if _, err := reloadData(t, editFile(t, withLogLevel, func(file, _ map[string]any) { delete(file, "log_level") }), oldWithLogLevel); err != nil {
+		t.Errorf("without an operator's field: %v", err)
 	}
 }
 
-// Classes keep their indexes by name and description through a series of files.
-func TestReloadFollowsClasses(t *testing.T) {
-	old, data := running(t, nil)
+// Guards against classes changing their index over a series of reloads, which would apply
+// the settings of one class to queries of another, and against the number of classes
+// growing without limit.
+func TestReloadKeepsClassIndexes(t *testing.T) {
+	old, data := configInUse(t, nil)
 	class := func(s map[string]any, i int) map[string]any { return s["classes"].([]any)[i].(map[string]any) }
-	// screen goes, edit has a stricter effect, bulk comes, the rest change places
-	second := edit(t, data, func(_, s map[string]any) {
+	// screen is removed, edit gets a stricter effect, bulk is added, and the rest is reordered
+	second := editFile(t, data, func(_, s map[string]any) {
 		edited, order, part := class(s, 1), class(s, 2), class(s, 3)
 		edited["idempotency"] = "unsafe"
 		bulk := map[string]any{}
@@ -100,7 +102,7 @@
 		s["classes"] = []any{bulk, order, edited, part}
 		s["domain"].(map[string]any)["minShare"] = []any{1.0, 1.0, 1.0, 0.5}
 	})
-	c, err := reload(t, second, old)
+	c, err := reloadData(t, second, old)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,17 +123,17 @@
 	}
 	check(c)
 	if c.Classes[1].Keyed == c.Classes[5].Keyed {
-		t.Error("the stricter effect is not told apart")
+		t.Error("the class with the stricter effect has the same effect as the old one")
 	}
-	for range 3 { // back and forth: no further index
-		if c, err = reload(t, data, c); err != nil {
+	for range 3 { // going back and forth adds no index
+		if c, err = reloadData(t, data, c); err != nil {
 			t.Fatal(err)
 		}
 		for i := range want {
 			want[i].retired = i > 3
 		}
 		check(c)
-		if c, err = reload(t, second, c); err != nil {
+		if c, err = reloadData(t, second, c); err != nil {
 			t.Fatal(err)
 		}
 		for i := range want {
@@ -139,8 +141,8 @@
 		}
 		check(c)
 	}
-	for i := 0; ; i++ { // but for ever new ones there is an end
-		next, err := reload(t, edit(t, data, func(_, s map[string]any) { class(s, 0)["objectiveMs"] = 1 + i }), c)
+	for i := 0; ; i++ { // ever new classes reach the limit
+		next, err := reloadData(t, editFile(t, data, func(_, s map[string]any) { class(s, 0)["objectiveMs"] = 1 + i }), c)
 		if err != nil {
 			if len(c.Classes) < maxClasses-1 || !strings.Contains(err.Error(), "settings.classes") {
 				t.Errorf("after %d classes: %v", len(c.Classes), err)
@@ -153,9 +155,9 @@
 	}
 }
 
-// A file cut at any byte is never half taken.
+// Guards against accepting a file that is truncated at any byte and followed by one more.
 func FuzzReload(f *testing.F) {
-	old, data := running(f, nil)
+	old, data := configInUse(f, nil)
 	for _, n := range []uint16{0, 1, 17, uint16(len(data) / 2), uint16(len(data) - 1)} {
 		f.Add(n, byte(' '))
 	}
@@ -169,8 +171,8 @@
 		if err := os.WriteFile(path, short, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if c, err := Reload(path, none, old); err == nil || c != nil {
-			t.Errorf("cut at %d, then %q: taken", n, last)
+		if c, err := Reload(path, noEnv, old); err == nil || c != nil {
+			t.Errorf("truncated at %d, then %q: accepted", n, last)
 		}
 	})
 }
--- a/store/patient.go
+++ b/store/patient.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// diskAgain is the pause before a write that failed is tried again.
+	// diskRetryInterval is the pause before a failed write is retried.
 	diskRetryInterval = 50 * time.Millisecond
-	// diskToldEvery is how often that is logged.
+	// diskLogInterval is the minimum time between two log lines about failed writes.
 	diskLogInterval = 10 * time.Second
 )
 
-var errDiskFailedAtClose = errors.New("the store is closing over a disk that fails")
+var errDiskFailedAtClose = errors.New("the store's disk failed until the store was closed")
 
-// patient is a Disk whose stable writes wait for a disk that fails for a while, full or
-// with input and output errors: Raft ends the process where it cannot save its term. Log
-// writes fail at once, as Raft steps back then and acknowledges nothing.
+// retryingDisk is a Disk that retries failed writes to the stable store until they succeed
+// or the store closes. Raft panics if it cannot save its term, so a disk that is full or has
+// I/O errors for a while would end the process. Writes to the log fail at once: Raft then
+// steps down and acknowledges nothing.
 type retryingDisk struct {
 	Disk
-	stop <-chan struct{} // closed when the store closes: nothing waits then
+	stop <-chan struct{} // closed when the store closes, which ends all retries
 	log  zerolog.Logger
-	// given up: a stable write was left out while the store closes. Nothing more is
-	// written, so that no vote or entry is granted on top of it.
+	// abandoned is set once a stable write was abandoned because the store closes. No
+	// further stable write is attempted, so that no vote or entry depends on the missing one.
 	abandoned atomic.Bool
 }
 
@@ -34,8 +35,9 @@
 	return d.retry(func() error { return d.Disk.Set(key, value) })
 }
 
-// SetUint64 implements raft.StableStore. It says yes to what is given up, as Raft would
-// end the process else; what counts on it, a vote, needs Set as well, which fails.
+// SetUint64 implements raft.StableStore. It reports success for an abandoned write, as Raft
+// would panic otherwise. This is safe because a vote, which depends on the saved term, also
+// needs Set, which fails.
 func (d *retryingDisk) SetUint64(key []byte, value uint64) error {
 	err := d.retry(func() error { return d.Disk.SetUint64(key, value) })
 	if errors.Is(err, errDiskFailedAtClose) {
@@ -44,6 +46,8 @@
 	return err
 }
 
+// retry calls write until it succeeds. It returns errDiskFailedAtClose if the store closes
+// first.
 func (d *retryingDisk) retry(write func() error) error {
 	var lastLogged time.Time
 	for !d.abandoned.Load() {
@@ -53,7 +57,7 @@
 		}
 		if now := time.Now(); now.Sub(lastLogged) >= diskLogInterval {
 			lastLogged = now
-			d.log.Error().Str("event", "store-disk").Err(err).Msg("the store's disk fails; configuration waits, serving goes on")
+			d.log.Error().Str("event", "store-disk").Err(err).Msg("writing to the store's disk failed; configuration changes are delayed, queries are still served")
 		}
 		select {
 		case <-d.stop:
--- a/store/state.go
+++ b/store/state.go
@@ -1,6 +1,6 @@
-// Package store is the daemon's own replicated store: a versioned
-// configuration and the last roster, kept by Raft among a few instances.
-// Load and health of nodes are no part of it: brokers share neither.
+// Package store is the daemon's replicated store. It keeps a versioned configuration and the
+// last roster, replicated by Raft among a few instances. It does not hold the load and
+// health of nodes, which brokers do not share.
 package store
 
 import (
@@ -15,22 +15,22 @@
 	"onyxsail/broker"
 )
 
-// Config is what operators may change while the brokers run.
+// Config is the configuration that operators may change while the brokers run.
 type Config struct {
 	Version    uint64 `json:"version"`
-	QueueLimit int    `json:"queue_limit"` // inputs that may wait for a turn
-	MaxOpen    int    `json:"max_open"`    // queries and parts held; 0: the settings' figure
+	QueueLimit int    `json:"queue_limit"` // maximum number of inputs that wait for a turn
+	MaxOpen    int    `json:"max_open"`    // maximum number of open queries and parts; 0: the value in the settings
 	LogLevel   string `json:"log_level"`
 	HandOverMs int    `json:"hand_over_ms"`
 }
 
-// Defaults is the configuration before any was set.
+// Defaults returns the configuration before any was set.
 func Defaults() Config {
 	return Config{QueueLimit: 4096, LogLevel: "info", HandOverMs: 550}
 }
 
-// Patch is a change of some fields. With IfVersion, it takes effect only on
-// that version.
+// Patch is a change of some fields of the configuration. If IfVersion is set, the change
+// applies only to that version.
 type Patch struct {
 	IfVersion  *uint64 `json:"if_version,omitempty"`
 	QueueLimit *int    `json:"queue_limit,omitempty"`
@@ -39,10 +39,10 @@
 	HandOverMs *int    `json:"hand_over_ms,omitempty"`
 }
 
-// ErrInvalid marks a change that can never be taken.
+// ErrInvalid is the error of a change that is invalid in any state.
 var ErrInvalid = errors.New("invalid configuration")
 
-// ErrConflict marks a change made against another version.
+// ErrConflict is the error of a change whose IfVersion is not the current version.
 var ErrConflict = errors.New("the configuration has another version")
 
 // Validate checks the fields that the patch sets.
@@ -67,6 +67,7 @@
 		check("hand_over_ms", p.HandOverMs, 0, 10000))
 }
 
+// apply returns c with the change applied and its version incremented.
 func (p *Patch) apply(c Config) Config {
 	setIfPresent(&c.QueueLimit, p.QueueLimit)
 	setIfPresent(&c.MaxOpen, p.MaxOpen)
@@ -76,31 +77,32 @@
 	return c
 }
 
+// setIfPresent sets the target to the value unless the value is nil.
 func setIfPresent[T any](target *T, value *T) {
 	if value != nil {
 		*target = *value
 	}
 }
 
-// Roster is the list of nodes as the leader's broker last had it.
+// Roster is the latest list of nodes that the leader's broker has recorded.
 type Roster struct {
 	Version int64         `json:"version"`
 	Nodes   []broker.Node `json:"nodes"`
 }
 
-// State is all that the store holds.
+// State is the replicated state of the store.
 type State struct {
 	Config Config `json:"config"`
 	Roster Roster `json:"roster"`
 }
 
-// command is one entry of the log: one of the fields is set.
+// command is one entry of the Raft log. Exactly one field is set.
 type command struct {
 	Patch  *Patch  `json:"patch,omitempty"`
 	Roster *Roster `json:"roster,omitempty"`
 }
 
-// machine is the state machine that Raft drives.
+// stateMachine is the state machine to which Raft applies the log.
 type stateMachine struct {
 	mu       sync.Mutex
 	state    State
@@ -120,8 +122,8 @@
 	m.onChange(s)
 }
 
-// Apply implements raft.FSM. It must come to the same result on every
-// instance, so a command is judged by the state alone.
+// Apply implements raft.FSM. It must have the same result on every instance, so it depends
+// only on the state and the command.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
@@ -155,6 +157,7 @@
 	return nil
 }
 
+// snapshot is a copy of the state that Raft writes to disk or sends to a follower.
 type snapshot State
 
 // Persist implements raft.FSMSnapshot.
--- a/store/store.go
+++ b/store/store.go
@@ -21,38 +21,39 @@
 	applyTimeout        = 3 * time.Second
 	retainedSnapshots   = 2
 	maxPooledConns      = 3
-	rosterWriteInterval = time.Second // between writes of the roster at most
+	rosterWriteInterval = time.Second // minimum time between writes of the roster
 )
 
-// Peer is one instance.
+// Peer is one instance of the store: its name and its addresses for Raft and Flight.
 type Peer struct {
 	Name, Raft, Flight string
 }
 
-// Options make a Store.
+// Options configure a Store.
 type Options struct {
-	Name  string
-	Dir   string
-	Peers []Peer // all instances, this one too
-	// Changed is called with each new state, also while Open replays the log; it
-	// must not block.
+	Name  string // the name of this instance
+	Dir   string // the directory of its data
+	Peers []Peer // all instances, including this one
+	// OnChange is called with each new state, also while Open replays the log. It must not
+	// block.
 	OnChange func(State)
 	Log      zerolog.Logger
-	// Listen, if set, takes the place of listening at this peer's Raft address.
+	// Listener, if set, is used instead of a new listener at this peer's Raft address.
 	Listener net.Listener
-	// Disk, if set, takes the place of the database on disk, in tests of one that fails.
+	// WrapDisk, if set, wraps the database on disk, in tests of a disk that fails.
 	WrapDisk func(Disk) Disk
-	// Tune, if set, edits Raft's own configuration before it is used.
+	// TuneRaft, if set, modifies the configuration of Raft before it is used.
 	TuneRaft func(*raft.Config)
 }
 
-// Disk is what Raft keeps on disk beside its snapshots.
+// Disk is Raft's persistent storage apart from its snapshots.
 type Disk interface {
 	raft.LogStore
 	raft.StableStore
 }
 
-// NotLeader says that a write must go to another instance.
+// NotLeaderError reports that this instance is not the leader, which a write must go to.
+// Leader is the zero Peer if no leader is known.
 type NotLeaderError struct{ Leader Peer }
 
 func (n *NotLeaderError) Error() string {
@@ -62,11 +63,12 @@
 	return fmt.Sprintf("not the leader: that is %s at %s", n.Leader.Name, n.Leader.Flight)
 }
 
-// ErrUndecided is the error of a change whose leader lost its place under it: another instance
-// may have it, so it may have taken effect, or may yet.
+// ErrOutcomeUnknown is the error of a change during which this instance lost the leadership.
+// Another instance may have replicated the change, so it may have taken effect or may still
+// do so.
 var ErrOutcomeUnknown = errors.New("the leadership was lost under the change, which may have taken effect or may yet: read the configuration")
 
-// Status is how an instance sees the group.
+// Status is an instance's view of the group.
 type Status struct {
 	Name          string `json:"name"`
 	Role          string `json:"role"`
@@ -76,7 +78,7 @@
 	ConfigVersion uint64 `json:"config_version"`
 }
 
-// Store is one instance.
+// Store is one instance of the replicated store.
 type Store struct {
 	opts         Options
 	stateMachine *stateMachine
@@ -86,11 +88,11 @@
 	wg           sync.WaitGroup
 
 	mu            sync.Mutex
-	pendingRoster *Roster // waits to be written
+	latestRoster  *Roster // the latest roster of this instance's broker; nil: none yet
 	rosterChanged chan struct{}
 }
 
-// Open starts an instance from what its directory holds.
+// Open starts an instance with the data in its directory.
 func Open(o Options) (*Store, error) {
 	if o.OnChange == nil {
 		o.OnChange = func(State) {}
@@ -160,7 +162,7 @@
 	if err != nil {
 		return err
 	}
-	if !hasState { // all instances begin with the same members, so each may say so itself
+	if !hasState { // all instances have the same configured members, so each may bootstrap itself
 		if err := raft.BootstrapCluster(cfg, disk, disk, snaps, transport, servers); err != nil {
 			return err
 		}
@@ -169,7 +171,7 @@
 	return err
 }
 
-// State returns the state as this instance has it.
+// State returns this instance's copy of the state, which may lag behind the leader's.
 func (s *Store) State() State { return s.stateMachine.get() }
 
 // Leader returns the leader, if one is known.
@@ -183,7 +185,7 @@
 	return Peer{}, false
 }
 
-// Status returns how this instance sees the group.
+// Status returns this instance's view of the group.
 func (s *Store) Status() Status {
 	leader, _ := s.Leader()
 	return Status{
@@ -192,9 +194,9 @@
 	}
 }
 
-// SetConfig validates a change, proposes it and returns the new configuration.
-// It fails with a NotLeader at any instance but the leader, and with ErrUndecided where
-// nobody knows whether it has taken effect.
+// SetConfig validates a change, proposes it and returns the new configuration. It returns a
+// NotLeaderError at any instance but the leader, and ErrOutcomeUnknown if it is not known
+// whether the change has taken effect.
 func (s *Store) SetConfig(patch Patch) (Config, error) {
 	if err := patch.Validate(); err != nil {
 		return Config{}, err
@@ -203,6 +205,7 @@
 	return state.Config, err
 }
 
+// propose replicates a command and returns the state after it.
 func (s *Store) propose(c command) (State, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
@@ -229,11 +232,11 @@
 	}
 }
 
-// Remember notes the roster that this instance's broker has. The leader writes
-// the latest one, once a second at most.
+// RecordRoster sets the current roster of this instance's broker. If this instance is the
+// leader, the latest roster is written to the store, once per second at most.
 func (s *Store) RecordRoster(r Roster) {
 	s.mu.Lock()
-	s.pendingRoster = &r
+	s.latestRoster = &r
 	s.mu.Unlock()
 	select {
 	case s.rosterChanged <- struct{}{}:
@@ -241,6 +244,7 @@
 	}
 }
 
+// writeRosters proposes the latest roster while this instance is the leader.
 func (s *Store) writeRosters() {
 	defer s.wg.Done()
 	tick := time.NewTicker(rosterWriteInterval)
@@ -250,16 +254,16 @@
 		case <-s.stop:
 			return
 		case <-s.rosterChanged:
-		case <-tick.C: // this instance may have become the leader
+		case <-tick.C: // this instance may have become the leader in the meantime
 		}
 		s.mu.Lock()
-		r := s.pendingRoster
+		r := s.latestRoster
 		s.mu.Unlock()
 		if r == nil || s.raft.State() != raft.Leader || s.State().Roster.Version == r.Version {
 			continue
 		}
 		if _, err := s.propose(command{Roster: r}); err != nil {
-			s.opts.Log.Warn().Str("event", "store-roster").Err(err).Msg("the roster was not stored")
+			s.opts.Log.Warn().Str("event", "store-roster").Err(err).Msg("failed to store the roster")
 		}
 		select {
 		case <-s.stop:
@@ -269,19 +273,20 @@
 	}
 }
 
-// Close hands the leadership on, if it is here, and ends the instance.
+// Close transfers the leadership if this instance has it, and shuts the instance down.
 func (s *Store) Close() error {
 	close(s.stop)
 	s.wg.Wait()
 	if s.raft.State() == raft.Leader && len(s.opts.Peers) > 1 {
 		if err := s.raft.LeadershipTransfer().Error(); err != nil {
-			s.opts.Log.Info().Str("event", "store-close").Err(err).Msg("the leadership was not handed on")
+			s.opts.Log.Info().Str("event", "store-close").Err(err).Msg("failed to transfer the leadership")
 		}
 	}
 	err := s.raft.Shutdown().Error()
 	return errors.Join(err, s.closeResources())
 }
 
+// closeResources closes what open has opened, in reverse order.
 func (s *Store) closeResources() (err error) {
 	for i := len(s.closers) - 1; i >= 0; i-- {
 		err = errors.Join(err, s.closers[i]())
@@ -289,7 +294,7 @@
 	return err
 }
 
-// layer lets Raft listen on a socket that is open already.
+// streamLayer is a raft.StreamLayer on an open listener.
 type streamLayer struct{ net.Listener }
 
 // Dial implements raft.StreamLayer.
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -20,78 +20,81 @@
 	"onyxsail/store"
 )
 
-// group is three instances on loopback.
+// group is a store group of three instances on loopback.
 type group struct {
-	t     *testing.T
-	peers []store.Peer
-	dirs  []string
-	live  []*store.Store
-	fail  atomic.Pointer[syscall.Errno] // what writes to all disks end with; nil: they work
-	vain  atomic.Int64                  // writes that have failed
-	wrote atomic.Pointer[func(at int)]  // called once an instance has entries on its disk, before it sends them on
+	t             *testing.T
+	peers         []store.Peer
+	dirs          []string
+	stores        []*store.Store
+	diskError     atomic.Pointer[syscall.Errno] // the error of all disk writes; nil: they succeed
+	failedWrites  atomic.Int64                  // the number of failed writes
+	onLogsWritten atomic.Pointer[func(at int)]  // called when an instance has written log entries to its disk, before it replicates them
 }
 
-// disk fails while its group says so.
-type disk struct {
+// failingDisk fails writes while its group has a diskError.
+type failingDisk struct {
 	store.Disk
-	of *group
-	at int // whose it is
+	group *group
+	index int // the instance that it belongs to
 }
 
-func (d disk) write(f func() error) error {
-	if errno := d.of.fail.Load(); errno != nil {
-		d.of.vain.Add(1)
+func (d failingDisk) write(op func() error) error {
+	if errno := d.group.diskError.Load(); errno != nil {
+		d.group.failedWrites.Add(1)
 		return fmt.Errorf("writing: %w", *errno)
 	}
-	return f()
+	return op()
 }
 
-func (d disk) StoreLog(l *raft.Log) error { return d.write(func() error { return d.Disk.StoreLog(l) }) }
-func (d disk) StoreLogs(l []*raft.Log) error {
+func (d failingDisk) StoreLog(l *raft.Log) error {
+	return d.write(func() error { return d.Disk.StoreLog(l) })
+}
+func (d failingDisk) StoreLogs(l []*raft.Log) error {
 	err := d.write(func() error { return d.Disk.StoreLogs(l) })
-	if f := d.of.wrote.Load(); f != nil {
-		(*f)(d.at)
+	if f := d.group.onLogsWritten.Load(); f != nil {
+		(*f)(d.index)
 	}
 	return err
 }
-func (d disk) DeleteRange(from, to uint64) error {
+func (d failingDisk) DeleteRange(from, to uint64) error {
 	return d.write(func() error { return d.Disk.DeleteRange(from, to) })
 }
-func (d disk) Set(k, v []byte) error { return d.write(func() error { return d.Disk.Set(k, v) }) }
-func (d disk) SetUint64(k []byte, v uint64) error {
+func (d failingDisk) Set(k, v []byte) error { return d.write(func() error { return d.Disk.Set(k, v) }) }
+func (d failingDisk) SetUint64(k []byte, v uint64) error {
 	return d.write(func() error { return d.Disk.SetUint64(k, v) })
 }
 
 func newGroup(t *testing.T) *group {
-	g := &group{t: t, live: make([]*store.Store, 3)}
-	var ls []net.Listener
+	g := &group{t: t, stores: make([]*store.Store, 3)}
+	var listeners []net.Listener
 	for i, name := range []string{"a", "b", "c"} {
-		// An address of its own, so that no other test is given the port while an
-		// instance is down.
+		// Each instance has a loopback address of its own, so that no other test can get its
+		// port while it is down.
 		l, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", 1+os.Getpid()%250, i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		ls = append(ls, l)
+		listeners = append(listeners, l)
 		g.peers = append(g.peers, store.Peer{Name: name, Raft: l.Addr().String(), Flight: "flight-of-" + name})
 		g.dirs = append(g.dirs, t.TempDir())
 	}
 	for i := range g.peers {
-		g.start(i, ls[i])
+		g.start(i, listeners[i])
 	}
 	t.Cleanup(func() {
-		for i := range g.live {
+		for i := range g.stores {
 			g.stop(i)
 		}
 	})
 	return g
 }
 
+// start opens an instance, with l as its Raft listener if that is not nil.
 func (g *group) start(i int, l net.Listener) {
 	g.t.Helper()
 	s, err := store.Open(store.Options{
 		Name: g.peers[i].Name, Dir: g.dirs[i], Peers: g.peers, Log: zerolog.New(io.Discard), Listener: l,
-		WrapDisk: func(d store.Disk) store.Disk { return disk{d, g, i} },
+		WrapDisk: func(d store.Disk) store.Disk { return failingDisk{d, g, i} },
 		TuneRaft: func(c *raft.Config) {
 			c.HeartbeatTimeout, c.ElectionTimeout = 150*time.Millisecond, 150*time.Millisecond
 			c.LeaderLeaseTimeout, c.CommitTimeout = 100*time.Millisecond, 5*time.Millisecond
@@ -101,24 +104,24 @@
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.live[i] = s
+	g.stores[i] = s
 }
 
 func (g *group) stop(i int) {
-	if g.live[i] != nil {
-		if err := g.live[i].Close(); err != nil {
+	if g.stores[i] != nil {
+		if err := g.stores[i].Close(); err != nil {
 			g.t.Error(err)
 		}
-		g.live[i] = nil
+		g.stores[i] = nil
 	}
 }
 
-// leader waits until all live instances name the same one.
-func (g *group) leader() (at int) {
+// leader waits until all running instances agree on a leader and returns its index.
+func (g *group) leader() (index int) {
 	g.t.Helper()
-	testkit.Eventually(g.t, "one leader that all name", func() bool {
-		at = -1
-		for i, s := range g.live {
+	testkit.Eventually(g.t, "all instances agree on a leader", func() bool {
+		index = -1
+		for i, s := range g.stores {
 			if s == nil {
 				continue
 			}
@@ -127,39 +130,41 @@
 				return false
 			}
 			if s.Status().Role == "Leader" && p.Name == g.peers[i].Name {
-				at = i
+				index = i
 			}
 		}
-		if at < 0 {
+		if index < 0 {
 			return false
 		}
-		for _, s := range g.live {
+		for _, s := range g.stores {
 			if s != nil {
-				if p, _ := s.Leader(); p.Name != g.peers[at].Name {
+				if p, _ := s.Leader(); p.Name != g.peers[index].Name {
 					return false
 				}
 			}
 		}
 		return true
 	})
-	return at
+	return index
 }
 
-func (g *group) set(open int) (c store.Config) {
+// setMaxOpen retries a change until the leader accepts it.
+func (g *group) setMaxOpen(maxOpen int) (c store.Config) {
 	g.t.Helper()
-	testkit.Eventually(g.t, "the leader takes a write", func() bool {
+	testkit.Eventually(g.t, "the leader accepts a write", func() bool {
 		var err error
-		c, err = g.live[g.leader()].SetConfig(store.Patch{MaxOpen: &open})
+		c, err = g.stores[g.leader()].SetConfig(store.Patch{MaxOpen: &maxOpen})
 		return err == nil
 	})
 	return c
 }
 
-func (g *group) allHave(open int) {
+// waitForMaxOpen waits until all running instances have the value.
+func (g *group) waitForMaxOpen(maxOpen int) {
 	g.t.Helper()
 	testkit.Eventually(g.t, "all instances have the write", func() bool {
-		for _, s := range g.live {
-			if s != nil && s.State().Config.MaxOpen != open {
+		for _, s := range g.stores {
+			if s != nil && s.State().Config.MaxOpen != maxOpen {
 				return false
 			}
 		}
@@ -167,31 +172,33 @@
 	})
 }
 
-func TestElectionAndWrites(t *testing.T) {
+// Guards against changes or rosters that are not replicated, writes that a follower accepts,
+// and invalid or conflicting changes that take effect.
+func TestWritesAreReplicatedAndValidated(t *testing.T) {
 	g := newGroup(t)
-	lead := g.leader()
-	if c := g.set(100); c.Version != 1 || c.MaxOpen != 100 || c.QueueLimit != store.Defaults().QueueLimit {
+	leader := g.leader()
+	if c := g.setMaxOpen(100); c.Version != 1 || c.MaxOpen != 100 || c.QueueLimit != store.Defaults().QueueLimit {
 		t.Errorf("got %+v", c)
 	}
-	g.allHave(100)
-	other := g.live[(lead+1)%3]
-	open := 5
-	var not *store.NotLeaderError
-	if _, err := other.SetConfig(store.Patch{MaxOpen: &open}); !errors.As(err, &not) || not.Leader != g.peers[lead] {
-		t.Errorf("a follower took a write or did not name the leader: %v", err)
+	g.waitForMaxOpen(100)
+	follower := g.stores[(leader+1)%3]
+	maxOpen := 5
+	var notLeader *store.NotLeaderError
+	if _, err := follower.SetConfig(store.Patch{MaxOpen: &maxOpen}); !errors.As(err, &notLeader) || notLeader.Leader != g.peers[leader] {
+		t.Errorf("a follower accepted a write or did not name the leader: %v", err)
 	}
-	old, low, words := uint64(0), -1, "loud"
-	if _, err := g.live[lead].SetConfig(store.Patch{MaxOpen: &open, IfVersion: &old}); !errors.Is(err, store.ErrConflict) {
-		t.Errorf("write against an old version: %v", err)
+	oldVersion, negative, unknownLevel := uint64(0), -1, "loud"
+	if _, err := g.stores[leader].SetConfig(store.Patch{MaxOpen: &maxOpen, IfVersion: &oldVersion}); !errors.Is(err, store.ErrConflict) {
+		t.Errorf("write with an old if_version: %v", err)
 	}
-	for _, p := range []store.Patch{{}, {MaxOpen: &low}, {QueueLimit: &low}, {HandOverMs: &low}, {LogLevel: &words}} {
-		if _, err := g.live[lead].SetConfig(p); !errors.Is(err, store.ErrInvalid) {
+	for _, p := range []store.Patch{{}, {MaxOpen: &negative}, {QueueLimit: &negative}, {HandOverMs: &negative}, {LogLevel: &unknownLevel}} {
+		if _, err := g.stores[leader].SetConfig(p); !errors.Is(err, store.ErrInvalid) {
 			t.Errorf("%+v: %v", p, err)
 		}
 	}
-	g.live[lead].RecordRoster(store.Roster{Version: 7, Nodes: []broker.Node{{ID: "s-1", Addr: "127.0.0.1:1"}}})
-	testkit.Eventually(t, "the roster is everywhere", func() bool {
-		for _, s := range g.live {
+	g.stores[leader].RecordRoster(store.Roster{Version: 7, Nodes: []broker.Node{{ID: "s-1", Addr: "127.0.0.1:1"}}})
+	testkit.Eventually(t, "all instances have the roster", func() bool {
+		for _, s := range g.stores {
 			if r := s.State().Roster; r.Version != 7 || len(r.Nodes) != 1 {
 				return false
 			}
@@ -200,101 +207,104 @@
 	})
 }
 
-// The leader has a change on its disk and loses the others before it can send it on. Whether
-// the change takes effect is open: the next leader may have it or not. That was told as "not
-// the leader", the one outcome for an instance that never took the change, and `config set`
-// went on to send it to the next leader as if nothing had been done.
-func TestChangeUnderALostLeadershipIsUndecided(t *testing.T) {
+// The leader writes a change to its disk and loses its followers before it can replicate it.
+// Whether the change takes effect is then unknown, as the next leader may or may not have it.
+// Guards against reporting this as "not the leader", which is only for an instance that never
+// accepted the change: `config set` then sent the change to the next leader again.
+func TestOutcomeIsUnknownIfLeadershipIsLostDuringChange(t *testing.T) {
 	g := newGroup(t)
-	g.set(1)
-	lead := g.leader()
+	g.setMaxOpen(1)
+	leader := g.leader()
 	var once sync.Once
-	cut := func(at int) {
-		if at != lead {
+	stopFollowers := func(at int) {
+		if at != leader {
 			return
 		}
 		once.Do(func() {
-			for i := range g.live {
-				if i != lead {
+			for i := range g.stores {
+				if i != leader {
 					g.stop(i)
 				}
 			}
 		})
 	}
-	g.wrote.Store(&cut)
-	open := 2
-	_, err := g.live[lead].SetConfig(store.Patch{MaxOpen: &open})
-	var not *store.NotLeaderError
-	if !errors.Is(err, store.ErrOutcomeUnknown) || errors.As(err, &not) {
+	g.onLogsWritten.Store(&stopFollowers)
+	maxOpen := 2
+	_, err := g.stores[leader].SetConfig(store.Patch{MaxOpen: &maxOpen})
+	var notLeader *store.NotLeaderError
+	if !errors.Is(err, store.ErrOutcomeUnknown) || errors.As(err, &notLeader) {
 		t.Errorf("got %v, want %v", err, store.ErrOutcomeUnknown)
 	}
 }
 
-func TestLeaderLossAndCatchUp(t *testing.T) {
+// Guards against a group that does not survive the loss of its leader, and against an
+// instance that does not catch up when its missing log entries have been compacted.
+func TestRestartedLeaderCatchesUpFromSnapshot(t *testing.T) {
 	g := newGroup(t)
 	lost := g.leader()
-	g.set(1)
+	g.setMaxOpen(1)
 	g.stop(lost)
-	for i := range 12 { // enough that the log before is gone and a snapshot must be sent
-		g.set(100 + i)
+	for i := range 12 { // enough to compact the log, so that a snapshot must be sent
+		g.setMaxOpen(100 + i)
 	}
-	g.allHave(111)
+	g.waitForMaxOpen(111)
 	g.start(lost, nil)
-	g.allHave(111)
+	g.waitForMaxOpen(111)
 }
 
-func TestRestartFromDisk(t *testing.T) {
+// Guards against losing the configuration or its version when all instances restart.
+func TestStateSurvivesRestartOfAllInstances(t *testing.T) {
 	g := newGroup(t)
 	for i := range 7 {
-		g.set(20 + i)
+		g.setMaxOpen(20 + i)
 	}
-	for i := range g.live {
+	for i := range g.stores {
 		g.stop(i)
 	}
-	for i := range g.live {
+	for i := range g.stores {
 		g.start(i, nil)
 	}
 	g.leader()
-	g.allHave(26)
-	if c := g.set(30); c.Version != 8 {
+	g.waitForMaxOpen(26)
+	if c := g.setMaxOpen(30); c.Version != 8 {
 		t.Errorf("version %d after the restart, want 8", c.Version)
 	}
 }
 
-// While the disks of all instances fail, in the midst of an election and of writes, nothing
-// is acknowledged and no instance ends; what was acknowledged before is there afterwards,
-// also from the disks alone, and changes are taken again.
-func TestDisksThatFailForAWhile(t *testing.T) {
+// The disks of all instances fail for a while, during an election and writes. Guards against
+// a change being acknowledged meanwhile, an instance ending, the group not accepting changes
+// afterwards, and an acknowledged change being lost, also over a restart of all instances.
+func TestTransientDiskFailureLosesNoAcknowledgedChange(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			g := newGroup(t)
-			set := func(hint int) error {
-				_, err := g.live[g.leader()].SetConfig(store.Patch{HandOverMs: &hint})
+			setHandOver := func(handOverMs int) error {
+				_, err := g.stores[g.leader()].SetConfig(store.Patch{HandOverMs: &handOverMs})
 				return err
 			}
-			if err := set(111); err != nil {
+			if err := setHandOver(111); err != nil {
 				t.Fatal(err)
 			}
-			g.fail.Store(&errno)
-			old := g.leader()
-			hint := 222
-			if c, err := g.live[old].SetConfig(store.Patch{HandOverMs: &hint}); err == nil {
-				t.Errorf("acknowledged %+v while no disk takes it", c)
+			g.diskError.Store(&errno)
+			oldLeader := g.leader()
+			handOverMs := 222
+			if c, err := g.stores[oldLeader].SetConfig(store.Patch{HandOverMs: &handOverMs}); err == nil {
+				t.Errorf("acknowledged %+v while all disks fail", c)
 			}
-			before := g.vain.Load()
-			g.stop(old) // the others elect: that has to be written too
-			testkit.Eventually(t, "an election meets the failing disks", func() bool { return g.vain.Load() > before })
-			g.fail.Store(nil)
-			g.start(old, nil)
-			testkit.Eventually(t, "a change is taken", func() bool { return set(333) == nil })
-			for i := range g.live {
+			before := g.failedWrites.Load()
+			g.stop(oldLeader) // the others elect a leader, which needs writes too
+			testkit.Eventually(t, "an election fails on the disks", func() bool { return g.failedWrites.Load() > before })
+			g.diskError.Store(nil)
+			g.start(oldLeader, nil)
+			testkit.Eventually(t, "a change is accepted", func() bool { return setHandOver(333) == nil })
+			for i := range g.stores {
 				g.stop(i)
 			}
-			for i := range g.live {
+			for i := range g.stores {
 				g.start(i, nil)
 			}
-			testkit.Eventually(t, "it is there after a restart of all", func() bool {
-				return g.live[g.leader()].State().Config.HandOverMs == 333
+			testkit.Eventually(t, "the change is there after a restart of all instances", func() bool {
+				return g.stores[g.leader()].State().Config.HandOverMs == 333
 			})
 		})
 	}
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -1,7 +1,8 @@
-// Package takeover lets a second process of a broker take the place of the first without
-// losing a connection. The first one waits at a Unix socket in a folder that both have; the
-// second connects there, is sent the listening socket, and says when it takes clients. Each
-// side sees by the end of that connection that the other process has ended.
+// Package takeover lets a new process of a broker, the successor, replace the running one,
+// its predecessor, without losing a connection. The predecessor listens on a Unix socket in
+// a directory that both can access. The successor connects there, receives the listening
+// socket for clients and reports when it accepts them. Each side sees the end of the other
+// process as the end of that connection.
 package takeover
 
 import (
@@ -21,54 +22,57 @@
 )
 
 const (
-	// version is that of the messages. A process of another one is no neighbour.
+	// protocolVersion is the version of the messages. A process with another version is
+	// not taken over from.
 	protocolVersion = 1
-	// helloWithin is how long the first process may take to send its socket.
+	// handshakeTimeout bounds the time until the predecessor sends its socket, and until it
+	// acknowledges that the successor is ready.
 	handshakeTimeout = time.Second
-	maxMessageBytes  = 4 << 10 // bytes
+	maxMessageBytes  = 4 << 10
 	socketNetwork    = "unixpacket"
 )
 
-// message is one packet between the two processes.
+// message is a packet between the two processes, encoded as JSON.
 type message struct {
 	Version int    `json:"version"`
-	Name    string `json:"name,omitempty"`  // with the socket: the broker's
-	Ready   bool   `json:"ready,omitempty"` // the second process takes clients
+	Name    string `json:"name,omitempty"`  // sent with the socket: the broker's name
+	Ready   bool   `json:"ready,omitempty"` // the successor accepts clients; the predecessor echoes it
 }
 
-// place is a socket's path, kept short enough for an address however deep its folder lies:
-// the folder is named by a descriptor.
+// socketLocation is the path of a socket. It refers to the directory by a descriptor, so
+// that the path fits into a socket address however long the directory's path is.
 type socketLocation struct {
 	dir      *os.File
 	fileName string
 }
 
-// at opens the place of the broker that listens at addr.
+// openLocation returns the location of the takeover socket of the broker that listens at
+// addr, and opens its directory.
 func openLocation(dir, addr string) (socketLocation, error) {
 	d, err := os.Open(dir)
 	if err != nil {
-		return socketLocation{}, fmt.Errorf("opening the folder of processes: %w", err)
+		return socketLocation{}, fmt.Errorf("opening the directory of the takeover socket: %w", err)
 	}
 	return socketLocation{d, "gannetchute-" + strings.NewReplacer(":", "_", "/", "_").Replace(addr) + ".sock"}, nil
 }
 
-func (p socketLocation) path(name string) string {
-	return filepath.Join(fmt.Sprintf("/proc/self/fd/%d", p.dir.Fd()), name)
+func (l socketLocation) path(name string) string {
+	return filepath.Join(fmt.Sprintf("/proc/self/fd/%d", l.dir.Fd()), name)
 }
 
-// Predecessor is the process whose place this one takes.
+// Predecessor is the connection to the process that this one replaces.
 type Predecessor struct {
-	// Listener is the clients' listening socket, which both processes have.
+	// Listener is the listening socket for clients, shared by both processes.
 	Listener *net.TCPListener
-	// Name is that of its broker; "" where it does not tell.
+	// Name is the name of the predecessor's broker; "" if it does not send one.
 	Name       string
 	conn       *net.UnixConn
-	readyAcked chan struct{} // closed once the process before knows that this one takes clients
-	ended      chan struct{} // closed once it has ended
+	readyAcked chan struct{} // closed once the predecessor has acknowledged that this process accepts clients
+	ended      chan struct{} // closed once the predecessor has ended or the connection is closed
 }
 
-// Join connects to the broker that runs at addr and shares the folder. Without an error and
-// a Predecessor there is none.
+// Connect connects to the running process of the broker that listens at addr and uses the
+// same directory dir. It returns nil and no error if there is none.
 func Connect(dir, addr string) (*Predecessor, error) {
 	location, err := openLocation(dir, addr)
 	if err != nil {
@@ -76,11 +80,11 @@
 	}
 	defer location.dir.Close()
 	conn, err := net.DialUnix(socketNetwork, nil, &net.UnixAddr{Name: location.path(location.fileName), Net: socketNetwork})
-	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) { // a socket may be left from one that was killed
+	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) { // a killed process leaves its socket file behind
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("joining the running process: %w", err)
+		return nil, fmt.Errorf("connecting to the predecessor process: %w", err)
 	}
 	predecessor := &Predecessor{conn: conn, readyAcked: make(chan struct{}), ended: make(chan struct{})}
 	if err = checkSameUser(conn); err == nil {
@@ -88,17 +92,17 @@
 	}
 	if err != nil {
 		_ = conn.Close()
-		return nil, fmt.Errorf("joining the running process: %w", err)
+		return nil, fmt.Errorf("connecting to the predecessor process: %w", err)
 	}
 	go predecessor.readMessages() // until the connection ends
 	return predecessor, nil
 }
 
-// errForeign says that the other process belongs to another user: a folder for temporary
-// files may be everybody's.
+// errOtherUser reports that the other process belongs to another user. The directory may be
+// writable by all users, as one for temporary files is.
 var errOtherUser = errors.New("the other process belongs to another user")
 
-// userOf returns the user of the process at the other end; a test puts another in its place.
+// peerUID returns the user ID of the process at the other end. Tests replace it.
 var peerUID = func(conn *net.UnixConn) (uid uint32, err error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
@@ -113,7 +117,7 @@
 	return uid, errors.Join(controlErr, err)
 }
 
-// sameUser fails where the other process is not one of this process's user.
+// checkSameUser returns an error if the other process does not run as this process's user.
 func checkSameUser(conn *net.UnixConn) error {
 	uid, err := peerUID(conn)
 	if err == nil && uid != uint32(os.Geteuid()) {
@@ -122,7 +126,7 @@
 	return err
 }
 
-// hello reads the first message, which carries the socket and the broker's name.
+// receiveListener reads the first message, which carries the socket and the broker's name.
 func receiveListener(conn *net.UnixConn) (listener *net.TCPListener, name string, err error) {
 	if err := conn.SetReadDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return nil, "", err
@@ -143,7 +147,7 @@
 	}()
 	var msg message
 	if err := json.Unmarshal(data[:n], &msg); err != nil || msg.Version != protocolVersion || len(files) != 1 {
-		return nil, "", fmt.Errorf("got %.80q and %d sockets, want version %d and one", data[:n], len(files), protocolVersion)
+		return nil, "", fmt.Errorf("got message %.80q with %d sockets, want version %d with one socket", data[:n], len(files), protocolVersion)
 	}
 	l, err := net.FileListener(files[0])
 	if err != nil {
@@ -152,12 +156,12 @@
 	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		_ = l.Close()
-		return nil, "", fmt.Errorf("the socket listens at %v, want TCP", l.Addr())
+		return nil, "", fmt.Errorf("the received socket listens at %v, want TCP", l.Addr())
 	}
 	return tcp, msg.Name, conn.SetReadDeadline(time.Time{})
 }
 
-// filesOf takes the descriptors out of a control message.
+// filesFromRights returns the descriptors in a socket control message as files.
 func filesFromRights(oob []byte) (files []*os.File, err error) {
 	messages, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
@@ -170,15 +174,15 @@
 		}
 		for _, fd := range fds {
 			unix.CloseOnExec(fd)
-			files = append(files, os.NewFile(uintptr(fd), "handed over"))
+			files = append(files, os.NewFile(uintptr(fd), "received listener"))
 		}
 	}
 	return files, nil
 }
 
-// Ready tells the process before that this one takes clients, and returns when that knows:
-// it may be told to stop at once. Without an answer in time, or where that process has
-// ended, it returns an error.
+// NotifyReady tells the predecessor that this process accepts clients and waits for its
+// acknowledgement; afterwards the predecessor can be stopped safely. It returns an error if
+// the predecessor has ended or does not acknowledge in time.
 func (p *Predecessor) NotifyReady() error {
 	if err := send(p.conn, message{Version: protocolVersion, Ready: true}, nil); err != nil {
 		return err
@@ -194,11 +198,11 @@
 }
 
 var (
-	errPredecessorEnded = errors.New("the process before has ended")
-	errAckTimeout       = errors.New("the process before does not answer")
+	errPredecessorEnded = errors.New("the predecessor process has ended")
+	errAckTimeout       = errors.New("the predecessor process did not acknowledge in time")
 )
 
-// follow reads what the process before says until it has ended.
+// readMessages reads the predecessor's messages until the connection ends.
 func (p *Predecessor) readMessages() {
 	defer close(p.ended)
 	data, acked := make([]byte, maxMessageBytes), false
@@ -215,31 +219,33 @@
 	}
 }
 
-// Wait returns when the process before has ended, or Close is called.
+// Wait returns when the predecessor has ended or Close has been called.
 func (p *Predecessor) Wait() { <-p.ended }
 
-// Close ends the connection to the process before.
+// Close closes the connection to the predecessor.
 func (p *Predecessor) Close() { _ = p.conn.Close() }
 
+// send writes a message, with the control message oob if that is not nil.
 func send(conn *net.UnixConn, msg message, oob []byte) error {
 	data, err := json.Marshal(msg)
 	if err != nil {
 		return err
 	}
 	if _, _, err := conn.WriteMsgUnix(data, oob, nil); err != nil {
-		return fmt.Errorf("telling the other process: %w", err)
+		return fmt.Errorf("sending a message to the other process: %w", err)
 	}
 	return nil
 }
 
-// Neighbour takes the news of a second process. Its methods are called from the goroutine
-// of the connection and must not block.
+// SiblingObserver is notified when successor processes come and go. Its methods are called
+// from a connection's goroutine and must not block.
 type SiblingObserver interface {
-	// Beside says that a second process runs, or has ended.
-	SiblingRunning(is bool)
+	// SiblingRunning is called with true when a successor process has connected, and when a
+	// connection ends with whether another successor is still connected.
+	SiblingRunning(running bool)
 }
 
-// Host waits for the process that takes this one's place.
+// Server hands the listening socket to a process that replaces this one.
 type Server struct {
 	opts     ServerOptions
 	location socketLocation
@@ -247,30 +253,31 @@
 	wg       sync.WaitGroup
 
 	mu    sync.Mutex
-	conns map[*net.UnixConn]bool // true: its process takes clients
+	conns map[*net.UnixConn]bool // true: the process accepts clients
 }
 
-// HostOptions make a Host.
+// ServerOptions configure a Server.
 type ServerOptions struct {
-	Dir      string // a folder that both processes have
-	Addr     string // where the broker listens for clients
-	Name     string // the broker's
+	Dir      string // a directory that both processes can access
+	Addr     string // the address where the broker listens for clients
+	Name     string // the broker's name
 	Listener *net.TCPListener
 	Observer SiblingObserver
 	Log      zerolog.Logger
 }
 
-// maxWaiting bounds the processes that may be connected at once.
+// maxSuccessors bounds the processes that may be connected at once.
 const maxSuccessors = 4
 
-// NewHost opens the socket, in the place of a former process's. Close ends it.
+// NewServer opens the takeover socket, replacing that of a former process, and starts to
+// serve it. Close ends it.
 func NewServer(o ServerOptions) (*Server, error) {
 	location, err := openLocation(o.Dir, o.Addr)
 	if err != nil {
 		return nil, err
 	}
-	tempName := fmt.Sprintf("%s.%d", location.fileName, os.Getpid()) // whole when it gets its name
-	_ = os.Remove(location.path(tempName))                           // of a killed process with this number
+	tempName := fmt.Sprintf("%s.%d", location.fileName, os.Getpid()) // renamed once it listens
+	_ = os.Remove(location.path(tempName))                           // left by a killed process with the same process ID
 	l, err := net.ListenUnix(socketNetwork, &net.UnixAddr{Name: location.path(tempName), Net: socketNetwork})
 	if err == nil {
 		l.SetUnlinkOnClose(false)
@@ -284,13 +291,15 @@
 	}
 	if err != nil {
 		_ = location.dir.Close()
-		return nil, fmt.Errorf("waiting for a next process: %w", err)
+		return nil, fmt.Errorf("opening the takeover socket: %w", err)
 	}
 	s := &Server{opts: o, location: location, listener: l, conns: map[*net.UnixConn]bool{}}
 	s.wg.Go(s.accept)
 	return s, nil
 }
 
+// accept serves each connection, and rejects those above maxSuccessors, until the listener
+// is closed.
 func (s *Server) accept() {
 	for {
 		conn, err := s.listener.AcceptUnix()
@@ -298,7 +307,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(handshakeTimeout / 100) // out of descriptors: let some close
+			time.Sleep(handshakeTimeout / 100) // probably out of descriptors; retry after some may have been closed
 			continue
 		}
 		s.mu.Lock()
@@ -315,7 +324,7 @@
 	}
 }
 
-// serve sends the socket and follows the other process until it ends.
+// serve sends the socket to a successor and reads its messages until it ends.
 func (s *Server) serve(conn *net.UnixConn) {
 	s.opts.Observer.SiblingRunning(true)
 	defer func() {
@@ -331,7 +340,7 @@
 		err = s.sendListener(conn)
 	}
 	if err != nil {
-		s.opts.Log.Warn().Str("event", "takeover").Err(err).Msg("a next process could not be given the socket")
+		s.opts.Log.Warn().Str("event", "takeover").Err(err).Msg("failed to hand the listening socket to a successor process")
 		return
 	}
 	data := make([]byte, maxMessageBytes)
@@ -348,12 +357,12 @@
 			if err := send(conn, message{Version: protocolVersion, Ready: true}, nil); err != nil {
 				return
 			}
-			s.opts.Log.Info().Str("event", "takeover").Msg("a next process takes clients")
+			s.opts.Log.Info().Str("event", "takeover").Msg("a successor process accepts clients")
 		}
 	}
 }
 
-// hand sends the listening socket.
+// sendListener sends the listening socket and the broker's name.
 func (s *Server) sendListener(conn *net.UnixConn) error {
 	f, err := s.opts.Listener.File()
 	if err != nil {
@@ -363,7 +372,7 @@
 	return send(conn, message{Version: protocolVersion, Name: s.opts.Name}, unix.UnixRights(int(f.Fd())))
 }
 
-// Succeeded says whether a next process has the socket and takes clients.
+// HasSuccessor reports whether a successor process has the socket and accepts clients.
 func (s *Server) HasSuccessor() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -375,7 +384,7 @@
 	return false
 }
 
-// Close ends the host and its connections: the next process sees that this one ends.
+// Close ends the server and its connections, which tells successors that this process ends.
 func (s *Server) Close() {
 	_ = s.listener.Close()
 	s.mu.Lock()
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -14,7 +14,7 @@
 	"onyxsail/internal/testkit"
 )
 
-// neighbour notes the news of other processes.
+// siblingEvents records the calls of a SiblingObserver.
 type siblingEvents chan bool
 
 func (n siblingEvents) SiblingRunning(running bool) { n <- running }
@@ -24,37 +24,38 @@
 	select {
 	case got := <-n:
 		if got != running {
-			t.Fatalf("beside %v, want %v", got, running)
+			t.Fatalf("sibling running: got %v, want %v", got, running)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatalf("no news, want beside %v", running)
+		t.Fatalf("no event, want sibling running: %v", running)
 	}
 }
 
-const addr = "127.0.0.1:8000"
+const clientAddr = "127.0.0.1:8000"
 
-// host is a first process.
-func host(t *testing.T, dir string) (*Server, *net.TCPListener, siblingEvents) {
+// startServer plays the part of a predecessor process in dir.
+func startServer(t *testing.T, dir string) (*Server, *net.TCPListener, siblingEvents) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	news := make(siblingEvents, 16)
-	h, err := NewServer(ServerOptions{Dir: dir, Addr: addr, Listener: l.(*net.TCPListener), Observer: news, Log: zerolog.Nop()})
+	events := make(siblingEvents, 16)
+	s, err := NewServer(ServerOptions{Dir: dir, Addr: clientAddr, Listener: l.(*net.TCPListener), Observer: events, Log: zerolog.Nop()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(h.Close)
-	return h, l.(*net.TCPListener), news
+	t.Cleanup(s.Close)
+	return s, l.(*net.TCPListener), events
 }
 
-func join(t *testing.T, dir string) *Predecessor {
+// connect plays the part of a successor process.
+func connect(t *testing.T, dir string) *Predecessor {
 	t.Helper()
-	p, err := Connect(dir, addr)
+	p, err := Connect(dir, clientAddr)
 	if err != nil || p == nil {
-		t.Fatalf("joining: %v, %v", p, err)
+		t.Fatalf("connecting: got %v, %v", p, err)
 	}
 	t.Cleanup(func() {
 		p.Close()
@@ -63,32 +64,34 @@
 	return p
 }
 
-// The next process accepts what came before and after the first one has closed its socket.
-func TestSocketOutlivesTheFirstProcess(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), strings.Repeat("deep", 30)) // beyond an address's length
+// Guards against connections being lost in a takeover: the successor accepts those that
+// arrived before and after the predecessor has closed its socket. It also guards against a
+// socket path that is too long for a socket address.
+func TestListeningSocketSurvivesPredecessor(t *testing.T) {
+	dir := filepath.Join(t.TempDir(), strings.Repeat("deep", 30)) // longer than a socket address can be
 	if err := os.Mkdir(dir, 0o700); err != nil {
 		t.Fatal(err)
 	}
-	h, l, news := host(t, dir)
-	next := join(t, dir)
-	news.expect(t, true)
-	if h.HasSuccessor() {
-		t.Error("succeeded before the next process is ready")
+	s, l, events := startServer(t, dir)
+	successor := connect(t, dir)
+	events.expect(t, true)
+	if s.HasSuccessor() {
+		t.Error("has a successor before the successor is ready")
 	}
-	if err := next.NotifyReady(); err != nil {
+	if err := successor.NotifyReady(); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "it is known to be ready", h.HasSuccessor)
+	testkit.Eventually(t, "the successor is known to be ready", s.HasSuccessor)
 	for i := range 2 {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if i == 0 { // queued while the first process goes
+		if i == 0 { // queued while the predecessor closes its socket
 			l.Close()
 		}
-		accepted, err := next.Listener.Accept()
+		accepted, err := successor.Listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,94 +99,96 @@
 	}
 	ended := make(chan bool)
 	go func() {
-		next.Wait()
+		successor.Wait()
 		close(ended)
 	}()
-	h.Close()
+	s.Close()
 	select {
 	case <-ended:
 	case <-time.After(5 * time.Second):
-		t.Error("the end of the first process is not seen")
+		t.Error("the successor does not notice the predecessor's end")
 	}
 }
 
-// A next process that dies, before it is ready or after, leaves the first one as it was.
-func TestNextProcessDies(t *testing.T) {
+// Guards against a predecessor still counting on a successor that has died, before or after
+// it was ready.
+func TestDeadSuccessorIsNotCounted(t *testing.T) {
 	dir := t.TempDir()
-	h, _, news := host(t, dir)
+	s, _, events := startServer(t, dir)
 	for _, ready := range []bool{false, true} {
-		next := join(t, dir)
-		news.expect(t, true)
+		successor := connect(t, dir)
+		events.expect(t, true)
 		if ready {
-			if err := next.NotifyReady(); err != nil {
+			if err := successor.NotifyReady(); err != nil {
 				t.Fatal(err)
 			}
-			testkit.Eventually(t, "it is known to be ready", h.HasSuccessor)
+			testkit.Eventually(t, "the successor is known to be ready", s.HasSuccessor)
 		}
-		next.Close()
-		news.expect(t, false)
-		if h.HasSuccessor() {
-			t.Error("succeeded by a process that has died")
+		successor.Close()
+		events.expect(t, false)
+		if s.HasSuccessor() {
+			t.Error("has a successor that has died")
 		}
 	}
 }
 
-// A process of another user neither gets the socket nor is taken for the one before.
-func TestProcessOfAnotherUser(t *testing.T) {
-	own := peerUID
-	t.Cleanup(func() { peerUID = own }) // once the host has ended
+// Guards against handing the socket to a process of another user, and against accepting a
+// socket from one.
+func TestProcessOfAnotherUserIsRejected(t *testing.T) {
+	original := peerUID
+	t.Cleanup(func() { peerUID = original }) // runs after the server has ended
 	peerUID = func(*net.UnixConn) (uint32, error) { return uint32(os.Geteuid()) + 1, nil }
 	dir := t.TempDir()
-	host(t, dir)
-	if p, err := Connect(dir, addr); p != nil || !errors.Is(err, errOtherUser) {
+	startServer(t, dir)
+	if p, err := Connect(dir, clientAddr); p != nil || !errors.Is(err, errOtherUser) {
 		t.Errorf("got %v, %v", p, err)
 	}
 }
 
-// Without a process there, or with one that was killed, the next one is on its own; what
-// lies in the folder otherwise is an error or no predecessor, and hangs nothing.
-func TestNobodyToJoin(t *testing.T) {
+// Guards against a start failing or hanging when there is no predecessor, when it was killed
+// and left its socket file behind, or when something else listens on the socket.
+func TestConnectWithoutUsablePredecessor(t *testing.T) {
 	dir := t.TempDir()
-	if p, err := Connect(dir, addr); p != nil || err != nil {
-		t.Errorf("an empty folder: %v, %v", p, err)
+	if p, err := Connect(dir, clientAddr); p != nil || err != nil {
+		t.Errorf("an empty directory: got %v, %v", p, err)
 	}
-	if _, err := Connect(filepath.Join(dir, "none"), addr); err == nil {
-		t.Error("no folder: no error")
+	if _, err := Connect(filepath.Join(dir, "none"), clientAddr); err == nil {
+		t.Error("no directory: got no error")
 	}
-	h, _, _ := host(t, dir)
-	h.Close() // the socket's name stays, as after a kill
-	if p, err := Connect(dir, addr); p != nil || err != nil {
-		t.Errorf("a socket that nobody has: %v, %v", p, err)
+	s, _, _ := startServer(t, dir)
+	s.Close() // the socket file stays, as after a kill
+	if p, err := Connect(dir, clientAddr); p != nil || err != nil {
+		t.Errorf("a socket file without a listener: got %v, %v", p, err)
 	}
 	name := filepath.Join(dir, "gannetchute-127.0.0.1_8000.sock")
 	if err := os.Remove(name); err != nil {
 		t.Fatal(err)
 	}
-	foreign, err := net.ListenUnix(socketNetwork, &net.UnixAddr{Name: name, Net: socketNetwork})
+	fake, err := net.ListenUnix(socketNetwork, &net.UnixAddr{Name: name, Net: socketNetwork})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer foreign.Close()
+	defer fake.Close()
 	answers := []string{`{"version":99}`, `{"version":1}`, "not a message", ""}
 	go func() {
 		for _, text := range answers {
-			c, err := foreign.AcceptUnix()
+			c, err := fake.AcceptUnix()
 			if err != nil {
 				return
 			}
-			if text != "" { // the last one says nothing
+			if text != "" { // the last one sends nothing
 				_, _ = c.Write([]byte(text))
 			}
 			defer c.Close()
 		}
 	}()
 	for _, text := range answers {
-		if p, err := Connect(dir, addr); p != nil || err == nil {
-			t.Errorf("%q: %v, %v", text, p, err)
+		if p, err := Connect(dir, clientAddr); p != nil || err == nil {
+			t.Errorf("%q: got %v, %v", text, p, err)
 		}
 	}
-	if _, _, news := host(t, dir); news == nil { // takes the name over all the same
-		t.Fatal("no host")
+	if _, _, events := startServer(t, dir); events == nil { // replaces the socket file nevertheless
+		t.Fatal("no server")
 	}
-	join(t, dir)
+	connect(t, dir)
 }
