--- a/config/config.go
+++ b/config/config.go
@@ -127,6 +127,7 @@
 	Err  error
 }
 
+// Error implements error.
 func (f *FieldError) Error() string { return f.Path + ": " + f.Err.Error() }
 
 // Unwrap returns the cause.
--- a/config/read_test.go
+++ b/config/read_test.go
@@ -37,14 +37,14 @@
 
 // Guards against accepting a file that is empty or truncated at any byte.
 func TestTruncatedFileIsRejected(t *testing.T) {
-	whole := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), nil)
+	complete := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), nil)
 	env := func(string) string { return "" }
-	if _, err := Parse(whole, env); err != nil {
+	if _, err := Parse(complete, env); err != nil {
 		t.Fatal(err)
 	}
-	for n := range len(whole) {
-		if _, err := Parse(whole[:n], env); err == nil {
-			t.Errorf("truncated after %d of %d bytes: accepted", n, len(whole))
+	for n := range len(complete) {
+		if _, err := Parse(complete[:n], env); err == nil {
+			t.Errorf("truncated after %d of %d bytes: accepted", n, len(complete))
 		}
 	}
 }
--- a/config/reload.go
+++ b/config/reload.go
@@ -111,7 +111,7 @@
 
 // nestedKeyPaths returns the paths of all keys in a value. The items of a list share the
 // path element "[]" and contribute the keys that all of them have.
-func nestedKeyPaths(prefix string, value any) (all []string) {
+func nestedKeyPaths(prefix string, value any) (paths []string) {
 	switch value := value.(type) {
 	case map[string]any:
 		for key, child := range value {
@@ -119,19 +119,19 @@
 			if prefix != "" {
 				path = prefix + "." + key
 			}
-			all = append(append(all, path), nestedKeyPaths(path, child)...)
+			paths = append(append(paths, path), nestedKeyPaths(path, child)...)
 		}
 	case []any:
 		for i, item := range value {
 			keys := nestedKeyPaths(prefix+"[]", item)
 			if i == 0 {
-				all = keys
+				paths = keys
 				continue
 			}
-			all = slices.DeleteFunc(all, func(key string) bool { return !slices.Contains(keys, key) })
+			paths = slices.DeleteFunc(paths, func(key string) bool { return !slices.Contains(keys, key) })
 		}
 	}
-	return all
+	return paths
 }
 
 // keepClassIndexes gives the classes the indexes that they have in old. A class whose
@@ -143,11 +143,11 @@
 		classes[i].Retired = true
 	}
 	for i, class := range c.Classes {
-		own := c.Settings.Classes[i]
-		index := slices.IndexFunc(classes, func(known Class) bool { return known.Name == class.Name && known.settings == own })
+		ownSettings := c.Settings.Classes[i]
+		index := slices.IndexFunc(classes, func(known Class) bool { return known.Name == class.Name && known.settings == ownSettings })
 		if index < 0 {
 			index = len(classes)
-			classes, settings = append(classes, class), append(settings, own)
+			classes, settings = append(classes, class), append(settings, ownSettings)
 		}
 		classes[index].Retired = false
 	}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -110,11 +110,11 @@
 	// a single P the core would wait until the scheduler retakes it.
 	runtime.GOMAXPROCS(max(2, int(limits.Cores+0.5)))
 	if limits.MemoryMB > 0 {
-		bytes := int64(limits.MemoryMB) << 20 * 7 / 10
+		memoryLimit := int64(limits.MemoryMB) << 20 * 7 / 10
 		if siblingRunning {
-			bytes /= 2
+			memoryLimit /= 2
 		}
-		debug.SetMemoryLimit(max(minMemoryLimit, bytes))
+		debug.SetMemoryLimit(max(minMemoryLimit, memoryLimit))
 	}
 	debug.SetGCPercent(400) // the live heap is small compared to the limit
 }
@@ -144,10 +144,12 @@
 // between the core and its node clients: its core is set after both exist.
 type coreSink struct{ core *broker.Core }
 
+// Outcome implements broker.Sink.
 func (s *coreSink) Outcome(id broker.AttemptID, o decide.Outcome, a broker.Answer) {
 	s.core.Outcome(id, o, a)
 }
 
+// Probed implements broker.Sink.
 func (s *coreSink) Probed(node string, o decide.Outcome, took time.Duration) {
 	s.core.Probed(node, o, took)
 }
@@ -199,7 +201,7 @@
 	d.roster = &rosterForwarder{core: d.core, nodes: map[string]broker.Node{}, onFirstNodes: func() { close(d.listKnown) }}
 	if cfg.Store != nil {
 		if err := d.openStore(); err != nil {
-			d.abort()
+			d.abortStart()
 			return nil, err
 		}
 	}
@@ -235,7 +237,7 @@
 		d.admin, err = admin.Listen(cfg.Console, d, log)
 	}
 	if err != nil {
-		d.abort()
+		d.abortStart()
 		return nil, err
 	}
 	d.watchPredecessor()
@@ -276,8 +278,8 @@
 
 // logIgnoredFields logs the parts of the configuration that this broker ignores.
 func (d *Daemon) logIgnoredFields(cfg *config.Config) {
-	for _, n := range cfg.Warnings {
-		d.log.Warn().Str("event", "unused").Str("field", n.Path).Err(n.Err).Msg("ignoring a part of the configuration")
+	for _, warning := range cfg.Warnings {
+		d.log.Warn().Str("event", "unused").Str("field", warning.Path).Err(warning.Err).Msg("ignoring a part of the configuration")
 	}
 }
 
@@ -360,8 +362,8 @@
 	}
 }
 
-// abort releases what a failed Start has opened.
-func (d *Daemon) abort() {
+// abortStart releases what a failed Start has opened.
+func (d *Daemon) abortStart() {
 	if d.store != nil {
 		_ = d.store.Close() // Start returns the error that made it fail
 	}
--- a/daemon/figures.go
+++ b/daemon/figures.go
@@ -49,7 +49,7 @@
 
 // countsByClassName sums up the counters of the classes by name, in the order of their
 // first index.
-func (d *Daemon) countsByClassName() (all []namedClassCounts) {
+func (d *Daemon) countsByClassName() (totals []namedClassCounts) {
 	byIndex := d.core.Classes()
 	d.mu.Lock()
 	classes := d.cfg.Classes // includes all classes of the core, as a reload sets d.cfg first
@@ -57,15 +57,15 @@
 	position := make(map[string]int, len(classes))
 	for i, counts := range byIndex {
 		name := classes[i].Name
-		k, known := position[name]
+		index, known := position[name]
 		if !known {
-			k = len(all)
-			position[name] = k
-			all = append(all, namedClassCounts{name: name})
+			index = len(totals)
+			position[name] = index
+			totals = append(totals, namedClassCounts{name: name})
 		}
-		all[k].Fulfilled += counts.Fulfilled
-		all[k].Throttled += counts.Throttled
-		all[k].Faulted += counts.Faulted
+		totals[index].Fulfilled += counts.Fulfilled
+		totals[index].Throttled += counts.Throttled
+		totals[index].Faulted += counts.Faulted
 	}
-	return all
+	return totals
 }
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -44,6 +44,7 @@
 // Sample implements zerolog.Sampler.
 func (s *levelSampler) Sample(level zerolog.Level) bool { return int32(level) >= s.minLevel.Load() }
 
+// set sets the minimum level by its name; an empty or invalid name means info.
 func (s *levelSampler) set(name string) {
 	minLevel, err := zerolog.ParseLevel(name)
 	if err != nil || name == "" {
@@ -146,6 +147,7 @@
 	r.store.RecordRoster(store.Roster{Version: update.Version, Nodes: nodes})
 }
 
+// openStore opens the replicated store of the configuration.
 func (d *Daemon) openStore() error {
 	peers := make([]store.Peer, len(d.cfg.Store.Peers))
 	for i, p := range d.cfg.Store.Peers {
@@ -207,6 +209,7 @@
 	return s
 }
 
+// flightActions returns the operators' actions that the Flight front offers.
 func (d *Daemon) flightActions() []flightfront.Action {
 	actions := []flightfront.Action{{
 		Name: ActionStatus, About: "counts of this broker and its view of the store's group",
@@ -229,6 +232,7 @@
 		})
 }
 
+// setConfig decodes a patch and proposes it to the store.
 func (d *Daemon) setConfig(body []byte) ([]byte, error) {
 	var patch store.Patch
 	decoder := json.NewDecoder(bytes.NewReader(body))
--- a/daemon/route.go
+++ b/daemon/route.go
@@ -51,11 +51,11 @@
 	listings := make([]reach.Listing, len(nodes))
 	for i, n := range nodes {
 		listings[i].ID = n.ID
-		texts := n.Addrs
-		if len(texts) == 0 {
-			texts = []string{n.Addr}
+		addrs := n.Addrs
+		if len(addrs) == 0 {
+			addrs = []string{n.Addr}
 		}
-		for _, addr := range texts {
+		for _, addr := range addrs {
 			if a, err := address.Parse(addr); err == nil {
 				listings[i].Addrs = append(listings[i].Addrs, a)
 			}
@@ -77,15 +77,15 @@
 	}
 	out := nodes[:0:0]
 	for _, n := range nodes {
-		texts := grantedAddrs[n.ID]
-		if len(texts) == 0 {
+		addrs := grantedAddrs[n.ID]
+		if len(addrs) == 0 {
 			continue
 		}
-		if !slices.Contains(texts, n.Addr) && len(n.Addrs) > 0 || len(texts) == 1 {
-			n.Addr = texts[0]
+		if !slices.Contains(addrs, n.Addr) && len(n.Addrs) > 0 || len(addrs) == 1 {
+			n.Addr = addrs[0]
 		}
-		if n.Addrs = nil; len(texts) > 1 {
-			n.Addrs = texts
+		if n.Addrs = nil; len(addrs) > 1 {
+			n.Addrs = addrs
 		}
 		out = append(out, n)
 	}
--- a/daemon/takeover.go
+++ b/daemon/takeover.go
@@ -117,6 +117,7 @@
 	OtherName, OwnName string // names of that broker and of this one
 }
 
+// Error implements error.
 func (e *AddressTakenError) Error() string {
 	return fmt.Sprintf("listen: broker %q already runs at %s, and this one is %q", e.OtherName, e.Addr, e.OwnName)
 }
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -39,6 +39,7 @@
 	return filter, nil
 }
 
+// traceActions returns the actions that read and follow traces.
 func (d *Daemon) traceActions() []flightfront.Action {
 	sendItem := func(i TraceItem, send func([]byte) error) error {
 		data, err := json.Marshal(i)
--- a/store/store.go
+++ b/store/store.go
@@ -56,11 +56,12 @@
 // Leader is the zero Peer if no leader is known.
 type NotLeaderError struct{ Leader Peer }
 
-func (n *NotLeaderError) Error() string {
-	if n.Leader.Name == "" {
+// Error implements error.
+func (e *NotLeaderError) Error() string {
+	if e.Leader.Name == "" {
 		return "no leader is known now"
 	}
-	return fmt.Sprintf("not the leader: that is %s at %s", n.Leader.Name, n.Leader.Flight)
+	return fmt.Sprintf("not the leader: that is %s at %s", e.Leader.Name, e.Leader.Flight)
 }
 
 // ErrOutcomeUnknown is the error of a change during which this instance lost the leadership.
@@ -125,8 +126,8 @@
 	if own.Name == "" {
 		return fmt.Errorf("%q is not among the peers", o.Name)
 	}
-	raftLines := o.Log.With().Str("event", "raft").Logger()
-	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLines, DisableTime: true})
+	raftLogger := o.Log.With().Str("event", "raft").Logger()
+	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: raftLogger, DisableTime: true})
 	if o.Listener == nil {
 		l, err := net.Listen("tcp", own.Raft)
 		if err != nil {
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -26,9 +26,9 @@
 	peers         []store.Peer
 	dirs          []string
 	stores        []*store.Store
-	diskError     atomic.Pointer[syscall.Errno] // the error of all disk writes; nil: they succeed
-	failedWrites  atomic.Int64                  // the number of failed writes
-	onLogsWritten atomic.Pointer[func(at int)]  // called when an instance has written log entries to its disk, before it replicates them
+	diskError     atomic.Pointer[syscall.Errno]   // the error of all disk writes; nil: they succeed
+	failedWrites  atomic.Int64                    // the number of failed writes
+	onLogsWritten atomic.Pointer[func(index int)] // called when an instance has written log entries to its disk, before it replicates them
 }
 
 // failingDisk fails writes while its group has a diskError.
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -17,12 +17,12 @@
 // siblingEvents records the calls of a SiblingObserver.
 type siblingEvents chan bool
 
-func (n siblingEvents) SiblingRunning(running bool) { n <- running }
+func (e siblingEvents) SiblingRunning(running bool) { e <- running }
 
-func (n siblingEvents) expect(t *testing.T, running bool) {
+func (e siblingEvents) expect(t *testing.T, running bool) {
 	t.Helper()
 	select {
-	case got := <-n:
+	case got := <-e:
 		if got != running {
 			t.Fatalf("sibling running: got %v, want %v", got, running)
 		}
