--- a/config/config.go
+++ b/config/config.go
@@ -1,5 +1,6 @@
-// Package config reads what the daemon is told: the platform's environment and
-// NODE_CONFIG, or an operator's file. Errors name the field at fault.
+// Package config reads the daemon's configuration: the platform's file, which NODE_CONFIG
+// names, or an operator's file, with the overrides of the environment. Errors name the
+// invalid field.
 package config
 
 import (
@@ -26,15 +27,15 @@
 	"onyxsail/tracing"
 )
 
-// Limits are what the platform allows the process.
+// Limits are the resources that the platform allows the process; 0 means not given.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Flight sets up the Arrow Flight front. Nodes that speak Flight need nothing
-// here: their address in the list says so.
+// Flight configures the Arrow Flight front. Nodes that speak Flight need no configuration:
+// their address in the list tells the protocol.
 type Flight struct {
 	Listen string `json:"listen"`
 }
@@ -42,34 +43,35 @@
 // Peer is one instance of the replicated store.
 type Peer struct {
 	Name   string `json:"name"`
-	Raft   string `json:"raft"`   // where the instances speak Raft
-	Flight string `json:"flight"` // where its Flight front listens
+	Raft   string `json:"raft"`   // the instance's address for Raft
+	Flight string `json:"flight"` // the address of its Flight front
 }
 
-// Store sets up the replicated store.
+// Store configures the replicated store.
 type Store struct {
 	Dir   string `json:"dir"`
-	Peers []Peer `json:"peers"` // all instances, this one too
+	Peers []Peer `json:"peers"` // all instances, including this one
 }
 
-// Class is what the fronts need of a class beside what the module knows.
+// Class is the part of a class that the fronts need in addition to the settings of the
+// decision module.
 type Class struct {
 	Name  string
 	Keyed bool
-	// Retired is one that a reload has left out: no new query may name it.
+	// Retired is set when a reload has removed the class: new queries cannot use it.
 	Retired  bool
 	settings decide.Class
 }
 
-// Config is all that the daemon is told, decoded once.
+// Config is the decoded configuration of the daemon.
 type Config struct {
 	Name      string
 	Listen    string
 	Discovery string
-	// Console is where operators call, a host and port; empty: nowhere.
+	// Console is the host:port of the operators' port; empty: off.
 	Console string
-	// FileDiscovery is the file's own word, which NODE_DISCOVERY may have
-	// overridden in Discovery.
+	// FileDiscovery is the file's value of discovery; in Discovery, NODE_DISCOVERY may
+	// have overridden it.
 	FileDiscovery string
 
 	Seed     uint64
@@ -83,22 +85,22 @@
 	StreamsPerConn int
 	ConnectTimeout time.Duration
 	ConnIdle       time.Duration
-	HandOver       time.Duration // new connections are taken this long after SIGTERM
+	HandOverWindow time.Duration // new connections are accepted this long after SIGTERM
 	LogLevel       string
 	Flight         *Flight
 	Store          *Store
-	Tracing        *tracing.Config // with its defaults; nil: off
+	Tracing        *tracing.Config // with defaults applied; nil: off
 
-	// Notes are what the file holds and this broker passes over: fields that it
-	// does not know, and a list in known that cannot be read.
-	Notes []Field
+	// Warnings are the parts of the file that this broker ignores: unknown fields and
+	// values that it can do without, such as an invalid list in known.
+	Warnings []FieldError
 
-	essential essential       // what a reload checks as it is written
-	keys      map[string]bool // of the file, by path
+	rawSettings rawSettings     // settings that a reload checks in their raw form
+	keyPaths    map[string]bool // paths of the file's keys
 }
 
-// file is what the platform's file says, in the platform's words. It may say
-// more, and then names what this program has never heard of.
+// file is the configuration file as it is written. The platform may add fields that this
+// program does not know.
 type file struct {
 	Name      string
 	Listen    string
@@ -119,69 +121,73 @@
 	Tracing    *tracing.Config
 }
 
-// Field is an error in one field.
-type Field struct {
+// FieldError is an error or a warning about one field.
+type FieldError struct {
 	Path string
 	Err  error
 }
 
-func (f *Field) Error() string { return f.Path + ": " + f.Err.Error() }
+// Error implements error.
+func (f *FieldError) Error() string { return f.Path + ": " + f.Err.Error() }
 
-// Unwrap gives the cause.
-func (f *Field) Unwrap() error { return f.Err }
+// Unwrap returns the cause.
+func (f *FieldError) Unwrap() error { return f.Err }
 
-func wrong(path, format string, args ...any) error {
-	return &Field{path, fmt.Errorf(format, args...)}
+// fieldErrorf returns a FieldError for the field at path.
+func fieldErrorf(path, format string, args ...any) error {
+	return &FieldError{path, fmt.Errorf(format, args...)}
 }
 
-// defaultHandOver lies over the longest time that new connections still come
-// after SIGTERM, 0.4 s, and under the 0.7 s after which none may be lost.
-const defaultHandOver = 550 * time.Millisecond
+// defaultHandOverWindow is longer than the 0.4 s for which new connections still arrive
+// after SIGTERM at most, and shorter than the 0.7 s after which none may be lost any more.
+const defaultHandOverWindow = 550 * time.Millisecond
 
-// readFile reads a file; a test puts another in its place.
+// readFile reads a file. Tests replace it.
 var readFile = os.ReadFile
 
-// A file that can't be read for a moment is tried again every readAgain, for readWithin:
-// what the file says at SIGHUP must be in use some seconds later.
+// A read that fails with a transient error is retried every readRetryInterval for
+// readRetryTimeout. The total is bounded because a reload at SIGHUP must take effect within
+// some seconds.
 const (
-	readAgain  = 20 * time.Millisecond
-	readWithin = 1500 * time.Millisecond
+	readRetryInterval = 20 * time.Millisecond
+	readRetryTimeout  = 1500 * time.Millisecond
 )
 
-// readPatiently reads a file, again where the system or its disk fails for a moment.
-func readPatiently(path string) ([]byte, error) {
-	for began := time.Now(); ; time.Sleep(readAgain) {
+// readFileWithRetry reads a file and retries after transient errors of the system or disk.
+func readFileWithRetry(path string) ([]byte, error) {
+	for start := time.Now(); ; time.Sleep(readRetryInterval) {
 		data, err := readFile(path)
-		passes := slices.ContainsFunc(passing, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
-		if err == nil || !passes || time.Since(began) > readWithin {
+		transient := slices.ContainsFunc(transientErrors, func(errno syscall.Errno) bool { return errors.Is(err, errno) })
+		if err == nil || !transient || time.Since(start) > readRetryTimeout {
 			return data, err
 		}
 	}
 }
 
-var passing = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EIO, syscall.EINTR, syscall.EAGAIN}
+// transientErrors are the errors after which readFileWithRetry tries again.
+var transientErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.EIO, syscall.EINTR, syscall.EAGAIN}
 
-// Load reads the file at path, or the one that NODE_CONFIG names when path is
-// empty. NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONSOLE override the file.
+// Load reads the file at path, or the file that NODE_CONFIG names if path is empty. The
+// variables NODE_NAME, NODE_LISTEN, NODE_DISCOVERY and NODE_CONSOLE override the file.
 func Load(path string, getenv func(string) string) (*Config, error) {
 	if path == "" {
 		path = getenv("NODE_CONFIG")
 	}
 	if path == "" {
-		return nil, wrong("NODE_CONFIG", "not set, and no file was named")
+		return nil, fieldErrorf("NODE_CONFIG", "not set, and no file was given")
 	}
-	data, err := readPatiently(path)
+	data, err := readFileWithRetry(path)
 	if err != nil {
-		return nil, &Field{"NODE_CONFIG", fmt.Errorf("reading the configuration: %w", err)}
+		return nil, &FieldError{"NODE_CONFIG", fmt.Errorf("reading the configuration: %w", err)}
 	}
 	return Parse(data, getenv)
 }
 
-// NeedRestart names the fields in which the two differ and that a broker takes
-// from its start alone.
-func NeedRestart(old, now *Config) []string {
+// FieldsNeedingRestart returns the names of the fields that differ between old and now and
+// that only a restart applies.
+func FieldsNeedingRestart(old, now *Config) []string {
 	var names []string
-	note := func(name string, a, b any) {
+	compare := func(name string, a, b any) {
 		if !reflect.DeepEqual(a, b) {
 			names = append(names, name)
 		}
@@ -190,33 +196,32 @@
 	a.MaxOpen, b.MaxOpen = 0, 0
 	a.MaxAttempts, b.MaxAttempts = 0, 0
 	a.Classes, b.Classes = nil, nil
-	note("name", old.Name, now.Name)
-	note("listen", old.Listen, now.Listen)
-	note("console", old.Console, now.Console)
-	note("limits.sockets", old.Limits.Sockets, now.Limits.Sockets)
-	note("settings", []any{a, old.Zones, old.Kinds, old.StreamsPerConn, old.ConnectTimeout, old.ConnIdle},
+	compare("name", old.Name, now.Name)
+	compare("listen", old.Listen, now.Listen)
+	compare("console", old.Console, now.Console)
+	compare("limits.sockets", old.Limits.Sockets, now.Limits.Sockets)
+	compare("settings", []any{a, old.Zones, old.Kinds, old.StreamsPerConn, old.ConnectTimeout, old.ConnIdle},
 		[]any{b, now.Zones, now.Kinds, now.StreamsPerConn, now.ConnectTimeout, now.ConnIdle})
-	note("flight", old.Flight, now.Flight)
-	note("store", old.Store, now.Store)
-	note("tracing", old.Tracing, now.Tracing)
+	compare("flight", old.Flight, now.Flight)
+	compare("store", old.Store, now.Store)
+	compare("tracing", old.Tracing, now.Tracing)
 	return names
 }
 
-// Check reads the file as Load does and takes for a fault what Load passes over.
-func Check(path string, getenv func(string) string) (*Config, error) {
+// LoadStrict reads the file like Load, but returns the first warning as an error.
+func LoadStrict(path string, getenv func(string) string) (*Config, error) {
 	c, err := Load(path, getenv)
-	if err == nil && len(c.Notes) > 0 {
-		return nil, &c.Notes[0]
+	if err == nil && len(c.Warnings) > 0 {
+		return nil, &c.Warnings[0]
 	}
 	return c, err
 }
 
-// Parse decodes a configuration. What the platform says beyond the fields that
-// this program knows stops no start and stands in Notes; a field that is not
-// known in a section of the program's own is a fault.
+// Parse decodes a configuration. Unknown fields of the platform do not prevent a start and
+// are listed in Warnings; an unknown field in a section of this program's own is an error.
 func Parse(data []byte, getenv func(string) string) (*Config, error) {
 	var f file
-	c := &Config{HandOver: defaultHandOver}
+	c := &Config{HandOverWindow: defaultHandOverWindow}
 	if err := c.decode(data, &f); err != nil {
 		return nil, err
 	}
@@ -228,47 +233,47 @@
 	}
 	c.Name, c.Listen, c.Discovery, c.LogLevel = f.Name, f.Listen, f.Discovery, f.LogLevel
 	c.Flight, c.Store = f.Flight, f.Store
-	c.console(f.Console, getenv("NODE_CONSOLE"))
+	c.setConsole(f.Console, getenv("NODE_CONSOLE"))
 	if f.Tracing != nil {
 		t := f.Tracing.WithDefaults()
 		c.Tracing = &t
 	}
 	if f.HandOverMs != nil {
-		c.HandOver = time.Duration(*f.HandOverMs * float64(time.Millisecond))
+		c.HandOverWindow = time.Duration(*f.HandOverMs * float64(time.Millisecond))
 	}
-	for _, l := range []struct {
-		name string
-		told float64
-		to   *int
+	for _, limit := range []struct {
+		name   string
+		value  float64
+		target *int
 	}{{"memory_mb", f.Limits.MemoryMB, &c.Limits.MemoryMB}, {"sockets", f.Limits.Sockets, &c.Limits.Sockets}} {
-		if !(l.told >= 0) {
-			return nil, wrong("limits."+l.name, "got %v, want 0 or more", l.told)
+		if !(limit.value >= 0) {
+			return nil, fieldErrorf("limits."+limit.name, "got %v, want 0 or more", limit.value)
 		}
-		*l.to = int(min(math.Ceil(l.told), math.MaxInt32))
+		*limit.target = int(min(math.Ceil(limit.value), math.MaxInt32))
 	}
 	c.Limits.Cores = f.Limits.Cores
-	c.Seed = seed(f.Seed)
-	if err := c.settings(f.Settings); err != nil {
+	c.Seed = parseSeed(f.Seed)
+	if err := c.parseSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	if len(f.Known) > 0 && string(f.Known) != "null" {
 		l, err := discovery.ParseList(f.Known, c.Zones, c.Kinds)
-		if err != nil { // it may be old anyway: discovery has the list
-			c.Notes = append(c.Notes, Field{"known", err})
+		if err != nil { // not fatal: the list may be outdated anyway, and discovery has it
+			c.Warnings = append(c.Warnings, FieldError{"known", err})
 		} else {
 			c.Known = l
 		}
 	}
-	return c, c.check()
+	return c, c.validate()
 }
 
-// console takes the operators' address, the environment's before the file's. One that
-// cannot be used stops no start: the clients need no operator.
-func (c *Config) console(told json.RawMessage, env string) {
+// setConsole sets the address of the operators' port; the environment takes precedence over
+// the file. An invalid address is only a warning: the broker can serve clients without it.
+func (c *Config) setConsole(raw json.RawMessage, env string) {
 	addr := env
-	if addr == "" && len(told) > 0 && string(told) != "null" {
-		if json.Unmarshal(told, &addr) != nil {
-			c.Notes = append(c.Notes, Field{"console", fmt.Errorf("got %s, want host:port", told)})
+	if addr == "" && len(raw) > 0 && string(raw) != "null" {
+		if json.Unmarshal(raw, &addr) != nil {
+			c.Warnings = append(c.Warnings, FieldError{"console", fmt.Errorf("got %s, want host:port", raw)})
 			return
 		}
 	}
@@ -276,56 +281,56 @@
 		return
 	}
 	if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-		c.Notes = append(c.Notes, Field{"console", fmt.Errorf("got %q, want host:port", addr)})
+		c.Warnings = append(c.Warnings, FieldError{"console", fmt.Errorf("got %q, want host:port", addr)})
 		return
 	}
 	c.Console = addr
 }
 
-// decode reads the top level field by field.
+// decode decodes the top level field by field, so that errors name the field.
 func (c *Config) decode(data []byte, f *file) error {
-	var all map[string]json.RawMessage
-	if err := json.Unmarshal(data, &all); err != nil {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(data, &fields); err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
 	platform := map[string]any{
 		"name": &f.Name, "listen": &f.Listen, "discovery": &f.Discovery, "console": &f.Console, "seed": &f.Seed,
 		"limits": &f.Limits, "known": &f.Known, "settings": &f.Settings,
 	}
-	own := map[string]any{
+	operator := map[string]any{
 		"hand_over_ms": &f.HandOverMs, "log_level": &f.LogLevel, "flight": &f.Flight, "store": &f.Store, "tracing": &f.Tracing,
 	}
-	for _, name := range slices.Sorted(maps.Keys(all)) {
-		to, known := platform[name]
+	for _, name := range slices.Sorted(maps.Keys(fields)) {
+		target, known := platform[name]
 		if !known {
-			to, known = own[name]
+			target, known = operator[name]
 		}
 		if !known {
-			c.Notes = append(c.Notes, Field{name, errUnknown})
+			c.Warnings = append(c.Warnings, FieldError{name, errUnknownField})
 			continue
 		}
-		d := json.NewDecoder(bytes.NewReader(all[name]))
-		if _, strict := own[name]; strict {
-			d.DisallowUnknownFields()
+		decoder := json.NewDecoder(bytes.NewReader(fields[name]))
+		if _, strict := operator[name]; strict {
+			decoder.DisallowUnknownFields()
 		}
-		err := d.Decode(to)
-		var t *json.UnmarshalTypeError
+		err := decoder.Decode(target)
+		var typeErr *json.UnmarshalTypeError
 		switch {
-		case errors.As(err, &t):
-			return wrong(strings.TrimSuffix(name+"."+t.Field, "."), "got a %s, want %s", t.Value, t.Type)
+		case errors.As(err, &typeErr):
+			return fieldErrorf(strings.TrimSuffix(name+"."+typeErr.Field, "."), "got a %s, want %s", typeErr.Value, typeErr.Type)
 		case err != nil:
-			return &Field{name, err}
+			return &FieldError{name, err}
 		}
 	}
-	return c.remember(all)
+	return c.recordForReload(fields)
 }
 
-// errUnknown is the fault of a field that the program does not know.
-var errUnknown = errors.New("unknown field, passed over")
+// errUnknownField is the warning for a field that the program does not know.
+var errUnknownField = errors.New("unknown field, ignored")
 
-// seed makes a seed of whatever is told: 16 hex digits are one, and any other
-// text is as good.
-func seed(raw json.RawMessage) uint64 {
+// parseSeed derives a seed from any JSON value: up to 16 hex digits are the seed itself, and
+// any other text is hashed.
+func parseSeed(raw json.RawMessage) uint64 {
 	var text string
 	if len(raw) == 0 || string(raw) == "null" {
 		return 0
@@ -337,40 +342,40 @@
 		return n
 	}
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(text)) // never fails
+	_, _ = h.Write([]byte(text)) // a hash never returns an error
 	return h.Sum64()
 }
 
-// settings flattens the nested object to the paths of the simulator's wire,
-// which one parser reads for both.
-func (c *Config) settings(raw json.RawMessage) error {
+// parseSettings flattens the nested object into the path=value lines of the simulator's wire
+// format, so that one parser reads both.
+func (c *Config) parseSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
-		return wrong("settings", "missing")
+		return fieldErrorf("settings", "missing")
 	}
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(raw))
+	decoder.UseNumber()
 	var tree map[string]any
-	if err := d.Decode(&tree); err != nil {
-		return &Field{"settings", err}
+	if err := decoder.Decode(&tree); err != nil {
+		return &FieldError{"settings", err}
 	}
-	flat := map[string]string{}
-	flatten(flat, "", tree)
-	lines := make([]string, 0, len(flat))
-	for k, v := range flat {
+	pairs := map[string]string{}
+	flatten(pairs, "", tree)
+	lines := make([]string, 0, len(pairs))
+	for k, v := range pairs {
 		lines = append(lines, k+"="+v)
 	}
 	sort.Strings(lines)
 	s, err := wire.ParseSettings(strings.Join(lines, "\n"))
 	if err != nil {
-		return &Field{"settings", err}
+		return &FieldError{"settings", err}
 	}
 	c.Settings = s
-	// The wire's text has no spaces and commas in a name, and this form has:
-	// the list and the clients name things as they stand here.
-	c.Zones, c.Kinds = names(tree["zones"]), names(tree["kinds"])
+	// Names are taken from the JSON, not from the flattened lines: those replace spaces and
+	// commas, but the list of nodes and the clients use the names as written here.
+	c.Zones, c.Kinds = stringList(tree["zones"]), stringList(tree["kinds"])
 	for i := range s.Classes {
-		if s.Classes[i].Fetch > 0 { // the protocol has no form for it: the first answer is the last
-			c.Notes = append(c.Notes, Field{"settings.domain.classFetch", errors.New("second steps have no form on this protocol, left out")})
+		if s.Classes[i].Fetch > 0 { // the protocol cannot express it: the first answer is the final one
+			c.Warnings = append(c.Warnings, FieldError{"settings.domain.classFetch", errors.New("second steps are not supported by this protocol, ignored")})
 			s.Classes[i].Fetch = 0
 		}
 		name := ""
@@ -380,39 +385,40 @@
 			}
 		}
 		if name == "" {
-			return wrong(fmt.Sprintf("settings.classes[%d].name", i), "missing")
+			return fieldErrorf(fmt.Sprintf("settings.classes[%d].name", i), "missing")
 		}
-		c.Classes = append(c.Classes, classOf(name, s.Classes[i]))
+		c.Classes = append(c.Classes, newClass(name, s.Classes[i]))
 	}
 	if len(c.Classes) == 0 {
-		return wrong("settings.classes", "missing")
+		return fieldErrorf("settings.classes", "missing")
 	}
-	for path, to := range map[string]*time.Duration{"caps.connectTimeoutMs": &c.ConnectTimeout, "caps.connIdleMs": &c.ConnIdle} {
-		ms, err := number(flat, path)
+	for path, target := range map[string]*time.Duration{"caps.connectTimeoutMs": &c.ConnectTimeout, "caps.connIdleMs": &c.ConnIdle} {
+		ms, err := nonNegativeNumber(pairs, path)
 		if err != nil {
 			return err
 		}
-		*to = time.Duration(ms * float64(time.Millisecond))
+		*target = time.Duration(ms * float64(time.Millisecond))
 	}
-	n, err := number(flat, "caps.streamsPerConn")
+	n, err := nonNegativeNumber(pairs, "caps.streamsPerConn")
 	c.StreamsPerConn = int(n)
 	return err
 }
 
-func number(flat map[string]string, path string) (float64, error) {
-	v, ok := flat[path]
+// nonNegativeNumber returns the number at path, or 0 if it is not set.
+func nonNegativeNumber(pairs map[string]string, path string) (float64, error) {
+	v, ok := pairs[path]
 	if !ok {
 		return 0, nil
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n >= 0) {
-		return 0, wrong("settings."+path, "got %q, want a number from 0 up", v)
+		return 0, fieldErrorf("settings."+path, "got %q, want a number, 0 or more", v)
 	}
-	return min(n, 1e9), nil // milliseconds for eleven days, and no conversion overflows
+	return min(n, 1e9), nil // eleven days in milliseconds, so that no conversion overflows
 }
 
-// names reads a list of names.
-func names(v any) []string {
+// stringList converts a JSON list to strings; any other value gives an empty list.
+func stringList(v any) []string {
 	all, _ := v.([]any)
 	out := make([]string, 0, len(all))
 	for _, x := range all {
@@ -421,10 +427,10 @@
 	return out
 }
 
-// flatten writes path=value pairs in the form of the simulator's wire: lists
-// of plain values are joined by commas, lists of objects are counted.
-func flatten(flat map[string]string, path string, v any) {
-	join := func(key string) string {
+// flatten adds the path=value pairs of v in the simulator's wire format: lists of plain
+// values are joined by commas, and lists of objects get a count and an index per item.
+func flatten(pairs map[string]string, path string, v any) {
+	keyPath := func(key string) string {
 		if path == "" {
 			return key
 		}
@@ -433,37 +439,39 @@
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
-			flatten(flat, join(k), x)
+			flatten(pairs, keyPath(k), x)
 		}
 	case []any:
 		if len(v) > 0 {
 			if _, objects := v[0].(map[string]any); objects {
-				flat[join("count")] = strconv.Itoa(len(v))
+				pairs[keyPath("count")] = strconv.Itoa(len(v))
 				for i, x := range v {
-					flatten(flat, join(strconv.Itoa(i)), x)
+					flatten(pairs, keyPath(strconv.Itoa(i)), x)
 				}
 				return
 			}
 		}
 		words := make([]string, len(v))
 		for i, x := range v {
-			words[i] = plain(x)
+			words[i] = wireValue(x)
 		}
-		flat[path] = strings.Join(words, ",")
+		pairs[path] = strings.Join(words, ",")
 	default:
-		flat[path] = plain(v)
+		pairs[path] = wireValue(v)
 	}
 }
 
-func plain(v any) string {
+// wireValue formats a plain value. Spaces, commas and newlines, which separate values in the
+// wire format, are replaced.
+func wireValue(v any) string {
 	if v == nil {
 		return ""
 	}
 	return strings.NewReplacer(" ", "_", ",", "_", "\n", "_").Replace(fmt.Sprint(v))
 }
 
-// loopback says whether addr is a host and port of this machine.
-func loopback(addr string) bool {
+// isLoopback reports whether addr is a loopback host and a port.
+func isLoopback(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || port == "" {
 		return false
@@ -472,63 +480,64 @@
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-func (c *Config) check() error {
+// validate returns an error that names the first invalid field.
+func (c *Config) validate() error {
 	for path, addr := range map[string]string{"listen": c.Listen, "discovery": c.Discovery} {
 		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return wrong(path, "got %q, want host:port", addr)
+			return fieldErrorf(path, "got %q, want host:port", addr)
 		}
 	}
 	switch {
 	case c.Name == "":
-		return wrong("name", "missing")
+		return fieldErrorf("name", "missing")
 	case c.Limits.Cores < 0:
-		return wrong("limits.cores", "got %v, want 0 or more", c.Limits.Cores)
-	case c.HandOver < 0 || c.HandOver > 10*time.Second:
-		return wrong("hand_over_ms", "want 0 to 10000")
+		return fieldErrorf("limits.cores", "got %v, want 0 or more", c.Limits.Cores)
+	case c.HandOverWindow < 0 || c.HandOverWindow > 10*time.Second:
+		return fieldErrorf("hand_over_ms", "want 0 to 10000")
 	}
 	switch c.LogLevel {
 	case "", "debug", "info", "warn", "error":
 	default:
-		return wrong("log_level", "got %q, want debug, info, warn or error", c.LogLevel)
+		return fieldErrorf("log_level", "got %q, want debug, info, warn or error", c.LogLevel)
 	}
-	if c.Flight != nil && !loopback(c.Flight.Listen) {
-		return wrong("flight.listen", "got %q, want a loopback host:port", c.Flight.Listen)
+	if c.Flight != nil && !isLoopback(c.Flight.Listen) {
+		return fieldErrorf("flight.listen", "got %q, want a loopback host:port", c.Flight.Listen)
 	}
 	if c.Tracing != nil {
 		if err := c.Tracing.Check(); err != nil {
 			if f := (*tracing.FieldError)(nil); errors.As(err, &f) {
-				return &Field{"tracing." + f.Field, f.Err}
+				return &FieldError{"tracing." + f.Field, f.Err}
 			}
-			return &Field{"tracing", err}
+			return &FieldError{"tracing", err}
 		}
 	}
 	if c.Store == nil {
 		return nil
 	}
 	if c.Flight == nil {
-		return wrong("flight", "missing: the store's commands come over Flight")
+		return fieldErrorf("flight", "missing: the store needs the Flight front for its commands")
 	}
 	if c.Store.Dir == "" {
-		return wrong("store.dir", "missing")
+		return fieldErrorf("store.dir", "missing")
 	}
-	own := false
+	listed := false
 	seen := map[string]bool{}
 	for i, p := range c.Store.Peers {
-		at := fmt.Sprintf("store.peers[%d].", i)
+		prefix := fmt.Sprintf("store.peers[%d].", i)
 		if p.Name == "" || seen[p.Name] {
-			return wrong(at+"name", "got %q, want a name, each once", p.Name)
+			return fieldErrorf(prefix+"name", "got %q, want a name that is not empty and unique", p.Name)
 		}
-		if !loopback(p.Raft) {
-			return wrong(at+"raft", "got %q, want a loopback host:port", p.Raft)
+		if !isLoopback(p.Raft) {
+			return fieldErrorf(prefix+"raft", "got %q, want a loopback host:port", p.Raft)
 		}
-		if !loopback(p.Flight) {
-			return wrong(at+"flight", "got %q, want a loopback host:port", p.Flight)
+		if !isLoopback(p.Flight) {
+			return fieldErrorf(prefix+"flight", "got %q, want a loopback host:port", p.Flight)
 		}
 		seen[p.Name] = true
-		own = own || p.Name == c.Name
+		listed = listed || p.Name == c.Name
 	}
-	if !own {
-		return wrong("store.peers", "%q is not among them", c.Name)
+	if !listed {
+		return fieldErrorf("store.peers", "this broker, %q, is not among the peers", c.Name)
 	}
 	return nil
 }
--- a/store/state.go
+++ b/store/state.go
@@ -1,6 +1,6 @@
-// Package store is the daemon's own replicated store: a versioned
-// configuration and the last roster, kept by Raft among a few instances.
-// Load and health of nodes are no part of it: brokers share neither.
+// Package store is the daemon's replicated store. It keeps a versioned configuration and the
+// last roster, replicated by Raft among a few instances. It does not hold the load and
+// health of nodes, which brokers do not share.
 package store
 
 import (
@@ -15,22 +15,22 @@
 	"onyxsail/broker"
 )
 
-// Config is what operators may change while the brokers run.
+// Config is the configuration that operators may change while the brokers run.
 type Config struct {
 	Version    uint64 `json:"version"`
-	QueueLimit int    `json:"queue_limit"` // inputs that may wait for a turn
-	MaxOpen    int    `json:"max_open"`    // queries and parts held; 0: the settings' figure
+	QueueLimit int    `json:"queue_limit"` // maximum number of inputs that wait for a turn
+	MaxOpen    int    `json:"max_open"`    // maximum number of open queries and parts; 0: the value in the settings
 	LogLevel   string `json:"log_level"`
 	HandOverMs int    `json:"hand_over_ms"`
 }
 
-// Defaults is the configuration before any was set.
+// Defaults returns the configuration before any was set.
 func Defaults() Config {
 	return Config{QueueLimit: 4096, LogLevel: "info", HandOverMs: 550}
 }
 
-// Patch is a change of some fields. With IfVersion, it takes effect only on
-// that version.
+// Patch is a change of some fields of the configuration. If IfVersion is set, the change
+// applies only to that version.
 type Patch struct {
 	IfVersion  *uint64 `json:"if_version,omitempty"`
 	QueueLimit *int    `json:"queue_limit,omitempty"`
@@ -39,10 +39,10 @@
 	HandOverMs *int    `json:"hand_over_ms,omitempty"`
 }
 
-// ErrInvalid marks a change that can never be taken.
+// ErrInvalid is the error of a change that is invalid in any state.
 var ErrInvalid = errors.New("invalid configuration")
 
-// ErrConflict marks a change made against another version.
+// ErrConflict is the error of a change whose IfVersion is not the current version.
 var ErrConflict = errors.New("the configuration has another version")
 
 // Validate checks the fields that the patch sets.
@@ -67,62 +67,64 @@
 		check("hand_over_ms", p.HandOverMs, 0, 10000))
 }
 
+// apply returns c with the change applied and its version incremented.
 func (p *Patch) apply(c Config) Config {
-	set(&c.QueueLimit, p.QueueLimit)
-	set(&c.MaxOpen, p.MaxOpen)
-	set(&c.LogLevel, p.LogLevel)
-	set(&c.HandOverMs, p.HandOverMs)
+	setIfPresent(&c.QueueLimit, p.QueueLimit)
+	setIfPresent(&c.MaxOpen, p.MaxOpen)
+	setIfPresent(&c.LogLevel, p.LogLevel)
+	setIfPresent(&c.HandOverMs, p.HandOverMs)
 	c.Version++
 	return c
 }
 
-func set[T any](to *T, v *T) {
-	if v != nil {
-		*to = *v
+// setIfPresent sets the target to the value unless the value is nil.
+func setIfPresent[T any](target *T, value *T) {
+	if value != nil {
+		*target = *value
 	}
 }
 
-// Roster is the list of nodes as the leader's broker last had it.
+// Roster is the latest list of nodes that the leader's broker has recorded.
 type Roster struct {
 	Version int64         `json:"version"`
 	Nodes   []broker.Node `json:"nodes"`
 }
 
-// State is all that the store holds.
+// State is the replicated state of the store.
 type State struct {
 	Config Config `json:"config"`
 	Roster Roster `json:"roster"`
 }
 
-// command is one entry of the log: one of the fields is set.
+// command is one entry of the Raft log. Exactly one field is set.
 type command struct {
 	Patch  *Patch  `json:"patch,omitempty"`
 	Roster *Roster `json:"roster,omitempty"`
 }
 
-// machine is the state machine that Raft drives.
-type machine struct {
-	mu      sync.Mutex
-	state   State
-	changed func(State)
+// stateMachine is the state machine to which Raft applies the log.
+type stateMachine struct {
+	mu       sync.Mutex
+	state    State
+	onChange func(State)
 }
 
-func (m *machine) get() State {
+func (m *stateMachine) get() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
-func (m *machine) put(s State) {
+func (m *stateMachine) put(s State) {
 	m.mu.Lock()
 	m.state = s
 	m.mu.Unlock()
-	m.changed(s)
+	m.onChange(s)
 }
 
-// Apply implements raft.FSM. It must come to the same result on every
-// instance, so a command is judged by the state alone.
-func (m *machine) Apply(l *raft.Log) any {
+// Apply implements raft.FSM. It must have the same result on every instance, so it depends
+// only on the state and the command.
+func (m *stateMachine) Apply(l *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
 		return fmt.Errorf("log entry %d: %w", l.Index, err)
@@ -142,10 +144,10 @@
 }
 
 // Snapshot implements raft.FSM.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) { return snapshot(m.get()), nil }
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) { return snapshot(m.get()), nil }
 
 // Restore implements raft.FSM.
-func (m *machine) Restore(r io.ReadCloser) error {
+func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	var s State
 	if err := json.NewDecoder(r).Decode(&s); err != nil {
@@ -155,15 +157,16 @@
 	return nil
 }
 
+// snapshot is a copy of the state that Raft writes to disk or sends to a follower.
 type snapshot State
 
 // Persist implements raft.FSMSnapshot.
-func (s snapshot) Persist(to raft.SnapshotSink) error {
-	if err := json.NewEncoder(to).Encode(State(s)); err != nil {
-		_ = to.Cancel()
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	if err := json.NewEncoder(sink).Encode(State(s)); err != nil {
+		_ = sink.Cancel()
 		return fmt.Errorf("writing a snapshot: %w", err)
 	}
-	return to.Close()
+	return sink.Close()
 }
 
 // Release implements raft.FSMSnapshot.
