--- a/daemon/takeover.go
+++ b/daemon/takeover.go
@@ -119,7 +119,7 @@
 
 // Error implements error.
 func (e *AddressTakenError) Error() string {
-	return fmt.Sprintf("listen: broker %q already runs at %s, and this one is %q", e.OtherName, e.Addr, e.OwnName)
+	return fmt.Sprintf("listen: the broker %q runs at %s, and this one is %q", e.OtherName, e.Addr, e.OwnName)
 }
 
 // watchPredecessor halves the limits until the predecessor has ended.
