--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -177,8 +177,8 @@
 	dialer := netio.NewDialer()
 	d.nodes = nodeclient.New(nodeclient.Options{
 		Loop: loop, Dialer: dialer, Sink: s, StreamsPerConn: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
-		ConnIdle: cfg.ConnIdle, MaxConns: frames, Observer: wire,
-		Probes: cfg.Settings.MayProbe, NoCancel: !cfg.Settings.MayCancel, Log: log,
+		ServerIdleTimeout: cfg.ConnIdle, MaxConns: frames, Observer: wire,
+		ProbesSupported: cfg.Settings.MayProbe, DisableCancel: !cfg.Settings.MayCancel, Log: log,
 	})
 	d.remote = flightnode.New(flightnode.Options{
 		Sink: s, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wire, Log: log,
--- a/nodeclient/client.go
+++ b/nodeclient/client.go
@@ -1,6 +1,6 @@
-// Package nodeclient carries attempts to shard servers in frames over TCP. It
-// keeps a pool of connections a node, each with many calls at once, and tells
-// what never ran from what may have run.
+// Package nodeclient sends attempts to shard servers in length-prefixed frames over TCP. It
+// keeps a pool of connections per node, multiplexes calls over each of them, and tells
+// attempts that cannot have run from those that may have.
 package nodeclient
 
 import (
@@ -18,86 +18,92 @@
 )
 
 const (
-	maxAbandoned = 256 // ids that a connection remembers as given up
-	sweepEvery   = 100 * time.Millisecond
-	// stuckFor is how long written bytes may wait for a full socket before the
+	maxCancelledParts = 256 // cancelled part ids that a connection remembers, as their answers may still arrive
+	// sweepInterval is the interval at which all connections are checked.
+	sweepInterval = 100 * time.Millisecond
+	// writeStallTimeout is how long written bytes may wait for a full socket before the
 	// connection counts as broken.
-	stuckFor = 250 * time.Millisecond
-	// A frame leaves whole within frameWithin, or never: the deadline that it tells and the
-	// checks before it are of the moment at which it was written.
-	frameWithin = 100 * time.Millisecond
-	// halfFor is how long a frame that has begun may come to nothing: a length
-	// that says too much never ends, and what waits behind it waits in vain.
-	halfFor = 300 * time.Millisecond
-	// complainEvery is how often one node's spoilt answers are logged.
-	complainEvery = 10 * time.Second
-	// A connection is silent once parts have waited on it for silentTimes the
-	// node's usual answer, and silentLeast, with nothing read.
-	silentTimes = 8
-	silentLeast = 30 * time.Millisecond
-	// deadFor is how long a silent connection may carry parts while its node
-	// speaks on another, and how long it stays open without any.
-	deadFor = 250 * time.Millisecond
-	// maxSilent silent connections tell that the node is silent: more help no one.
-	maxSilent = 2
-	// shyFor is how long parts go alone on their connections to a node that
-	// closes them under parts that wait.
-	shyFor = 5 * time.Second
-	smooth = 0.1 // weight of one answer in a node's usual time
-	// idleShare of the server's idle time is when we close first: a request that
-	// crosses the server's own close would end as a reset.
-	idleShare = 0.7
+	writeStallTimeout = 250 * time.Millisecond
+	// frameWriteTimeout bounds the writing of a frame: it is written to the socket whole
+	// within this time or the connection is closed, because the deadline in it and the
+	// checks before it are only valid at the time at which it was built.
+	frameWriteTimeout = 100 * time.Millisecond
+	// partialFrameTimeout is how long an incomplete frame may go without further bytes: one
+	// whose length field is too large never ends and blocks every frame behind it.
+	partialFrameTimeout = 300 * time.Millisecond
+	// warnLogInterval is the minimum interval between two log lines about a full pool, or
+	// about malformed frames from one node.
+	warnLogInterval = 10 * time.Second
+	// A connection counts as silent once calls have waited on it for silenceFactor times
+	// the node's smoothed latency, and at least minSilence, with nothing read.
+	silenceFactor = 8
+	minSilence    = 30 * time.Millisecond
+	// silentConnTimeout is how long a silent connection may carry calls while its node
+	// answers on another one, and how long it stays open without any.
+	silentConnTimeout = 250 * time.Millisecond
+	// silentConnThreshold is the number of silent connections from which on the node itself
+	// counts as silent: opening more of them would not help.
+	silentConnThreshold = 2
+	// exclusivePeriod is how long each part gets a connection of its own after a node has
+	// closed a connection on which several parts were waiting.
+	exclusivePeriod  = 5 * time.Second
+	latencySmoothing = 0.1 // smoothing factor of a node's answer latency
+	// idleTimeoutFraction is the fraction of the server's idle timeout after which the
+	// client closes an idle connection first: a request that crosses the server's own close
+	// would end in a reset.
+	idleTimeoutFraction = 0.7
 )
 
-// Options make a Client.
+// Options configures a Client.
 type Options struct {
-	Loop           *netio.Loop
-	Sink           broker.Sink
-	StreamsPerConn int
-	ConnectTimeout time.Duration
-	Dialer         *netio.Dialer       // nil: one of its own
-	ConnIdle       time.Duration       // the servers'
-	MaxConns       int                 // over all nodes
-	Observer       broker.WireObserver // nil: nobody is told
-	Probes         bool                // nodes answer probes
-	NoCancel       bool                // nodes may not be told that a part is given up
-	Log            zerolog.Logger
+	Loop              *netio.Loop
+	Sink              broker.Sink
+	StreamsPerConn    int
+	ConnectTimeout    time.Duration
+	Dialer            *netio.Dialer       // nil: the client makes its own
+	ServerIdleTimeout time.Duration       // idle timeout of the servers; 0: idle connections are kept
+	MaxConns          int                 // connection limit over all nodes
+	Observer          broker.WireObserver // may be nil
+	ProbesSupported   bool                // nodes answer probe frames
+	DisableCancel     bool                // cancel frames are not sent to nodes
+	Log               zerolog.Logger
 }
 
 // Client implements broker.NodeClient.
 type Client struct {
-	opts  Options
-	paths *dial.Paths     // to nodes of several addresses
-	ctx   context.Context // of the sweep, and of connections in the making
-	end   context.CancelFunc
-	done  sync.WaitGroup
+	opts        Options
+	multiDialer *dial.Paths     // connects to nodes with more than one address
+	ctx         context.Context // of the sweep goroutine and of pending connects
+	cancel      context.CancelFunc
+	goroutines  sync.WaitGroup
 
-	mu      sync.Mutex
-	nodes   map[string]*node
-	where   map[broker.AttemptID]*call
-	conns   int
-	full    time.Time // when want of room was logged last
-	shut    bool
-	relayed atomic.Int64  // attempts whose last byte has left
-	frame   time.Duration // frameWithin; stuckFor is as much longer. A test may give it another value
+	mu               sync.Mutex
+	nodes            map[string]*node
+	callsByAttempt   map[broker.AttemptID]*call
+	openConns        int
+	poolFullLoggedAt time.Time // time of the latest pool-full log line
+	closed           bool
+	writtenAttempts  atomic.Int64  // attempts written to the socket whole
+	frameTimeout     time.Duration // frameWriteTimeout; writeStallTimeout is extended by the same difference. Tests override it
 }
 
+// node is one node, listed or with connections still open.
 type node struct {
-	id, addr string
-	listed   bool
-	latest   time.Time // until when attempts may begin; zero: no bound
-	conns    []*conn
-	several  bool // paths knows its addresses; else addr is its only one
+	id, addr    string
+	listed      bool
+	latestStart time.Time // attempts may not begin after this; zero: no limit
+	conns       []*conn
+	multiAddr   bool // multiDialer has its addresses; otherwise addr is its only one
 
-	usual time.Duration // smoothed time of an answer
-	heard time.Time     // when it was last read from, on any connection
-	shy   time.Time     // until when no two parts share a connection
+	smoothedLatency time.Duration // moving average of the time to an answer
+	lastReadAt      time.Time     // time of the latest read, on any connection
+	exclusiveUntil  time.Time     // until then no two parts share a connection
 
-	complained time.Time // when its spoilt answers were logged last
-	unsaid     int       // how many were not since
+	malformedLoggedAt time.Time // time of the latest log line about a malformed frame
+	unloggedMalformed int       // malformed frames since then that were not logged
 }
 
-// New returns a client; Close ends it.
+// New returns a running client; Close stops it.
 func New(o Options) *Client {
 	o.StreamsPerConn = max(1, o.StreamsPerConn)
 	o.MaxConns = max(1, o.MaxConns)
@@ -108,52 +114,52 @@
 		o.Dialer = netio.NewDialer()
 	}
 	c := &Client{
-		opts: o, frame: frameWithin, nodes: map[string]*node{}, where: map[broker.AttemptID]*call{},
-		paths: dial.New(o.Dialer, o.ConnectTimeout, o.MaxConns, o.Log),
+		opts: o, frameTimeout: frameWriteTimeout, nodes: map[string]*node{}, callsByAttempt: map[broker.AttemptID]*call{},
+		multiDialer: dial.New(o.Dialer, o.ConnectTimeout, o.MaxConns, o.Log),
 	}
-	c.ctx, c.end = context.WithCancel(context.Background())
-	c.done.Add(1)
+	c.ctx, c.cancel = context.WithCancel(context.Background())
+	c.goroutines.Add(1)
 	go c.sweep()
 	return c
 }
 
-// Close ends the client and its connections.
+// Close stops the client and closes its connections.
 func (c *Client) Close() {
 	c.mu.Lock()
-	c.shut = true
-	var all []*conn
+	c.closed = true
+	var conns []*conn
 	for _, n := range c.nodes {
-		all = append(all, n.conns...)
+		conns = append(conns, n.conns...)
 	}
 	c.mu.Unlock()
-	c.paths.Close()
-	c.end()
-	for _, cn := range all {
-		cn.fail()
+	c.multiDialer.Close()
+	c.cancel()
+	for _, cn := range conns {
+		cn.terminate()
 	}
-	c.done.Wait()
+	c.goroutines.Wait()
 }
 
-// Update implements broker.NodeClient. Nodes are told apart by id: one that
-// comes back at another address keeps its name and gets new connections.
+// Update implements broker.NodeClient. Nodes are identified by id: one that reappears at
+// another address keeps its state and gets new connections.
 func (c *Client) Update(nodes []broker.Node) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.nodes {
 		n.listed = false
 	}
-	for _, in := range nodes {
-		n := c.nodes[in.ID]
+	for _, listed := range nodes {
+		n := c.nodes[listed.ID]
 		if n == nil {
-			n = &node{id: in.ID}
-			c.nodes[in.ID] = n
+			n = &node{id: listed.ID}
+			c.nodes[listed.ID] = n
 		}
-		n.addr, n.listed, n.latest = in.Addr, true, in.Latest
-		n.several = c.paths.Set(in.ID, in.Addrs)
+		n.addr, n.listed, n.latestStart = listed.Addr, true, listed.Latest
+		n.multiAddr = c.multiDialer.Set(listed.ID, listed.Addrs)
 	}
 	for id, n := range c.nodes {
-		if !n.listed && n.several { // never dialled again
-			c.paths.Set(id, nil)
+		if !n.listed && n.multiAddr { // it is not dialled again
+			c.multiDialer.Set(id, nil)
 		}
 		if !n.listed && len(n.conns) == 0 {
 			delete(c.nodes, id)
@@ -168,62 +174,62 @@
 	c.sendTo(id, calls, 0)
 }
 
-// sendTo starts attempts that had been at so many addresses of the node before;
-// c.mu is held.
-func (c *Client) sendTo(id string, calls []broker.Attempt, moves int) {
+// sendTo starts attempts that were resent to another address of the node so many times
+// already; c.mu is held.
+func (c *Client) sendTo(id string, calls []broker.Attempt, resends int) {
 	n := c.nodes[id]
-	if n == nil || c.shut {
-		c.never(calls, decide.Unreachable)
+	if n == nil || c.closed {
+		c.failUnsent(calls, decide.Unreachable)
 		return
 	}
 	now := time.Now()
-	alone := now.Before(n.shy)
-	cn := n.pick(c.opts.StreamsPerConn, calls, alone)
-	if cn == nil && alone && !c.room() {
-		cn = n.pick(c.opts.StreamsPerConn, calls, false)
+	exclusive := now.Before(n.exclusiveUntil)
+	cn := n.pickConn(c.opts.StreamsPerConn, calls, exclusive)
+	if cn == nil && exclusive && !c.makeRoom() {
+		cn = n.pickConn(c.opts.StreamsPerConn, calls, false)
 	}
 	if cn == nil {
 		if cn = c.dial(n); cn == nil {
-			c.never(calls, decide.NotSent)
+			c.failUnsent(calls, decide.NotSent)
 			return
 		}
 	}
 	for i := range calls {
-		cl := &call{Attempt: calls[i], id: partID(&calls[i]), on: cn, since: now, moves: moves}
+		cl := &call{Attempt: calls[i], partID: partID(&calls[i]), conn: cn, requestedAt: now, resends: resends}
 		if i == 0 {
-			cl.mate = calls
+			cl.pendingBatch = calls
 		}
-		cn.calls[cl.id] = cl
-		c.where[cl.ID] = cl
+		cn.calls[cl.partID] = cl
+		c.callsByAttempt[cl.ID] = cl
 		if cn.sock == nil && c.opts.Observer != nil {
-			c.opts.Observer.Wire(cl.ID, broker.WireDialing, cn.addr, cn.dialed)
+			c.opts.Observer.Wire(cl.ID, broker.WireDialing, cn.addr, cn.dialedAt)
 		}
 	}
 	if cn.sock != nil {
-		cn.write(calls)
+		cn.writeCall(calls)
 	}
 }
 
-// never ends attempts that were not sent. Where want of room is the cause, it is
-// ours, and tells nothing of the node.
-func (c *Client) never(calls []broker.Attempt, o decide.Outcome) {
+// failUnsent ends attempts that were not sent. A full pool is reported as NotSent, as it
+// says nothing about the node.
+func (c *Client) failUnsent(calls []broker.Attempt, outcome decide.Outcome) {
 	for i := range calls {
-		c.opts.Sink.Outcome(calls[i].ID, o, broker.Answer{})
+		c.opts.Sink.Outcome(calls[i].ID, outcome, broker.Answer{})
 	}
 }
 
-// room says whether one more connection may be made. Where all places are taken,
-// the one that has carried nothing for the longest is closed: with more nodes on the
-// list than places, those that were met first would else shut out all others.
-// c.mu is held.
-func (c *Client) room() bool {
-	if c.conns < c.opts.MaxConns {
+// makeRoom reports whether one more connection may be opened. If the pool is full, it
+// closes the connection that has been idle the longest: with more nodes listed than
+// connections allowed, the nodes contacted first would otherwise shut out all others. c.mu
+// is held.
+func (c *Client) makeRoom() bool {
+	if c.openConns < c.opts.MaxConns {
 		return true
 	}
 	var oldest *conn
 	for _, n := range c.nodes {
 		for _, cn := range n.conns {
-			if cn.counted && cn.idle() && (oldest == nil || cn.used.Before(oldest.used)) {
+			if cn.holdsSlot && cn.isIdle() && (oldest == nil || cn.lastUsedAt.Before(oldest.lastUsedAt)) {
 				oldest = cn
 			}
 		}
@@ -231,106 +237,108 @@
 	if oldest == nil {
 		return false
 	}
-	oldest.spoilt, oldest.ours = true, true
-	oldest.release()
+	oldest.unusable, oldest.closedLocally = true, true
+	oldest.releaseSlot()
 	oldest.sock.Close()
 	return true
 }
 
+// dial starts to open a connection to the node; nil if the pool is full and no connection
+// is idle. c.mu is held.
 func (c *Client) dial(n *node) *conn {
-	if !c.room() {
-		if now := time.Now(); now.Sub(c.full) >= complainEvery { // it would be a line a part
-			c.full = now
-			c.opts.Log.Warn().Str("event", "pool-full").Str("node", n.id).Int("conns", c.conns).
-				Msg("no connection may be opened, and none is idle")
+	if !c.makeRoom() {
+		if now := time.Now(); now.Sub(c.poolFullLoggedAt) >= warnLogInterval { // otherwise every part would log a line
+			c.poolFullLoggedAt = now
+			c.opts.Log.Warn().Str("event", "pool-full").Str("node", n.id).Int("conns", c.openConns).
+				Msg("connection pool is full and no connection is idle")
 		}
 		return nil
 	}
-	several := n.several
+	multiAddr := n.multiAddr
 	cn := c.newConn(n)
-	c.done.Add(1)
+	c.goroutines.Add(1)
 	go func() {
-		defer c.done.Done()
-		sock, err := c.connect(cn, several)
+		defer c.goroutines.Done()
+		sock, err := c.connect(cn, multiAddr)
 		if err == nil {
-			cn.begin(sock)
+			cn.established(sock)
 			return
 		}
 		c.opts.Log.Info().Str("event", "connect").Str("node", n.id).Str("addr", cn.addr).Err(err).
-			Msg("a node could not be reached")
+			Msg("failed to connect to a node")
 		c.mu.Lock()
-		cn.local = netio.LocalFailure(err)
+		cn.localFailure = netio.LocalFailure(err)
 		c.mu.Unlock()
-		cn.fail()
+		cn.terminate()
 	}()
 	return cn
 }
 
-// newConn books a connection in the making; c.mu is held.
+// newConn registers a connection that is about to be opened; c.mu is held.
 func (c *Client) newConn(n *node) *conn {
-	c.conns++
+	c.openConns++
 	now := time.Now()
 	cn := &conn{
-		c: c, node: n, addr: n.addr, used: now, dialed: now, counted: true,
-		calls: map[string]*call{}, abandoned: map[string]broker.AttemptID{},
+		client: c, node: n, addr: n.addr, lastUsedAt: now, dialedAt: now, holdsSlot: true,
+		calls: map[string]*call{}, cancelled: map[string]broker.AttemptID{},
 	}
-	if n.several {
-		cn.addr = "" // the race's winner
+	if n.multiAddr {
+		cn.addr = "" // set once one of the addresses has connected
 	}
 	n.conns = append(n.conns, cn)
 	return cn
 }
 
-// SetMaxConns changes how many connections may be open over all nodes. Those beyond it stay
-// until they rest.
+// SetMaxConns changes the connection limit over all nodes. Connections beyond a lowered
+// limit stay open until they are idle.
 func (c *Client) SetMaxConns(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.opts.MaxConns = max(1, limit)
 }
 
-// Relayed is how many attempts have been written whole to nodes.
-func (c *Client) Relayed() int64 { return c.relayed.Load() }
+// WrittenAttempts returns the number of attempts that have been written to sockets whole.
+func (c *Client) WrittenAttempts() int64 { return c.writtenAttempts.Load() }
 
 // Cancel implements broker.NodeClient.
 func (c *Client) Cancel(_ string, id broker.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cl := c.where[id]
+	cl := c.callsByAttempt[id]
 	if cl == nil {
 		return
 	}
-	cn := cl.on
-	delete(c.where, id)
+	cn := cl.conn
+	delete(c.callsByAttempt, id)
 	if cn.sock != nil {
-		cn.left(cl, time.Now())
+		cn.markWritten(cl, time.Now())
 	}
-	delete(cn.calls, cl.id)
-	if cl.mate != nil && len(cl.mate) > 1 { // the call's other parts still wait for the connection
-		for i := range cl.mate {
-			if other := cn.calls[partID(&cl.mate[i])]; other != nil {
-				other.mate = cl.mate
+	delete(cn.calls, cl.partID)
+	if cl.pendingBatch != nil && len(cl.pendingBatch) > 1 { // the other parts of the batch still wait for the connection
+		for i := range cl.pendingBatch {
+			if other := cn.calls[partID(&cl.pendingBatch[i])]; other != nil {
+				other.pendingBatch = cl.pendingBatch
 				break
 			}
 		}
 	}
-	if cl.end == 0 || cn.gone || cn.spoilt {
+	if cl.frameEnd == 0 || cn.closed || cn.unusable {
 		return
 	}
-	if cn.begins(cl) {
-		cn.hangUp()
+	if cn.frameIsUnwanted(cl) {
+		cn.close()
 		return
 	}
-	cn.watchDelivery(cl)
-	cn.used = time.Now()
-	if len(cn.calls) == 0 && !cn.silent(cn.used) {
-		cn.waiting = time.Time{} // the node may answer nothing more, rightly
+	cn.abortIfUndelivered(cl)
+	cn.lastUsedAt = time.Now()
+	if len(cn.calls) == 0 && !cn.isSilent(cn.lastUsedAt) {
+		cn.unansweredSince = time.Time{} // the node need not answer anything more
 	}
-	cn.abandoned[cl.id] = cl.ID
-	if c.opts.NoCancel {
+	cn.cancelled[cl.partID] = cl.ID
+	if c.opts.DisableCancel {
 		return
 	}
-	if _, err := cn.sock.Write(appendCancel(nil, cl.id)); err != nil {
+	if _, err := cn.sock.Write(appendCancel(nil, cl.partID)); err != nil {
 		cn.sock.Close()
 	}
 }
@@ -340,19 +348,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.nodes[id]
-	if n == nil || c.shut {
+	if n == nil || c.closed {
 		c.opts.Sink.Probed(id, decide.Unreachable, 0)
 		return
 	}
-	cn := n.pick(c.opts.StreamsPerConn, nil, false)
+	cn := n.pickConn(c.opts.StreamsPerConn, nil, false)
 	if cn == nil {
 		if cn = c.dial(n); cn == nil {
 			c.opts.Sink.Probed(id, decide.NotSent, 0)
 			return
 		}
 	}
-	cn.probes = append(cn.probes, time.Now())
-	cn.used = time.Now()
+	cn.probesSentAt = append(cn.probesSentAt, time.Now())
+	cn.lastUsedAt = time.Now()
 	if cn.sock != nil {
 		if _, err := cn.sock.Write(appendProbe(nil)); err != nil {
 			cn.sock.Close()
@@ -366,19 +374,19 @@
 	defer c.mu.Unlock()
 	if n := c.nodes[id]; n != nil {
 		for _, cn := range n.conns {
-			if cn.idle() {
-				cn.ours = true
+			if cn.isIdle() {
+				cn.closedLocally = true
 				cn.sock.Close()
 			}
 		}
 	}
 }
 
-// sweep closes connections that stood idle, that lead to an address the node
-// has left, or whose bytes do not leave.
+// sweep closes connections that are idle, that lead to an address the node no longer has,
+// or whose bytes are not taken by the socket.
 func (c *Client) sweep() {
-	defer c.done.Done()
-	tick := time.NewTicker(sweepEvery)
+	defer c.goroutines.Done()
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -388,10 +396,10 @@
 			c.mu.Lock()
 			for _, n := range c.nodes {
 				for _, cn := range n.conns {
-					cn.look(now)
+					cn.checkState(now)
 				}
-				if n.several {
-					c.trials(n)
+				if n.multiAddr {
+					c.startProbation(n)
 				}
 			}
 			c.mu.Unlock()
--- a/nodeclient/conn.go
+++ b/nodeclient/conn.go
@@ -10,289 +10,296 @@
 	"onyxsail/reach"
 )
 
+// conn is one connection to a node, open or being opened. Its fields are guarded by the
+// client's mu.
 type conn struct {
-	c         *Client
-	node      *node
-	addr      string
-	sock      *netio.Conn // nil while it is being made
-	gone      bool
-	counted   bool // it takes one of the client's places
-	buf       []byte
-	calls     map[string]*call            // by the part's id
-	abandoned map[string]broker.AttemptID // given up; an answer may still come
-	dialed    time.Time                   // when its making began
-	began     time.Time                   // when the first byte of what is in buf came
-	probes    []time.Time
-	used      time.Time
-	stuck     time.Time // since when bytes have waited
-	heard     time.Time // when it was last read from
-	waiting   time.Time // since when parts wait with nothing read; zero: none do
-	spoilt    bool      // nothing more is sent on it
-	ours      bool      // we have closed it
-	blamed    bool      // the planner knows of its present silence
-	trial     bool      // its address is on trial: it carries no parts yet
-	local     bool      // it could not be made for want of something on this machine
-	last      string    // id of the latest answer
+	client            *Client
+	node              *node
+	addr              string
+	sock              *netio.Conn // nil while the connection is being opened
+	closed            bool
+	holdsSlot         bool // it counts against the client's MaxConns
+	buf               []byte
+	calls             map[string]*call            // by part id
+	cancelled         map[string]broker.AttemptID // cancelled parts whose answer may still arrive
+	dialedAt          time.Time                   // when connecting began
+	frameBeganAt      time.Time                   // when the first byte of the frame in buf arrived
+	probesSentAt      []time.Time
+	lastUsedAt        time.Time
+	writeBlockedSince time.Time // since when written bytes have waited for the socket; zero: none wait
+	lastReadAt        time.Time // time of the latest read
+	unansweredSince   time.Time // since when calls have waited with nothing read; zero: none wait
+	unusable          bool      // nothing more is sent on it
+	closedLocally     bool      // closed by this client, not by the node
+	silenceReported   bool      // the address planner has been told of the current silence
+	onProbation       bool      // its address is being tested after a suspicion; it carries no parts yet
+	localFailure      bool      // it could not be opened because of a failure on this machine
+	lastAnswerID      string    // part id of the latest answer
 }
 
-// call is one attempt that is out.
+// call is one open attempt.
 type call struct {
 	broker.Attempt
-	sent  time.Time
-	id    string
-	on    *conn
-	first int64     // position before its frame's first byte
-	end   int64     // position of its frame's last byte, 0 before it is queued
-	since time.Time // when the core sent it
-	moves int       // addresses that it was sent to before, with nothing left for them
-	gone  bool      // its last byte has left, and that is counted
-	mate  []broker.Attempt
+	sentAt      time.Time
+	partID      string
+	conn        *conn
+	frameStart  int64     // stream position before the first byte of its frame
+	frameEnd    int64     // stream position of the last byte of its frame; 0 before it is queued
+	requestedAt time.Time // when the broker core asked for it
+	resends     int       // how often it was resent to another address, with nothing written before
+	written     bool      // its frame has been written whole, and that is counted
+	// pendingBatch is the whole batch that waits for the connection, on its first call only.
+	pendingBatch []broker.Attempt
 }
 
-// release gives a connection's place back, once.
-func (cn *conn) release() {
-	if cn.counted {
-		cn.counted = false
-		cn.c.conns--
+// releaseSlot stops counting the connection against MaxConns; further calls do nothing.
+func (cn *conn) releaseSlot() {
+	if cn.holdsSlot {
+		cn.holdsSlot = false
+		cn.client.openConns--
 	}
 }
 
-// pick chooses a connection that the node has not closed. It may have, right
-// behind its last answer: a part sent there would end as a reset, and may not
-// be repeated then.
-func (n *node) pick(streams int, calls []broker.Attempt, alone bool) *conn {
+// pickConn chooses a connection that the node has not closed. A node may close a connection
+// right after its last answer: a part sent there would end in a reset, and may then not be
+// retried.
+func (n *node) pickConn(streams int, calls []broker.Attempt, exclusive bool) *conn {
 	for {
-		cn := n.choose(streams, calls, alone)
+		cn := n.findConn(streams, calls, exclusive)
 		if cn == nil || cn.sock == nil || !cn.sock.HungUp() {
 			return cn
 		}
-		cn.spoilt = true
+		cn.unusable = true
 		cn.sock.Close()
 	}
 }
 
-// choose finds a connection with room, an open one before one in the making.
-// One that has given up the same part, or still carries it, would mix up the
-// answers; one with bytes waiting may be cut off. One that is silent may be cut
-// off without a word: what is sent there would only time out. It is used again
-// once it speaks, or where so many are silent that it must be the node.
+// findConn finds a connection with room, preferring open ones to those being opened. It
+// skips connections that carry the same part or have cancelled it, as the answers could not
+// be told apart, and those with bytes waiting for the socket, as they may be closed. It
+// also skips silent ones, where a part would probably only time out: they are used again
+// once the node answers there, or if so many are silent that the node itself must be.
 //
-// alone asks for one that carries nothing at all: where a node closes
-// connections behind its answers, whatever else waits there is lost with them.
-func (n *node) choose(streams int, calls []broker.Attempt, alone bool) *conn {
-	var best, mute *conn
-	silent, now := 0, time.Now()
+// exclusive asks for a connection that carries nothing at all: if a node closes connections
+// after an answer, everything else waiting there is lost.
+func (n *node) findConn(streams int, calls []broker.Attempt, exclusive bool) *conn {
+	var best, silentConn *conn
+	silentCount, now := 0, time.Now()
 	for _, cn := range n.conns {
-		if cn.gone || cn.spoilt || cn.trial || !cn.leads() {
+		if cn.closed || cn.unusable || cn.onProbation || !cn.addrIsListed() {
 			continue
 		}
-		cn.blame(now)
-		quiet := cn.silent(now) || cn.doubtful(now)
-		if quiet {
-			silent++
+		cn.reportSilence(now)
+		suspect := cn.isSilent(now) || cn.addrIsSuspected(now)
+		if suspect {
+			silentCount++
 		}
 		if len(cn.calls)+len(calls) > max(streams, len(calls)) ||
-			len(cn.abandoned) >= maxAbandoned || cn.sock != nil && cn.sock.Backlog() > 0 ||
-			alone && len(cn.calls)+len(cn.abandoned) > 0 {
+			len(cn.cancelled) >= maxCancelledParts || cn.sock != nil && cn.sock.Backlog() > 0 ||
+			exclusive && len(cn.calls)+len(cn.cancelled) > 0 {
 			continue
 		}
 		clash := false
 		for i := range calls {
 			id := partID(&calls[i])
-			_, off := cn.abandoned[id]
-			clash = clash || off || cn.calls[id] != nil
+			_, isCancelled := cn.cancelled[id]
+			clash = clash || isCancelled || cn.calls[id] != nil
 		}
 		switch {
 		case clash:
-		case quiet:
-			mute = cn // the latest one
+		case suspect:
+			silentConn = cn // the latest one
 		case best == nil || best.sock == nil && cn.sock != nil:
 			best = cn
 		}
 	}
-	if best == nil && silent >= maxSilent {
-		return mute
+	if best == nil && silentCount >= silentConnThreshold {
+		return silentConn
 	}
 	return best
 }
 
-// silent says whether parts have waited on the connection for unusually long.
-func (cn *conn) silent(now time.Time) bool {
-	return cn.sock != nil && !cn.waiting.IsZero() && now.Sub(cn.waiting) > max(silentLeast, silentTimes*cn.node.usual)
+// isSilent reports whether calls have waited on the connection for unusually long with
+// nothing read.
+func (cn *conn) isSilent(now time.Time) bool {
+	return cn.sock != nil && !cn.unansweredSince.IsZero() && now.Sub(cn.unansweredSince) > max(minSilence, silenceFactor*cn.node.smoothedLatency)
 }
 
-// begin sends what waited for the connection.
-func (cn *conn) begin(sock *netio.Conn) {
-	cn.c.mu.Lock()
-	defer cn.c.mu.Unlock()
-	if cn.gone {
+// established takes the opened socket and sends what waited for it.
+func (cn *conn) established(sock *netio.Conn) {
+	cn.client.mu.Lock()
+	defer cn.client.mu.Unlock()
+	if cn.closed {
 		sock.Close()
 		return
 	}
 	cn.sock = sock
-	if cn.trial && !cn.try() {
+	if cn.onProbation && !cn.beginProbation() {
 		return
 	}
-	if !cn.leads() || !cn.node.listed { // nobody of the list may be there any more
-		cn.ours = true
+	if !cn.addrIsListed() || !cn.node.listed { // no listed node may be there any more
+		cn.closedLocally = true
 		sock.Close()
 		return
 	}
-	for range cn.probes {
+	for range cn.probesSentAt {
 		if _, err := cn.sock.Write(appendProbe(nil)); err != nil {
 			return
 		}
 	}
-	if cn.c.opts.Observer != nil {
+	if cn.client.opts.Observer != nil {
 		now := time.Now()
 		for _, cl := range cn.calls {
-			cn.c.opts.Observer.Wire(cl.ID, broker.WireUp, cn.addr, now)
+			cn.client.opts.Observer.Wire(cl.ID, broker.WireUp, cn.addr, now)
 		}
 	}
 	for _, cl := range cn.calls {
-		if cl.end == 0 && cl.mate != nil {
-			cn.write(cl.mate)
+		if cl.frameEnd == 0 && cl.pendingBatch != nil {
+			cn.writeCall(cl.pendingBatch)
 		}
 	}
 }
 
-// write queues one call, but for those of its parts that may not begin any more.
-// An error closes the socket, and its Closed then ends the attempts by what had
-// left.
-func (cn *conn) write(calls []broker.Attempt) {
+// writeCall queues one frame with those of the parts that may still begin. On an error it
+// closes the socket; terminate then ends the attempts according to how much of the frame
+// was written.
+func (cn *conn) writeCall(calls []broker.Attempt) {
 	now := time.Now()
-	out := calls[:0:0]
+	live := calls[:0:0]
 	for i := range calls {
 		id := partID(&calls[i])
 		cl := cn.calls[id]
-		if cl == nil || cl.ID != calls[i].ID { // given up while it waited
+		if cl == nil || cl.ID != calls[i].ID { // cancelled while it waited
 			continue
 		}
-		if cl.Late(cn.node.latest, now) {
+		if cl.Late(cn.node.latestStart, now) {
 			delete(cn.calls, id)
-			delete(cn.c.where, cl.ID)
-			cn.c.opts.Sink.Outcome(cl.ID, decide.NotSent, broker.Answer{})
+			delete(cn.client.callsByAttempt, cl.ID)
+			cn.client.opts.Sink.Outcome(cl.ID, decide.NotSent, broker.Answer{})
 			continue
 		}
-		told := calls[i]
-		told.Wait -= now.Sub(cl.since) // the node is told what is left, not what was before the connection
-		out = append(out, told)
+		remaining := calls[i]
+		remaining.Wait -= now.Sub(cl.requestedAt) // the node gets the time that remains now, without the wait for the connection
+		live = append(live, remaining)
 	}
-	if len(out) == 0 {
+	if len(live) == 0 {
 		return
 	}
-	cn.used = now
-	frame := appendCall(nil, out)
+	cn.lastUsedAt = now
+	frame := appendCall(nil, live)
 	end, err := cn.sock.Write(frame)
-	gone := end <= cn.sock.Written()
-	for i := range out {
-		if cl := cn.calls[partID(&out[i])]; cl != nil {
-			cl.first, cl.end, cl.mate, cl.sent = end-int64(len(frame)), end, nil, cn.used
-			cn.left(cl, cn.used)
+	written := end <= cn.sock.Written()
+	for i := range live {
+		if cl := cn.calls[partID(&live[i])]; cl != nil {
+			cl.frameStart, cl.frameEnd, cl.pendingBatch, cl.sentAt = end-int64(len(frame)), end, nil, cn.lastUsedAt
+			cn.markWritten(cl, cn.lastUsedAt)
 		}
 	}
-	if cn.waiting.IsZero() {
-		cn.waiting = cn.used
+	if cn.unansweredSince.IsZero() {
+		cn.unansweredSince = cn.lastUsedAt
 	}
 	if err == nil && end > cn.sock.Written() {
-		cn.watchFrame(end, out)
+		cn.limitFrameWrite(end, live)
 	}
 	if err != nil {
 		cn.sock.Close()
-	} else if !gone {
+	} else if !written {
 		cn.sock.AfterFlush(func() {
-			cn.c.mu.Lock()
-			defer cn.c.mu.Unlock()
+			cn.client.mu.Lock()
+			defer cn.client.mu.Unlock()
 			for _, cl := range cn.calls {
-				cn.left(cl, time.Now())
+				cn.markWritten(cl, time.Now())
 			}
 		})
 	}
 }
 
-// watchFrame closes the connection where a frame that waits for a full socket has not left
-// whole when one of its parts may not begin any more, and after frameWithin.
-func (cn *conn) watchFrame(end int64, calls []broker.Attempt) {
-	until := cn.used.Add(cn.c.frame)
+// limitFrameWrite closes the connection if a frame that waits for a full socket has not
+// been written whole within the frame timeout, or by the time after which one of its parts
+// may not begin.
+func (cn *conn) limitFrameWrite(end int64, calls []broker.Attempt) {
+	deadline := cn.lastUsedAt.Add(cn.client.frameTimeout)
 	for i := range calls {
-		if latest := calls[i].Latest; !latest.IsZero() && latest.Before(until) {
-			until = latest
+		if latest := calls[i].Latest; !latest.IsZero() && latest.Before(deadline) {
+			deadline = latest
 		}
 	}
-	if latest := cn.node.latest; !latest.IsZero() && latest.Before(until) {
-		until = latest
+	if latest := cn.node.latestStart; !latest.IsZero() && latest.Before(deadline) {
+		deadline = latest
 	}
-	time.AfterFunc(time.Until(until), func() {
-		cn.c.mu.Lock()
-		defer cn.c.mu.Unlock()
-		if !cn.gone && cn.sock.Written() < end {
-			cn.hangUp()
+	time.AfterFunc(time.Until(deadline), func() {
+		cn.client.mu.Lock()
+		defer cn.client.mu.Unlock()
+		if !cn.closed && cn.sock.Written() < end {
+			cn.close()
 		}
 	})
 }
 
-// left counts an attempt whose last byte has left, once, and tells the observer; c.mu is
-// held.
-func (cn *conn) left(cl *call, now time.Time) {
-	if cl.gone || cl.end == 0 || cl.end > cn.sock.Written() {
+// markWritten counts an attempt once its frame has been written whole, and notifies the
+// observer; c.mu is held.
+func (cn *conn) markWritten(cl *call, now time.Time) {
+	if cl.written || cl.frameEnd == 0 || cl.frameEnd > cn.sock.Written() {
 		return
 	}
-	cl.gone = true
-	cn.c.relayed.Add(1)
-	if cn.c.opts.Observer != nil {
-		cn.c.opts.Observer.Wire(cl.ID, broker.WireGone, cn.addr, now)
+	cl.written = true
+	cn.client.writtenAttempts.Add(1)
+	if cn.client.opts.Observer != nil {
+		cn.client.opts.Observer.Wire(cl.ID, broker.WireGone, cn.addr, now)
 	}
 }
 
-// begins says whether a part that has been given up would begin only now: its frame waits
-// for a full socket and carries nothing else that is still wanted. A node that reads
-// nothing for so long has the others that are out hang too.
-func (cn *conn) begins(cl *call) bool {
-	if cl.end <= cn.sock.Written() {
+// frameIsUnwanted reports whether the frame of a cancelled part still waits for a full
+// socket and carries nothing else that is wanted: once written, the part would begin for
+// nobody. Closing the connection then costs little, as the other parts hang at a node that
+// reads nothing anyway.
+func (cn *conn) frameIsUnwanted(cl *call) bool {
+	if cl.frameEnd <= cn.sock.Written() {
 		return false
 	}
 	for _, other := range cn.calls {
-		if other.end == cl.end {
+		if other.frameEnd == cl.frameEnd {
 			return false
 		}
 	}
 	return true
 }
 
-func (cn *conn) idle() bool {
-	return cn.sock != nil && !cn.gone && len(cn.calls) == 0 && len(cn.probes) == 0
+// isIdle reports whether the connection is open and carries no calls and no probes.
+func (cn *conn) isIdle() bool {
+	return cn.sock != nil && !cn.closed && len(cn.calls) == 0 && len(cn.probesSentAt) == 0
 }
 
 // Data implements netio.Handler.
 func (cn *conn) Data(b []byte) {
-	cn.c.mu.Lock()
-	defer cn.c.mu.Unlock()
-	if cn.gone {
+	cn.client.mu.Lock()
+	defer cn.client.mu.Unlock()
+	if cn.closed {
 		return
 	}
-	cn.used = time.Now()
-	cn.heard, cn.node.heard, cn.waiting = cn.used, cn.used, time.Time{}
-	if cn.blamed = false; cn.node.several && !cn.trial {
-		cn.c.paths.Answered(cn.node.id, cn.addr, cn.used)
+	cn.lastUsedAt = time.Now()
+	cn.lastReadAt, cn.node.lastReadAt, cn.unansweredSince = cn.lastUsedAt, cn.lastUsedAt, time.Time{}
+	if cn.silenceReported = false; cn.node.multiAddr && !cn.onProbation {
+		cn.client.multiDialer.Answered(cn.node.id, cn.addr, cn.lastUsedAt)
 	}
 	defer func() {
 		if len(cn.calls) > 0 {
-			cn.waiting = cn.used
+			cn.unansweredSince = cn.lastUsedAt
 		}
 	}()
 	if len(cn.buf) == 0 {
-		cn.began = cn.used
+		cn.frameBeganAt = cn.lastUsedAt
 	}
 	cn.buf = append(cn.buf, b...)
 	for rest := cn.buf; ; {
-		letter, body, n, err := nextFrame(rest)
+		frameType, body, n, err := nextFrame(rest)
 		if err == nil && n > 0 {
-			err = cn.frame(letter, body)
+			err = cn.handleFrame(frameType, body)
 			rest = rest[n:]
-			cn.began = cn.used
+			cn.frameBeganAt = cn.lastUsedAt
 		}
 		if err != nil {
-			cn.spoil(err)
+			cn.closeMalformed(err)
 			return
 		}
 		if n == 0 {
@@ -304,106 +311,107 @@
 	}
 }
 
-// spoil ends a connection whose stream cannot be read any further; c.mu is
-// held. Nothing that is out on it will get an answer, and all of it may have
-// run: one attempt has failed, its node's fault, and the others are called off.
-// Where nothing is out, more than an answer came behind a good one.
-func (cn *conn) spoil(err error) {
-	if cn.gone || cn.spoilt {
+// closeMalformed closes a connection whose stream cannot be parsed any further; c.mu is
+// held. None of the open calls will be answered, and any of them may have run: one attempt
+// is reported as failed by the node, the others as cancelled. If no call is open, the
+// malformed bytes followed a valid answer and nothing is reported.
+func (cn *conn) closeMalformed(err error) {
+	if cn.closed || cn.unusable {
 		return
 	}
-	cn.spoilt = true
+	cn.unusable = true
 	n, now := cn.node, time.Now()
-	if n.unsaid++; now.Sub(n.complained) >= complainEvery { // a noisy node must not flood the log
-		cn.c.opts.Log.Warn().Str("event", "frame").Str("node", n.id).Int("waiting", len(cn.calls)).Int("times", n.unsaid).
-			Err(err).Msg("a node sent what cannot be read; its connection is closed")
-		n.complained, n.unsaid = now, 0
+	if n.unloggedMalformed++; now.Sub(n.malformedLoggedAt) >= warnLogInterval { // a node that keeps sending malformed frames must not flood the log
+		cn.client.opts.Log.Warn().Str("event", "frame").Str("node", n.id).Int("waiting", len(cn.calls)).Int("times", n.unloggedMalformed).
+			Err(err).Msg("malformed frame from a node; closing its connection")
+		n.malformedLoggedAt, n.unloggedMalformed = now, 0
 	}
-	cn.drop(decide.Failed)
+	cn.abortSent(decide.Failed)
 }
 
-// drop closes the connection and ends what had left on it, the first with the
-// given outcome and the others as called off; all of it may have run.
-func (cn *conn) drop(outcome decide.Outcome) {
+// abortSent closes the connection and ends the calls that had been written whole, all of
+// which may have run: the first with the given outcome and the others as cancelled.
+func (cn *conn) abortSent(outcome decide.Outcome) {
 	written := cn.sock.Written()
-	cn.hangUp()
+	cn.close()
 	for id, cl := range cn.calls {
-		if cl.end == 0 || cl.end > written {
-			continue // never whole at the node: Closed tells it so
+		if cl.frameEnd == 0 || cl.frameEnd > written {
+			continue // not received whole by the node: terminate reports it as such
 		}
-		cn.left(cl, time.Now())
+		cn.markWritten(cl, time.Now())
 		delete(cn.calls, id)
-		delete(cn.c.where, cl.ID)
-		cn.c.opts.Sink.Outcome(cl.ID, outcome, broker.Answer{})
+		delete(cn.client.callsByAttempt, cl.ID)
+		cn.client.opts.Sink.Outcome(cl.ID, outcome, broker.Answer{})
 		outcome = decide.Cancelled
 	}
 }
 
-func (cn *conn) frame(letter byte, rest []byte) error {
-	switch letter {
+// handleFrame processes one frame from the node; an error means that the stream cannot be
+// parsed any further.
+func (cn *conn) handleFrame(frameType byte, body []byte) error {
+	switch frameType {
 	case 'R':
-		r, err := parseResult(rest)
+		r, err := parseResult(body)
 		if err != nil {
 			return err
 		}
-		cl := cn.calls[r.id]
-		late, off := cn.abandoned[r.id]
-		if cl == nil && !off && r.id != cn.last {
-			return fmt.Errorf("%w: the answer of part %.80q, which is not out", errFrame, r.id)
+		cl := cn.calls[r.partID]
+		attemptID, isCancelled := cn.cancelled[r.partID]
+		if cl == nil && !isCancelled && r.partID != cn.lastAnswerID {
+			return fmt.Errorf("%w: answer for part %.80q, which is not open", errMalformedFrame, r.partID)
 		}
-		delete(cn.abandoned, r.id)
-		if cn.last = r.id; cl == nil {
-			if off && cn.c.opts.Observer != nil {
-				cn.c.opts.Observer.Late(late, r.end, cn.heard)
+		delete(cn.cancelled, r.partID)
+		if cn.lastAnswerID = r.partID; cl == nil {
+			if isCancelled && cn.client.opts.Observer != nil {
+				cn.client.opts.Observer.Late(attemptID, r.outcome, cn.lastReadAt)
 			}
-			return nil // it was given up, or is a copy of the latest answer
+			return nil // it was cancelled, or repeats the latest answer
 		}
-		cn.left(cl, cn.heard)
-		delete(cn.calls, r.id)
-		delete(cn.c.where, cl.ID)
-		if took := cn.heard.Sub(cl.sent); cn.node.usual == 0 {
-			cn.node.usual = took
+		cn.markWritten(cl, cn.lastReadAt)
+		delete(cn.calls, r.partID)
+		delete(cn.client.callsByAttempt, cl.ID)
+		if took := cn.lastReadAt.Sub(cl.sentAt); cn.node.smoothedLatency == 0 {
+			cn.node.smoothedLatency = took
 		} else {
-			cn.node.usual += time.Duration(smooth * float64(took-cn.node.usual))
+			cn.node.smoothedLatency += time.Duration(latencySmoothing * float64(took-cn.node.smoothedLatency))
 		}
-		cn.c.opts.Sink.Outcome(cl.ID, r.end, broker.Answer{Value: r.value, Began: cn.began})
+		cn.client.opts.Sink.Outcome(cl.ID, r.outcome, broker.Answer{Value: r.value, Began: cn.frameBeganAt})
 	case 'H', 'M':
-		if cn.trial {
-			cn.stand(string(rest) == "done")
+		if cn.onProbation {
+			cn.endProbation(string(body) == "done")
 			return nil
 		}
-		if len(cn.probes) > 0 {
-			sent := cn.probes[0]
-			cn.probes = cn.probes[1:]
+		if len(cn.probesSentAt) > 0 {
+			sent := cn.probesSentAt[0]
+			cn.probesSentAt = cn.probesSentAt[1:]
 			outcome := decide.Failed
-			if string(rest) == "done" {
+			if string(body) == "done" {
 				outcome = decide.OK
 			}
-			cn.c.opts.Sink.Probed(cn.node.id, outcome, time.Since(sent))
+			cn.client.opts.Sink.Probed(cn.node.id, outcome, time.Since(sent))
 		}
 	case 'F':
-		return fmt.Errorf("a node could not use a frame of ours: %.200q", rest)
+		return fmt.Errorf("the node rejected a frame: %.200q", body)
 	default:
-		return errFrame
+		return errMalformedFrame
 	}
 	return nil
 }
 
 // Closed implements netio.Handler.
-func (cn *conn) Closed(error) { cn.fail() }
+func (cn *conn) Closed(error) { cn.terminate() }
 
-// fail ends a connection and all that is out on it. A frame whose last byte
-// the kernel had not taken cannot have been read whole, so it never ran; any
-// other may have.
-func (cn *conn) fail() {
-	cn.c.mu.Lock()
-	defer cn.c.mu.Unlock()
-	broke := cn.sock != nil && !cn.ours && !cn.gone
-	if cn.gone {
+// terminate ends a connection and all calls open on it. A frame whose last byte the kernel
+// had not taken cannot have been received whole, so it never ran; any other may have.
+func (cn *conn) terminate() {
+	cn.client.mu.Lock()
+	defer cn.client.mu.Unlock()
+	brokenByPeer := cn.sock != nil && !cn.closedLocally && !cn.closed
+	if cn.closed {
 		return
 	}
-	cn.gone = true
-	cn.release()
+	cn.closed = true
+	cn.releaseSlot()
 	for i, other := range cn.node.conns {
 		if other == cn {
 			cn.node.conns = append(cn.node.conns[:i], cn.node.conns[i+1:]...)
@@ -415,64 +423,66 @@
 		written = cn.sock.Written()
 		cn.sock.Close()
 	}
-	if now := time.Now(); cn.sock != nil && !cn.ours && (len(cn.calls) > 1 || now.Before(cn.node.shy)) {
-		cn.node.shy = now.Add(shyFor)
+	if now := time.Now(); cn.sock != nil && !cn.closedLocally && (len(cn.calls) > 1 || now.Before(cn.node.exclusiveUntil)) {
+		cn.node.exclusiveUntil = now.Add(exclusivePeriod)
 	}
-	if broke && cn.node.several {
-		cn.c.paths.Reset(cn.node.id, cn.addr, time.Now())
+	if brokenByPeer && cn.node.multiAddr {
+		cn.client.multiDialer.Reset(cn.node.id, cn.addr, time.Now())
 	}
 	for _, cl := range cn.calls {
 		if cn.sock != nil {
-			cn.left(cl, time.Now())
+			cn.markWritten(cl, time.Now())
 		}
-		delete(cn.c.where, cl.ID)
-		r := reach.Rule(reach.Cut(cl.first, cl.end, written))
-		if r.Elsewhere && cn.sock != nil && cn.move(cl) {
+		delete(cn.client.callsByAttempt, cl.ID)
+		ruling := reach.Rule(reach.Cut(cl.frameStart, cl.frameEnd, written))
+		if ruling.Elsewhere && cn.sock != nil && cn.resend(cl) {
 			continue
 		}
-		if cn.local { // tells nothing of the node
-			r.Outcome = decide.NotSent
+		if cn.localFailure { // says nothing about the node
+			ruling.Outcome = decide.NotSent
 		}
-		cn.c.opts.Sink.Outcome(cl.ID, r.Outcome, broker.Answer{})
+		cn.client.opts.Sink.Outcome(cl.ID, ruling.Outcome, broker.Answer{})
 	}
-	for _, sent := range cn.probes {
-		cn.c.opts.Sink.Probed(cn.node.id, decide.Unreachable, time.Since(sent))
+	for _, sent := range cn.probesSentAt {
+		cn.client.opts.Sink.Probed(cn.node.id, decide.Unreachable, time.Since(sent))
 	}
-	cn.calls, cn.probes = nil, nil
+	cn.calls, cn.probesSentAt = nil, nil
 }
 
-func (cn *conn) look(now time.Time) {
-	if cn.sock == nil || cn.gone || cn.spoilt {
+// checkState is called at each sweep: it closes the connection if it is silent, stalled,
+// idle for too long or no longer needed; c.mu is held.
+func (cn *conn) checkState(now time.Time) {
+	if cn.sock == nil || cn.closed || cn.unusable {
 		return
 	}
-	cn.blame(now)
-	if cn.trial && now.Sub(cn.dialed) > cn.c.opts.ConnectTimeout+deadFor {
-		cn.stand(false)
+	cn.reportSilence(now)
+	if cn.onProbation && now.Sub(cn.dialedAt) > cn.client.opts.ConnectTimeout+silentConnTimeout {
+		cn.endProbation(false)
 		return
 	}
-	if len(cn.buf) > 0 && now.Sub(cn.heard) > halfFor {
-		cn.spoil(fmt.Errorf("%w: %d bytes of one that never became whole", errFrame, len(cn.buf)))
+	if len(cn.buf) > 0 && now.Sub(cn.lastReadAt) > partialFrameTimeout {
+		cn.closeMalformed(fmt.Errorf("%w: incomplete after %d bytes", errMalformedFrame, len(cn.buf)))
 		return
 	}
-	if quiet := now.Sub(cn.waiting); cn.silent(now) && quiet > deadFor &&
-		(len(cn.calls) == 0 || cn.node.heard.Sub(cn.waiting) > deadFor) {
-		// The node speaks, but not here: a machine between may have forgotten the
-		// connection. Its parts need not wait for their time-outs.
-		cn.c.opts.Log.Info().Str("event", "silent").Str("node", cn.node.id).Int("waiting", len(cn.calls)).
-			Dur("quiet", quiet).Msg("a connection has gone silent; it is closed")
-		cn.spoilt = true
-		cn.drop(decide.Cancelled)
+	if silence := now.Sub(cn.unansweredSince); cn.isSilent(now) && silence > silentConnTimeout &&
+		(len(cn.calls) == 0 || cn.node.lastReadAt.Sub(cn.unansweredSince) > silentConnTimeout) {
+		// The node answers, but not on this connection: a firewall or NAT on the path may
+		// have dropped its state. The calls need not wait for their time-outs.
+		cn.client.opts.Log.Info().Str("event", "silent").Str("node", cn.node.id).Int("waiting", len(cn.calls)).
+			Dur("quiet", silence).Msg("closing a connection that has gone silent")
+		cn.unusable = true
+		cn.abortSent(decide.Cancelled)
 		return
 	}
 	if cn.sock.Backlog() == 0 {
-		cn.stuck = time.Time{}
-	} else if cn.stuck.IsZero() {
-		cn.stuck = now
-	}
-	idle := time.Duration(idleShare * float64(cn.c.opts.ConnIdle))
-	old := !cn.leads() || !cn.node.listed || idle > 0 && now.Sub(cn.used) > idle ||
-		len(cn.abandoned) >= maxAbandoned
-	if !cn.stuck.IsZero() && now.Sub(cn.stuck) > cn.c.frame+stuckFor-frameWithin || cn.idle() && old {
-		cn.hangUp()
+		cn.writeBlockedSince = time.Time{}
+	} else if cn.writeBlockedSince.IsZero() {
+		cn.writeBlockedSince = now
+	}
+	idleTimeout := time.Duration(idleTimeoutFraction * float64(cn.client.opts.ServerIdleTimeout))
+	expired := !cn.addrIsListed() || !cn.node.listed || idleTimeout > 0 && now.Sub(cn.lastUsedAt) > idleTimeout ||
+		len(cn.cancelled) >= maxCancelledParts
+	if !cn.writeBlockedSince.IsZero() && now.Sub(cn.writeBlockedSince) > cn.client.frameTimeout+writeStallTimeout-frameWriteTimeout || cn.isIdle() && expired {
+		cn.close()
 	}
 }
--- a/nodeclient/delivery.go
+++ b/nodeclient/delivery.go
@@ -2,38 +2,41 @@
 
 import "time"
 
-// deliveredWithin is how long a frame may take to be confirmed by the node's system. A
-// confirmation may be held back for 40 ms; a part must not begin 0.1 s after its client has
-// left.
-const deliveredWithin = 60 * time.Millisecond
+// deliveryTimeout is how long the node's kernel may take to acknowledge the frame of a
+// cancelled part. Acknowledgements may be delayed by 40 ms, and a part must not begin more
+// than 100 ms after its client has left.
+const deliveryTimeout = 60 * time.Millisecond
 
-// delivered says whether the node's system has confirmed all bytes up to a position. Where
-// our system does not tell, it counts as confirmed what has left.
-func (cn *conn) delivered(end int64) bool {
+// isDelivered reports whether the node's kernel has acknowledged all bytes up to a stream
+// position. Where the local kernel does not report acknowledgements, all bytes written
+// count as acknowledged.
+func (cn *conn) isDelivered(end int64) bool {
 	return end <= cn.sock.Written()-cn.sock.Unconfirmed()
 }
 
-// watchDelivery resets the connection where the frame of a part that has been given up is
-// not delivered in time. The system would go on to send it, and it would begin once the link
-// is back or the node reads again, for nobody. What else is out there waits as long, behind
-// it or without an answer that could come. c.mu is held.
-func (cn *conn) watchDelivery(cl *call) {
-	end := cl.end
-	if cn.delivered(end) {
+// abortIfUndelivered resets the connection if the frame of a cancelled part is not
+// acknowledged in time. The local kernel would keep retransmitting it, and the part would
+// begin for nobody once the link is back or the node reads again. The other calls on the
+// connection are stuck as well, behind that frame or without an answer that could arrive.
+// c.mu is held.
+func (cn *conn) abortIfUndelivered(cl *call) {
+	end := cl.frameEnd
+	if cn.isDelivered(end) {
 		return
 	}
-	time.AfterFunc(deliveredWithin, func() {
-		cn.c.mu.Lock()
-		defer cn.c.mu.Unlock()
-		if !cn.gone && !cn.delivered(end) {
-			cn.hangUp()
+	time.AfterFunc(deliveryTimeout, func() {
+		cn.client.mu.Lock()
+		defer cn.client.mu.Unlock()
+		if !cn.closed && !cn.isDelivered(end) {
+			cn.close()
 		}
 	})
 }
 
-// hangUp closes the connection by ourselves. What the node has not got yet it never gets.
-func (cn *conn) hangUp() {
-	cn.ours = true
+// close closes the connection from this side. Bytes that have not reached the node yet are
+// discarded.
+func (cn *conn) close() {
+	cn.closedLocally = true
 	if cn.sock.Unconfirmed() > 0 {
 		cn.sock.Abort()
 		return
--- a/nodeclient/frame.go
+++ b/nodeclient/frame.go
@@ -12,88 +12,89 @@
 	"onyxsail/decide"
 )
 
-// Bounds of what a node may send. A client's whole answer holds at most 64 KiB,
+// Bounds on what a node may send, in bytes. A client's whole answer holds at most 64 KiB,
 // so no value of a part may be larger.
 const (
-	maxValue = 64 << 10
-	maxLine  = 1 << 10
-	maxFrame = 1 + maxLine + maxValue
+	maxValueBytes = 64 << 10
+	maxLineBytes  = 1 << 10
+	maxFrameBytes = 1 + maxLineBytes + maxValueBytes
 )
 
-var errFrame = errors.New("malformed frame")
+var errMalformedFrame = errors.New("malformed frame")
 
-// result is one R frame. The report of the load, which the platform's nodes
-// leave empty, is not read.
+// result is the content of one R frame. The load report in it, which the platform's nodes
+// leave empty, is ignored.
 type result struct {
-	id    string
-	end   decide.Outcome
-	value []byte
+	partID  string
+	outcome decide.Outcome
+	value   []byte
 }
 
-// nextFrame splits the first whole frame off b. n is what it took; 0 means
-// that more is needed. What can be told from the first bytes is not waited for:
-// a length or a letter that can't be, a line that does not end.
-func nextFrame(b []byte) (letter byte, rest []byte, n int, err error) {
+// nextFrame splits the first whole frame off b. n is the number of bytes consumed; 0 means
+// that more are needed. Malformed frames are reported as early as the bytes at hand allow:
+// an impossible length or type, or a line that does not end.
+func nextFrame(b []byte) (frameType byte, body []byte, n int, err error) {
 	if len(b) < 4 {
 		return 0, nil, 0, nil
 	}
 	size := binary.BigEndian.Uint32(b)
-	if size < 1 || size > maxFrame {
-		return 0, nil, 0, fmt.Errorf("%w: length %d", errFrame, size)
+	if size < 1 || size > maxFrameBytes {
+		return 0, nil, 0, fmt.Errorf("%w: length %d", errMalformedFrame, size)
 	}
 	if len(b) < 5 {
 		return 0, nil, 0, nil
 	}
 	n = 4 + int(size)
 	head := b[5:min(n, len(b))]
-	switch letter = b[4]; letter {
+	switch frameType = b[4]; frameType {
 	case 'R':
-		if line := head[:min(maxLine, len(head))]; len(head) >= maxLine && bytes.IndexByte(line, '\n') < 0 {
-			return 0, nil, 0, fmt.Errorf("%w: a line over %d bytes", errFrame, maxLine)
+		if line := head[:min(maxLineBytes, len(head))]; len(head) >= maxLineBytes && bytes.IndexByte(line, '\n') < 0 {
+			return 0, nil, 0, fmt.Errorf("%w: line of more than %d bytes", errMalformedFrame, maxLineBytes)
 		}
 	case 'H', 'M', 'F':
-		if size > maxLine {
-			return 0, nil, 0, fmt.Errorf("%w: %q of %d bytes", errFrame, letter, size)
+		if size > maxLineBytes {
+			return 0, nil, 0, fmt.Errorf("%w: %q of %d bytes", errMalformedFrame, frameType, size)
 		}
 	default:
-		return 0, nil, 0, fmt.Errorf("%w: letter %q", errFrame, letter)
+		return 0, nil, 0, fmt.Errorf("%w: type %q", errMalformedFrame, frameType)
 	}
 	if len(b) < n {
 		return 0, nil, 0, nil
 	}
-	return letter, b[5:n], n, nil
+	return frameType, b[5:n], n, nil
 }
 
-// ends are the words for how a part ended.
-var ends = map[string]decide.Outcome{"done": decide.OK, "failed": decide.Failed, "full": decide.Rejected}
+// outcomesByWord maps the words of the protocol for how a part ended.
+var outcomesByWord = map[string]decide.Outcome{"done": decide.OK, "failed": decide.Failed, "full": decide.Rejected}
 
-// parseResult reads the rest of an R frame; the value is a copy. All of the
-// line but the report must be right: an answer of which one word is spoilt may
-// be spoilt in its value too, and that must not be served.
-func parseResult(rest []byte) (result, error) {
-	line, value, ok := bytes.Cut(rest, []byte{'\n'})
+// parseResult parses the body of an R frame; the value is a copy. Everything in the line
+// but the report must be valid: if one word of an answer is corrupt, its value may be
+// corrupt too and must not be served.
+func parseResult(body []byte) (result, error) {
+	line, value, ok := bytes.Cut(body, []byte{'\n'})
 	words := bytes.SplitN(line, []byte{' '}, 4)
 	if !ok || len(words) != 4 || len(words[0]) == 0 {
-		return result{}, fmt.Errorf("%w: result line %.80q", errFrame, line)
+		return result{}, fmt.Errorf("%w: result line %.80q", errMalformedFrame, line)
 	}
-	end, known := ends[string(words[1])]
+	outcome, known := outcomesByWord[string(words[1])]
 	if _, err := strconv.ParseFloat(string(words[2]), 64); err != nil || !known {
-		return result{}, fmt.Errorf("%w: result line %.80q", errFrame, line)
+		return result{}, fmt.Errorf("%w: result line %.80q", errMalformedFrame, line)
 	}
-	// A value stands in a JSON text to the client, so it is text. A wrong length
-	// that swallows the next frame shows by that one's length, which has a zero.
-	if len(value) > maxValue || !utf8.Valid(value) || bytes.IndexByte(value, 0) >= 0 {
-		return result{}, fmt.Errorf("%w: value of %d bytes that is no text", errFrame, len(value))
+	// A value becomes part of a JSON text for the client, so it must be text. If a wrong
+	// length makes the value swallow the next frame, that frame's own length field shows,
+	// as it contains a zero byte.
+	if len(value) > maxValueBytes || !utf8.Valid(value) || bytes.IndexByte(value, 0) >= 0 {
+		return result{}, fmt.Errorf("%w: value of %d bytes is not text", errMalformedFrame, len(value))
 	}
-	return result{string(words[0]), end, bytes.Clone(value)}, nil
+	return result{string(words[0]), outcome, bytes.Clone(value)}, nil
 }
 
-// partID is the id of a part on this wire.
+// partID returns the id of a part in frames.
 func partID(a *broker.Attempt) string { return a.Query + "." + strconv.Itoa(a.Shard) }
 
-// appendCall renders one S frame.
+// appendCall appends one S frame, which carries a batch of parts.
 func appendCall(dst []byte, calls []broker.Attempt) []byte {
-	dst, at := open(dst, 'S')
+	dst, start := beginFrame(dst, 'S')
 	for i := range calls {
 		a := &calls[i]
 		dst = append(dst, a.Query...)
@@ -112,27 +113,30 @@
 		dst = append(dst, '\n')
 		dst = append(dst, a.Text...)
 	}
-	return shut(dst, at)
+	return endFrame(dst, start)
 }
 
-// appendCancel renders one C frame.
+// appendCancel appends one C frame, which cancels a part.
 func appendCancel(dst []byte, id string) []byte {
-	dst, at := open(dst, 'C')
-	return shut(append(dst, id...), at)
+	dst, start := beginFrame(dst, 'C')
+	return endFrame(append(dst, id...), start)
 }
 
-// appendProbe renders one H frame.
+// appendProbe appends one H frame, which asks whether the node answers.
 func appendProbe(dst []byte) []byte {
-	dst, at := open(dst, 'H')
-	return shut(dst, at)
+	dst, start := beginFrame(dst, 'H')
+	return endFrame(dst, start)
 }
 
-func open(dst []byte, letter byte) ([]byte, int) {
-	at := len(dst)
-	return append(dst, 0, 0, 0, 0, letter), at
+// beginFrame appends a frame header with a length of zero, and returns the position at
+// which it starts.
+func beginFrame(dst []byte, frameType byte) ([]byte, int) {
+	start := len(dst)
+	return append(dst, 0, 0, 0, 0, frameType), start
 }
 
-func shut(dst []byte, at int) []byte {
-	binary.BigEndian.PutUint32(dst[at:], uint32(len(dst)-at-4))
+// endFrame fills in the length of the frame that starts at the given position.
+func endFrame(dst []byte, start int) []byte {
+	binary.BigEndian.PutUint32(dst[start:], uint32(len(dst)-start-4))
 	return dst
 }
--- a/nodeclient/local_test.go
+++ b/nodeclient/local_test.go
@@ -16,11 +16,12 @@
 	"onyxsail/internal/testkit"
 )
 
-// What fails on this machine for a moment, for want of a descriptor, a port, memory or a
-// route, is no node's fault and costs no attempt: the part goes out once it has passed.
-// What does not pass tells of the node only where its address may be the cause.
-func TestDialsThatFailHere(t *testing.T) {
-	const longer = 1 << 20 // times, more than there are in a connection's time
+// A dial that fails on this machine for lack of a descriptor, a port, memory or a route
+// must not be blamed on the node, nor cost the attempt if the failure is brief: the part is
+// sent once the failure has passed. A failure that lasts is reported as the node's only if
+// its address may be the cause.
+func TestLocalDialFailuresAreNotBlamedOnTheNode(t *testing.T) {
+	const longer = 1 << 20 // more failures than dials fit into the connect timeout
 	for _, c := range []struct {
 		name  string
 		err   syscall.Errno
@@ -33,8 +34,8 @@
 		{"ENOMEM", syscall.ENOMEM, 3, decide.OK},
 		{"EADDRNOTAVAIL", syscall.EADDRNOTAVAIL, 3, decide.OK},
 		{"ENETUNREACH", syscall.ENETUNREACH, 3, decide.OK},
-		{"EMFILE for long", syscall.EMFILE, longer, decide.NotSent},
-		{"ENETUNREACH for long", syscall.ENETUNREACH, longer, decide.Unreachable},
+		{"lasting EMFILE", syscall.EMFILE, longer, decide.NotSent},
+		{"lasting ENETUNREACH", syscall.ENETUNREACH, longer, decide.Unreachable},
 		{"ECONNREFUSED", syscall.ECONNREFUSED, 1, decide.Unreachable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -43,16 +44,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var left atomic.Int64
-			left.Store(c.times)
+			var failures atomic.Int64
+			failures.Store(c.times)
 			d := netio.NewDialer()
 			d.Control = func(string, string, syscall.RawConn) error {
-				if left.Add(-1) >= 0 {
+				if failures.Add(-1) >= 0 {
 					return os.NewSyscallError("connect", c.err)
 				}
 				return nil
 			}
-			s := &sink{got: map[broker.AttemptID]decide.Outcome{}}
+			s := &sink{outcomes: map[broker.AttemptID]decide.Outcome{}}
 			client := New(Options{Loop: loop, Sink: s, Dialer: d, StreamsPerConn: 8, ConnectTimeout: 250 * time.Millisecond, MaxConns: 4, Log: zerolog.New(io.Discard)})
 			t.Cleanup(func() {
 				client.Close()
@@ -61,7 +62,7 @@
 			n := testkit.NewNode(t, "n", false)
 			client.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 			client.send("n", attempt(1))
-			s.wait(t, 1, c.want)
+			s.expect(t, 1, c.want)
 			if calls := n.Calls(); c.want != decide.OK && len(calls) != 0 {
 				t.Errorf("the node got %+v", calls)
 			}
--- a/nodeclient/observe_test.go
+++ b/nodeclient/observe_test.go
@@ -14,14 +14,14 @@
 	"onyxsail/internal/testkit"
 )
 
-// watcher keeps what the client tells of its attempts.
-type watcher struct {
+// recordingObserver records the events that the client reports of its attempts.
+type recordingObserver struct {
 	mu    sync.Mutex
 	lines []string
 	at    map[string]time.Time
 }
 
-func (w *watcher) note(at time.Time, format string, args ...any) {
+func (w *recordingObserver) record(at time.Time, format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	line := fmt.Sprintf(format, args...)
@@ -29,25 +29,25 @@
 	w.at[line] = at
 }
 
-func (w *watcher) Wire(id broker.AttemptID, p broker.WirePhase, _ string, at time.Time) {
-	w.note(at, "%d %s", id, []string{"dialing", "up", "gone"}[p])
+func (w *recordingObserver) Wire(id broker.AttemptID, p broker.WirePhase, _ string, at time.Time) {
+	w.record(at, "%d %s", id, []string{"dialing", "up", "gone"}[p])
 }
-func (w *watcher) Late(id broker.AttemptID, o decide.Outcome, at time.Time) {
-	w.note(at, "%d late %d", id, o)
+func (w *recordingObserver) Late(id broker.AttemptID, o decide.Outcome, at time.Time) {
+	w.record(at, "%d late %d", id, o)
 }
-func (w *watcher) Carry(broker.AttemptID) (string, string) { return "", "" }
+func (w *recordingObserver) Carry(broker.AttemptID) (string, string) { return "", "" }
 
-func (w *watcher) text() string {
+func (w *recordingObserver) text() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return strings.Join(w.lines, ", ")
 }
 
-// The wire tells of the connection that an attempt waited for, of its last
-// byte, and of an answer after the attempt was given up.
-func TestObserverHearsTheWire(t *testing.T) {
-	c, s := client(t, 2, 0)
-	w := &watcher{at: map[string]time.Time{}}
+// The observer must see the connect that an attempt waited for, the moment at which its
+// frame was written, and an answer that arrives after the attempt was cancelled.
+func TestObserverSeesConnectWriteAndLateAnswer(t *testing.T) {
+	c, s := newClient(t, 2, 0)
+	w := &recordingObserver{at: map[string]time.Time{}}
 	c.opts.Observer = w
 	n := testkit.NewNode(t, "n", false)
 	answer := make(chan struct{})
@@ -60,7 +60,7 @@
 	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 	before := time.Now()
 	c.send("n", attempt(1))
-	s.wait(t, 1, decide.OK)
+	s.expect(t, 1, decide.OK)
 	if got := w.text(); got != "1 dialing, 1 up, 1 gone" {
 		t.Errorf("got %q", got)
 	}
@@ -69,18 +69,18 @@
 		t.Errorf("times %v", w.at)
 	}
 	w.mu.Unlock()
-	c.send("n", attempt(2)) // on the open connection
+	c.send("n", attempt(2)) // on the open connection: no connect events
 	n.Wait(t, "the part", func() bool { return len(n.Calls()) == 2 })
 	c.Cancel("n", 2)
 	close(answer)
 	testkit.Eventually(t, "the late answer", func() bool { return w.text() == "1 dialing, 1 up, 1 gone, 2 gone, 2 late 0" })
 }
 
-// While a node does not read, the last byte has not left; the observer hears
-// when it has.
-func TestObserverHearsTheLastByte(t *testing.T) {
-	c, _ := client(t, 2, 0)
-	w := &watcher{at: map[string]time.Time{}}
+// While a node does not read, the frame is not written whole; the observer is notified once
+// it is.
+func TestObserverIsNotifiedOnceTheFrameIsWritten(t *testing.T) {
+	c, _ := newClient(t, 2, 0)
+	w := &recordingObserver{at: map[string]time.Time{}}
 	c.opts.Observer = w
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -96,24 +96,24 @@
 		defer nc.Close()
 		close(up)
 		<-read
-		_, _ = io.Copy(io.Discard, nc) // until the client ends
+		_, _ = io.Copy(io.Discard, nc) // until the client closes
 	}()
 	c.Update([]broker.Node{{ID: "n", Addr: l.Addr().String()}})
 	c.mu.Lock()
-	c.frame = time.Hour // the node reads again in time, however busy the machine is
+	c.frameTimeout = time.Hour // the frame does not time out, however busy the machine is
 	c.mu.Unlock()
 	a := attempt(1)
-	a.Text = make([]byte, 6<<20) // more than the kernel takes while nobody reads
+	a.Text = make([]byte, 6<<20) // more than the kernel buffers while nobody reads
 	c.send("n", a)
 	<-up
-	testkit.Eventually(t, "the write", func() bool {
+	testkit.Eventually(t, "the frame is queued", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.where[1] != nil && c.where[1].end > 0
+		return c.callsByAttempt[1] != nil && c.callsByAttempt[1].frameEnd > 0
 	})
 	if got := w.text(); strings.Contains(got, "gone") {
-		t.Errorf("got %q though nobody read", got)
+		t.Errorf("got %q before the node read anything", got)
 	}
 	close(read)
-	testkit.Eventually(t, "the last byte", func() bool { return strings.HasSuffix(w.text(), "1 gone") })
+	testkit.Eventually(t, "the last byte is written", func() bool { return strings.HasSuffix(w.text(), "1 gone") })
 }
--- a/nodeclient/race.go
+++ b/nodeclient/race.go
@@ -10,67 +10,69 @@
 	"onyxsail/reach"
 )
 
-// Addresses are those of the nodes that have several, the preferred one first.
-func (c *Client) Addresses() map[string][]reach.View { return c.paths.Views() }
+// Addresses returns the addresses of each node that has several, the preferred one first.
+func (c *Client) Addresses() map[string][]reach.View { return c.multiDialer.Views() }
 
-// leads says whether a connection's address is still one of its node's.
-func (cn *conn) leads() bool {
+// addrIsListed reports whether the connection's address is still one of its node's.
+func (cn *conn) addrIsListed() bool {
 	n := cn.node
-	if !n.several {
+	if !n.multiAddr {
 		return cn.addr == n.addr
 	}
-	return cn.addr == "" || cn.c.paths.Has(n.id, cn.addr) // "": still being raced for
+	return cn.addr == "" || cn.client.multiDialer.Has(n.id, cn.addr) // "": still connecting to several
 }
 
-// doubtful says whether the connection's address is in doubt.
-func (cn *conn) doubtful(now time.Time) bool {
-	return cn.node.several && cn.addr != "" && cn.c.paths.Doubtful(cn.node.id, cn.addr, now)
+// addrIsSuspected reports whether the connection's address is under suspicion.
+func (cn *conn) addrIsSuspected(now time.Time) bool {
+	return cn.node.multiAddr && cn.addr != "" && cn.client.multiDialer.Doubtful(cn.node.id, cn.addr, now)
 }
 
-// blame tells once of a silence on the connection; c.mu is held.
-func (cn *conn) blame(now time.Time) {
-	if n := cn.node; n.several && !cn.blamed && cn.silent(now) {
-		cn.blamed = true
-		cn.c.paths.Silent(n.id, cn.addr, cn.waiting, now)
+// reportSilence reports each silence on the connection to the address planner once; c.mu is
+// held.
+func (cn *conn) reportSilence(now time.Time) {
+	if n := cn.node; n.multiAddr && !cn.silenceReported && cn.isSilent(now) {
+		cn.silenceReported = true
+		cn.client.multiDialer.Silent(n.id, cn.addr, cn.unansweredSince, now)
 	}
 }
 
-// trials starts the trial of an address in doubt, where one is due; c.mu is held.
-func (c *Client) trials(n *node) {
-	if !n.listed || c.shut || c.conns >= c.opts.MaxConns {
+// startProbation opens a connection to test a suspected address, if one is due; c.mu is
+// held.
+func (c *Client) startProbation(n *node) {
+	if !n.listed || c.closed || c.openConns >= c.opts.MaxConns {
 		return
 	}
-	r := c.paths.Trial(n.id)
-	if r == nil {
+	race := c.multiDialer.Trial(n.id)
+	if race == nil {
 		return
 	}
 	cn := c.newConn(n)
-	cn.trial = true
-	c.done.Add(1)
+	cn.onProbation = true
+	c.goroutines.Add(1)
 	go func() {
-		defer c.done.Done()
-		nc, addr, err := c.paths.Run(c.ctx, r)
+		defer c.goroutines.Done()
+		netConn, addr, err := c.multiDialer.Run(c.ctx, race)
 		if err != nil {
-			cn.fail()
+			cn.terminate()
 			return
 		}
 		c.mu.Lock()
 		cn.addr = addr
 		c.mu.Unlock()
-		if sock, err := c.opts.Loop.Attach(nc, cn, nil); err == nil {
-			cn.begin(sock)
+		if sock, err := c.opts.Loop.Attach(netConn, cn, nil); err == nil {
+			cn.established(sock)
 		} else {
-			cn.fail()
+			cn.terminate()
 		}
 	}()
 }
 
-// try begins a trial on an open connection: a probe, where nodes answer them,
-// else that it came up is all the proof there is. It says whether the connection
-// goes on. c.mu is held.
-func (cn *conn) try() bool {
-	if !cn.c.opts.Probes {
-		return cn.stand(true)
+// beginProbation begins to test the address over an open connection: by a probe if nodes
+// answer them, otherwise having connected is all the proof available. It reports whether
+// the connection is kept. c.mu is held.
+func (cn *conn) beginProbation() bool {
+	if !cn.client.opts.ProbesSupported {
+		return cn.endProbation(true)
 	}
 	if _, err := cn.sock.Write(appendProbe(nil)); err != nil {
 		cn.sock.Close()
@@ -79,41 +81,41 @@
 	return true
 }
 
-// stand ends a trial, and says whether the connection goes on, for parts then;
-// c.mu is held.
-func (cn *conn) stand(ok bool) bool {
+// endProbation ends the test of an address, and reports whether the connection is kept, for
+// parts from now on; c.mu is held.
+func (cn *conn) endProbation(ok bool) bool {
 	now := time.Now()
-	cn.trial = false
+	cn.onProbation = false
 	if ok {
-		cn.c.paths.Proved(cn.node.id, cn.addr, now)
+		cn.client.multiDialer.Proved(cn.node.id, cn.addr, now)
 		return true
 	}
-	cn.c.paths.Silent(cn.node.id, cn.addr, cn.dialed, now)
-	cn.ours = true
+	cn.client.multiDialer.Silent(cn.node.id, cn.addr, cn.dialedAt, now)
+	cn.closedLocally = true
 	cn.sock.Close()
 	return false
 }
 
-// move sends a part of which nothing has left over another connection of its
-// node, within the same attempt; false where it can't be. c.mu is held.
-func (cn *conn) move(cl *call) bool {
-	n, c := cn.node, cn.c
+// resend sends a part of which nothing was written over another connection to its node,
+// within the same attempt; it reports whether it could. c.mu is held.
+func (cn *conn) resend(cl *call) bool {
+	n, c := cn.node, cn.client
 	a := cl.Attempt
-	a.Wait -= time.Since(cl.since)
-	if !n.several || !n.listed || c.shut || cl.moves >= c.paths.Count(n.id) || a.Wait <= 0 {
+	a.Wait -= time.Since(cl.requestedAt)
+	if !n.multiAddr || !n.listed || c.closed || cl.resends >= c.multiDialer.Count(n.id) || a.Wait <= 0 {
 		return false
 	}
-	c.sendTo(n.id, []broker.Attempt{a}, cl.moves+1)
+	c.sendTo(n.id, []broker.Attempt{a}, cl.resends+1)
 	return true
 }
 
-// connect makes a connection's socket.
-func (c *Client) connect(cn *conn, several bool) (*netio.Conn, error) {
-	var nc net.Conn
+// connect opens the socket of a connection.
+func (c *Client) connect(cn *conn, multiAddr bool) (*netio.Conn, error) {
+	var netConn net.Conn
 	var err error
-	if several {
+	if multiAddr {
 		var addr string
-		if nc, addr, err = c.paths.Dial(c.ctx, cn.node.id); err == nil {
+		if netConn, addr, err = c.multiDialer.Dial(c.ctx, cn.node.id); err == nil {
 			c.mu.Lock()
 			cn.addr = addr
 			c.mu.Unlock()
@@ -121,10 +123,10 @@
 	} else {
 		ctx, cancel := context.WithTimeout(c.ctx, c.opts.ConnectTimeout)
 		defer cancel()
-		nc, err = c.opts.Dialer.DialOnly(ctx, "tcp", cn.addr)
+		netConn, err = c.opts.Dialer.DialOnly(ctx, "tcp", cn.addr)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return c.opts.Loop.Attach(nc, cn, nil)
+	return c.opts.Loop.Attach(netConn, cn, nil)
 }
--- a/nodeclient/race_test.go
+++ b/nodeclient/race_test.go
@@ -16,8 +16,8 @@
 	"onyxsail/internal/testkit"
 )
 
-// refusing is an address at which nobody listens.
-func refusing(t *testing.T) string {
+// refusingAddr returns an address on which nobody listens.
+func refusingAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "[::1]:0")
 	if err != nil {
@@ -27,9 +27,8 @@
 	return l.Addr().String()
 }
 
-// blackHole is an address at which connections never come up: its queue of
-// those that wait to be accepted is full.
-func blackHole(t *testing.T) string {
+// blackHoleAddr returns an address at which connects hang, as the listen backlog is full.
+func blackHoleAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -54,19 +53,20 @@
 		}
 		t.Cleanup(func() { _ = nc.Close() })
 	}
-	t.Fatal("the queue takes all")
+	t.Fatal("the listen backlog does not fill up")
 	return ""
 }
 
-// mute is an address that accepts and never says a word; it counts what came.
-func mute(t *testing.T) (string, *atomic.Int64) {
+// silentAddr returns an address that accepts connections and never answers, and the count
+// of bytes received there.
+func silentAddr(t *testing.T) (string, *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "[::1]:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	n := &atomic.Int64{}
+	received := &atomic.Int64{}
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -78,7 +78,7 @@
 				b := make([]byte, 1<<10)
 				for {
 					k, err := nc.Read(b)
-					n.Add(int64(k))
+					received.Add(int64(k))
 					if err != nil {
 						return
 					}
@@ -86,17 +86,17 @@
 			}()
 		}
 	}()
-	return l.Addr().String(), n
+	return l.Addr().String(), received
 }
 
-// list tells the client of one node with these addresses.
-func (c *Client) list(addrs ...string) {
+// setAddrs gives the client one node with these addresses.
+func (c *Client) setAddrs(addrs ...string) {
 	c.Update([]broker.Node{{ID: "n", Addr: addrs[0], Addrs: addrs}})
 }
 
-// A first address that refuses, black-holes or is a stale path costs a part
-// little and no second run; the good one is preferred from then on.
-func TestFirstAddressIsDead(t *testing.T) {
+// A first address that refuses, black-holes or is a stale path must delay a part only
+// little and not make it run twice; the working address is preferred from then on.
+func TestDeadFirstAddressIsSkipped(t *testing.T) {
 	dir := t.TempDir()
 	stale, plain := filepath.Join(dir, "stale"), filepath.Join(dir, "plain")
 	l, err := net.Listen("unix", stale)
@@ -109,16 +109,16 @@
 		t.Fatal(err)
 	}
 	for name, first := range map[string]string{
-		"refuses": refusing(t), "black hole": blackHole(t), "stale path": "unix:" + stale, "plain file": "unix:" + plain, "no path": "unix:" + dir + "/none",
+		"refuses": refusingAddr(t), "black hole": blackHoleAddr(t), "stale path": "unix:" + stale, "plain file": "unix:" + plain, "no path": "unix:" + dir + "/none",
 	} {
 		t.Run(name, func(t *testing.T) {
-			c, s := client(t, 1, 0)
+			c, s := newClient(t, 1, 0)
 			n := testkit.NewNode(t, "n", false)
 			good := n.Also(t, "unix", filepath.Join(t.TempDir(), "n"))
-			c.list(first, good, n.Addr)
+			c.setAddrs(first, good, n.Addr)
 			for id := 1; id <= 3; id++ {
 				c.send("n", attempt(id))
-				s.wait(t, broker.AttemptID(id), decide.OK)
+				s.expect(t, broker.AttemptID(id), decide.OK)
 			}
 			if calls := n.Calls(); len(calls) != 3 {
 				t.Errorf("%d parts ran, want 3", len(calls))
@@ -130,119 +130,120 @@
 	}
 }
 
-// All addresses down, then one back.
-func TestAllDownThenOneBack(t *testing.T) {
-	c, s := client(t, 1, 0)
+// A node all of whose addresses were down is reached again once one of them is back, and
+// the failed connects no longer count against the pool.
+func TestAddressBackAfterAllWereDown(t *testing.T) {
+	c, s := newClient(t, 1, 0)
 	path := filepath.Join(t.TempDir(), "n")
-	c.list(refusing(t), "unix:"+path)
+	c.setAddrs(refusingAddr(t), "unix:"+path)
 	c.send("n", attempt(1))
-	s.wait(t, 1, decide.Unreachable)
+	s.expect(t, 1, decide.Unreachable)
 	n := testkit.NewNode(t, "n", false)
 	n.Also(t, "unix", path)
 	c.send("n", attempt(2))
-	s.wait(t, 2, decide.OK)
-	if c.open() != 1 {
-		t.Errorf("%d connections are counted, want 1", c.open())
+	s.expect(t, 2, decide.OK)
+	if c.connCount() != 1 {
+		t.Errorf("%d connections count against the pool, want 1", c.connCount())
 	}
 }
 
-// An address that accepts and stalls: what was sent there is not sent again
-// within its attempt, and later parts go over another address.
-func TestAcceptsAndStalls(t *testing.T) {
-	c, s := client(t, 1, 0)
+// A part sent to an address that accepts and then stalls is not sent again within its
+// attempt, as it may have run, and later parts go to another address.
+func TestStalledAddressIsAvoided(t *testing.T) {
+	c, s := newClient(t, 1, 0)
 	n := testkit.NewNode(t, "n", false)
-	stalls, got := mute(t)
-	c.list(stalls, n.Addr)
+	stalled, received := silentAddr(t)
+	c.setAddrs(stalled, n.Addr)
 	c.send("n", attempt(1))
-	testkit.Eventually(t, "the part at the stalled address", func() bool { return got.Load() > 0 })
-	testkit.Eventually(t, "a part that is served", func() bool {
+	testkit.Eventually(t, "the part arrives at the stalled address", func() bool { return received.Load() > 0 })
+	testkit.Eventually(t, "the silence is reported", func() bool {
 		c.mu.Lock()
-		silent := len(c.nodes["n"].conns) > 0 && c.nodes["n"].conns[0].blamed
+		silent := len(c.nodes["n"].conns) > 0 && c.nodes["n"].conns[0].silenceReported
 		c.mu.Unlock()
 		return silent
 	})
 	for id := 2; id <= 5; id++ {
 		c.send("n", attempt(id))
-		s.wait(t, broker.AttemptID(id), decide.OK)
+		s.expect(t, broker.AttemptID(id), decide.OK)
 	}
 	for _, call := range n.Calls() {
 		if call.Shard == 1 {
 			t.Error("the part that may have run was sent again")
 		}
 	}
-	// The node speaks elsewhere: what waits on the silent connection is called off.
-	testkit.Eventually(t, "the end of the first part", func() bool {
+	// The node answers elsewhere: the calls on the silent connection are cancelled.
+	testkit.Eventually(t, "the first part ends", func() bool {
 		c.send("n", attempt(100+int(time.Now().UnixNano()%1e6)))
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		o, ok := s.got[1]
+		o, ok := s.outcomes[1]
 		return ok && o == decide.Cancelled
 	})
 }
 
-// A node that loses an address in the list gets nothing there any more, and
-// one that leaves is not dialled.
-func TestAddressesChange(t *testing.T) {
-	c, s := client(t, 1, 0)
+// An address that is removed from the list gets no more parts, and a node that is removed
+// is not dialled.
+func TestRemovedAddressGetsNoParts(t *testing.T) {
+	c, s := newClient(t, 1, 0)
 	old, n := testkit.NewNode(t, "n", false), testkit.NewNode(t, "n", false)
 	second := n.Also(t, "tcp", "[::1]:0")
-	c.list(old.Addr, second)
+	c.setAddrs(old.Addr, second)
 	c.send("n", attempt(1))
-	s.wait(t, 1, decide.OK)
-	c.list(n.Addr, second)
+	s.expect(t, 1, decide.OK)
+	c.setAddrs(n.Addr, second)
 	for id := 2; id <= 4; id++ {
 		c.send("n", attempt(id))
-		s.wait(t, broker.AttemptID(id), decide.OK)
+		s.expect(t, broker.AttemptID(id), decide.OK)
 	}
 	if len(old.Calls()) != 1 || len(n.Calls()) != 3 {
-		t.Errorf("%d parts at the address that went, %d at the others", len(old.Calls()), len(n.Calls()))
+		t.Errorf("%d parts at the removed address, %d at the others", len(old.Calls()), len(n.Calls()))
 	}
 	c.Update(nil)
 	c.send("n", attempt(5))
-	s.wait(t, 5, decide.Unreachable)
-	testkit.Eventually(t, "the end of its connections", func() bool { return c.open() == 0 })
+	s.expect(t, 5, decide.Unreachable)
+	testkit.Eventually(t, "its connections are closed", func() bool { return c.connCount() == 0 })
 	if views := c.Addresses()["n"]; views != nil {
-		t.Errorf("still known: %v", views)
+		t.Errorf("removed node still has addresses: %v", views)
 	}
 }
 
-// A node with one address has no place in the planner.
-func TestOneAddressAsBefore(t *testing.T) {
-	c, s := client(t, 1, 0)
+// A node with one address is not handed to the address planner.
+func TestSingleAddressNodeBypassesThePlanner(t *testing.T) {
+	c, s := newClient(t, 1, 0)
 	n := testkit.NewNode(t, "n", false)
 	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 	c.send("n", attempt(1))
-	s.wait(t, 1, decide.OK)
+	s.expect(t, 1, decide.OK)
 	if len(c.Addresses()) > 0 {
-		t.Error("the planner knows it")
+		t.Error("the planner has addresses")
 	}
 }
 
-// An address in doubt is tried beside the work, by a probe; once it answers it
-// is trusted again, and while it does not it carries no part.
-func TestTrialsBesideTheWork(t *testing.T) {
-	c, s := client(t, 1, 0)
+// A suspected address is tested by probes while the node is served over another one; it is
+// trusted again once it answers, and carries no part until then.
+func TestSuspectedAddressIsTestedByProbes(t *testing.T) {
+	c, s := newClient(t, 1, 0)
 	c.mu.Lock()
-	c.opts.Probes = true
+	c.opts.ProbesSupported = true
 	c.mu.Unlock()
 	n := testkit.NewNode(t, "n", false)
 	path := filepath.Join(t.TempDir(), "n")
-	c.list("unix:"+path, n.Addr) // nobody listens at the path yet
+	c.setAddrs("unix:"+path, n.Addr) // nobody listens on the path yet
 	c.send("n", attempt(1))
-	s.wait(t, 1, decide.OK)
+	s.expect(t, 1, decide.OK)
 	if views := c.Addresses()["n"]; views[1].Why != "in-doubt" {
 		t.Fatalf("order %+v", views)
 	}
 	n.Also(t, "unix", path)
-	testkit.Eventually(t, "the trial", func() bool { return c.Addresses()["n"][1].Why == "proven" })
+	testkit.Eventually(t, "the suspected address passes its test", func() bool { return c.Addresses()["n"][1].Why == "proven" })
 	if views := c.Addresses()["n"]; views[0].Text != n.Addr || len(n.Calls()) != 1 {
 		t.Errorf("order %+v after %d parts", views, len(n.Calls()))
 	}
 	c.send("n", attempt(2))
-	s.wait(t, 2, decide.OK)
+	s.expect(t, 2, decide.OK)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.probes) != 0 {
-		t.Errorf("the module heard of %d trials as probes", len(s.probes))
+		t.Errorf("%d address tests were reported to the decision module as probes", len(s.probes))
 	}
 }
--- a/nodeclient/wait_test.go
+++ b/nodeclient/wait_test.go
@@ -14,8 +14,8 @@
 	"onyxsail/internal/testkit"
 )
 
-// held is a client whose connects wait until they are let go.
-func held(t *testing.T) (c *Client, s *sink, letGo func()) {
+// clientWithHeldConnects returns a client whose connects block until release is called.
+func clientWithHeldConnects(t *testing.T) (c *Client, s *sink, release func()) {
 	t.Helper()
 	loop, err := netio.New(1 << 20)
 	if err != nil {
@@ -27,28 +27,28 @@
 		<-gate
 		return nil
 	}
-	s = &sink{got: map[broker.AttemptID]decide.Outcome{}}
+	s = &sink{outcomes: map[broker.AttemptID]decide.Outcome{}}
 	c = New(Options{Loop: loop, Sink: s, Dialer: d, StreamsPerConn: 8, ConnectTimeout: 20 * time.Second, MaxConns: 4, Log: zerolog.New(io.Discard)})
 	open := false
-	letGo = func() {
+	release = func() {
 		if !open {
 			open = true
 			close(gate)
 		}
 	}
 	t.Cleanup(func() {
-		letGo()
+		release()
 		c.Close()
 		loop.Stop()
 	})
-	return c, s, letGo
+	return c, s, release
 }
 
-// What waits for a connection past the time in which it may begin, a repeat past its
-// class's window or the work for a node whose drain has been told, is not sent and
-// never ran; what goes with it in one call is.
-func TestNothingBeginsLate(t *testing.T) {
-	c, s, letGo := held(t)
+// A part that waits for a connection past its latest start, as a retry after its class's
+// window or for a node that is draining, must not be sent and counts as never run; a part
+// in the same call that may still begin is sent.
+func TestPartsPastTheirLatestStartAreNotSent(t *testing.T) {
+	c, s, release := clientWithHeldConnects(t)
 	n, drained, gone, moved := testkit.NewNode(t, "n", false), testkit.NewNode(t, "drained", false),
 		testkit.NewNode(t, "gone", false), testkit.NewNode(t, "moved", false)
 	list := []broker.Node{{ID: "n", Addr: n.Addr}, {ID: "drained", Addr: drained.Addr}, {ID: "gone", Addr: gone.Addr}, {ID: "moved", Addr: moved.Addr}}
@@ -62,11 +62,11 @@
 	elsewhere := testkit.NewNode(t, "moved", false)
 	list[1].Latest, list[3].Addr = time.Now(), elsewhere.Addr
 	c.Update([]broker.Node{list[0], list[1], list[3]})
-	letGo()
+	release()
 	for id, want := range map[broker.AttemptID]decide.Outcome{
 		1: decide.NotSent, 2: decide.OK, 3: decide.NotSent, 4: decide.Unreachable, 5: decide.Unreachable,
 	} {
-		s.wait(t, id, want)
+		s.expect(t, id, want)
 	}
 	if calls := n.Calls(); len(calls) != 1 || calls[0].Shard != 2 {
 		t.Errorf("the node got %+v", calls)
@@ -77,38 +77,39 @@
 		}
 	}
 	late.ID = 6
-	c.send("n", late) // on an open connection too
-	s.wait(t, 6, decide.NotSent)
+	c.send("n", late) // also on an open connection
+	s.expect(t, 6, decide.NotSent)
 }
 
-// A node is told the time that is left when the frame leaves, not what was left before it
-// waited for its connection.
-func TestNodeIsToldWhatIsLeft(t *testing.T) {
+// A node must be given the time that remains when the frame is written, not what remained
+// before the part waited for its connection.
+func TestNodeGetsTheRemainingTime(t *testing.T) {
 	const waited = 20 * time.Second
-	c, s, letGo := held(t)
+	c, s, release := clientWithHeldConnects(t)
 	n := testkit.NewNode(t, "n", false)
 	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 	c.Send("n", []broker.Attempt{attempt(1), attempt(2)})
 	c.mu.Lock()
-	for _, cl := range c.where {
-		cl.since = cl.since.Add(-waited)
+	for _, cl := range c.callsByAttempt {
+		cl.requestedAt = cl.requestedAt.Add(-waited)
 	}
 	c.mu.Unlock()
-	letGo()
-	s.wait(t, 1, decide.OK)
-	s.wait(t, 2, decide.OK)
+	release()
+	s.expect(t, 1, decide.OK)
+	s.expect(t, 2, decide.OK)
 	for _, call := range n.Calls() {
 		if most := attempt(1).Wait - waited; call.Wait > most {
-			t.Errorf("part %d: told %v, want %v at most", call.Shard, call.Wait, most)
+			t.Errorf("part %d: given %v, want %v at most", call.Shard, call.Wait, most)
 		}
 	}
 }
 
-// A part that is given up while it waits, and sent again by another attempt to the same
-// node, leaves once: what went with the first attempt must not take it along.
-func TestPartSentAnewWhileItsConnectionIsMade(t *testing.T) {
-	for range 8 { // whichever of the two calls leaves first
-		c, s, letGo := held(t)
+// A part that is cancelled while its connection is being opened, and sent again by another
+// attempt to the same node, must be sent once: the batch of the first attempt must not
+// include it again.
+func TestRepeatedPartIsSentOnceWhileConnecting(t *testing.T) {
+	for range 8 { // either of the two calls may be written first
+		c, s, release := clientWithHeldConnects(t)
 		n := testkit.NewNode(t, "n", false)
 		c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 		c.Send("n", []broker.Attempt{attempt(1), attempt(2)})
@@ -116,10 +117,10 @@
 		again := attempt(1)
 		again.ID = 3
 		c.send("n", again)
-		letGo()
-		s.wait(t, 2, decide.OK)
-		s.wait(t, 3, decide.OK)
-		c.Probe("n") // answered behind all that has left
+		release()
+		s.expect(t, 2, decide.OK)
+		s.expect(t, 3, decide.OK)
+		c.Probe("n") // answered after everything that was sent
 		testkit.Eventually(t, "the probe is answered", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
