--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -289,8 +289,8 @@
 	}
 	heard, deliver := d.seen.source(end)
 	client := discovery.New(discovery.Options{
-		Addr: addr, Zones: d.cfg.Zones, Kinds: d.cfg.Kinds, Log: d.log, Heard: heard, Deliver: deliver,
-		Known: known, Brokers: brokers, Seed: d.cfg.Seed, Told: told,
+		Addr: addr, Zones: d.cfg.Zones, Kinds: d.cfg.Kinds, Log: d.log, OnAnswer: heard, Deliver: deliver,
+		KnownVersion: known, Brokers: brokers, Seed: d.cfg.Seed, PropagationLimit: told,
 	})
 	d.wg.Add(1)
 	go func() {
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of nodes: it fetches the whole list once
-// and then watches for changes.
+// Package discovery follows the list of nodes: it fetches the full list once and then
+// watches for changes by long polls.
 package discovery
 
 import (
@@ -21,124 +21,130 @@
 )
 
 const (
-	maxList  = 8 << 20
-	watchFor = 20 * time.Second
-	// dialWithin and answerWithin bound a call that does not wait, the second in all.
-	dialWithin   = time.Second
-	answerWithin = 2 * time.Second
-	// queuedFor is how long a refused call must have taken to have stood in a queue.
-	queuedFor = answerWithin / 2
-	// A watch may fall silent, and then tells nothing for as long as it is waited for.
-	// What it misses counts as told 2 s after that: it is late this much after its wait,
-	// and opened anew within so much more.
-	watchSlack = time.Second
-	anew       = 100 * time.Millisecond
-	// Where calls cost nothing they wait this long, and are late after so much more, so
-	// that a silent one is soon opened anew.
-	freeWatch = time.Second
-	freeSlack = 500 * time.Millisecond
-	// Where they do cost, they wait longer the more brokers ask, this long for each and
-	// leastWatch: a silent watch of that is known of, and opened anew, less than 6 s after
-	// it began.
-	watchEach  = 200 * time.Millisecond
-	leastWatch = 3 * time.Second
-	// spare is kept of the time in which a change must be known: for the answer's way,
-	// and the list's into use.
-	spare = 750 * time.Millisecond
+	maxListBytes = 8 << 20          // maximum size of an answer's body
+	maxWatch     = 20 * time.Second // longest wait that a watch asks for
+	// dialTimeout bounds connecting, and requestTimeout a whole request for the full list.
+	dialTimeout    = time.Second
+	requestTimeout = 2 * time.Second
+	// queuedRefusalTime is how long a refused request must have taken to count as refused
+	// from discovery's queue, rather than at once.
+	queuedRefusalTime = requestTimeout / 2
+	// A watch may fall silent, and tells nothing for the rest of its wait. A change that it
+	// misses counts as delivered 2 s after the end of the wait: the watch times out
+	// watchGrace after its wait, and is reopened within maxReopenDelay of that.
+	watchGrace     = time.Second
+	maxReopenDelay = 100 * time.Millisecond
+	// Where brokers do not share a discovery of limited capacity, a watch asks to wait for
+	// uncontendedWatch and times out uncontendedWatchGrace later, so that a silent one is
+	// soon reopened.
+	uncontendedWatch      = time.Second
+	uncontendedWatchGrace = 500 * time.Millisecond
+	// Where brokers do share it, a watch waits for watchPerBroker times their number, from
+	// minWatch to maxWatch. A silent watch of minWatch is noticed and reopened less than 6
+	// s after it began.
+	watchPerBroker = 200 * time.Millisecond
+	minWatch       = 3 * time.Second
+	// propagationMargin is the part of the propagation limit that is reserved for the
+	// transfer of an answer and for putting the list into use.
+	propagationMargin = 750 * time.Millisecond
 )
 
-// errSilent is the end of a watch that did not say a word within its time.
-var errSilent = errors.New("the watch has fallen silent")
+// errWatchSilent reports a watch on which nothing arrived within its time.
+var errWatchSilent = errors.New("the watch has fallen silent")
 
-// statusError is discovery's own word that it does not answer.
+// statusError is an HTTP status with which discovery refused a request.
 type statusError int
 
+// Error implements error.
 func (s statusError) Error() string { return fmt.Sprintf("calling discovery: status %d", int(s)) }
 
-// away is the longest that a broker may leave discovery alone after a call that has
-// failed, where a change must be known within told of the moment at which it could be
-// reached: the call that is out then must come to its end before.
-func away(told time.Duration) time.Duration { return max(told/4, told-answerWithin-spare) }
+// maxPauseFor returns the longest pause after a failed request that keeps to a propagation
+// limit, counted from the moment at which discovery can be reached again: a request that is
+// open at that moment must time out first.
+func maxPauseFor(limit time.Duration) time.Duration {
+	return max(limit/4, limit-requestTimeout-propagationMargin)
+}
 
-// Options make a Client.
+// Options configures a Client.
 type Options struct {
-	Addr         string
-	Zones, Kinds []string
-	// Known is the version of the list in hand from this discovery; nil: none
-	// is, and the whole list is asked for.
-	Known   *int64
-	Brokers int // that share a discovery of scarce room; 0: its answers cost nothing
-	// Told is how soon a change must be known once discovery has it and can be reached,
-	// also after calls that have failed.
-	Told time.Duration
-	Seed uint64 // different at each broker
-	// Heard is called at each answer, one without news too; it may be nil.
-	Heard   func()
+	Addr         string   // host:port of discovery
+	Zones, Kinds []string // names in the settings; a node's zone and kind are indexes into them
+	// KnownVersion is the version of the list from this discovery that the broker already
+	// has; nil: it has none, and the full list is fetched.
+	KnownVersion *int64
+	Brokers      int // brokers that share a discovery of limited capacity; 0: capacity is no concern
+	// PropagationLimit is the time within which a change must be known once discovery has
+	// it and can be reached, also after requests that have failed.
+	PropagationLimit time.Duration
+	Seed             uint64 // different at each broker
+	// OnAnswer is called at each answer, including those without changes; it may be nil.
+	OnAnswer func()
+	// Deliver is called with each full list and each change.
 	Deliver func(broker.Roster)
 	Log     zerolog.Logger
 }
 
-// Client follows the list. It keeps one connection.
+// Client follows the list over a single connection.
 type Client struct {
-	opts    Options
-	conn    net.Conn
-	parser  http1.Parser
-	version int64 // of the latest answer
-	whole   bool  // a full list is in hand
-	silent  bool  // the latest call was a watch that fell silent
+	opts            Options
+	conn            net.Conn
+	parser          http1.Parser
+	version         int64 // of the latest answer
+	hasFullList     bool  // the broker has a full list, to which changes apply
+	lastWatchSilent bool  // the latest request was a watch that fell silent
 }
 
-// New returns a client that Run starts.
+// New returns a client; Run starts it.
 func New(o Options) *Client {
 	c := &Client{opts: o}
-	if o.Known != nil {
-		c.version, c.whole = *o.Known, true
+	if o.KnownVersion != nil {
+		c.version, c.hasFullList = *o.KnownVersion, true
 	}
 	return c
 }
 
-// Run follows the list until ctx ends. A list in hand is carried on from its
-// version: each line of a whole list costs discovery work, and brokers that
-// start together would keep it from telling changes to anybody. The next call goes out as soon as an
-// answer is read, which keeps the watch going: a call over 200 ms later would
-// begin a new one.
+// Run follows the list until ctx ends. A known list is continued from its version: each
+// line of a full list costs discovery work, and brokers that start together would keep it
+// from delivering changes to anyone. The next request is sent as soon as an answer has been
+// read, which continues the watch: discovery counts a request more than 200 ms later as a
+// new watch.
 func (c *Client) Run(ctx context.Context) {
-	defer c.hangUp()
-	pace := NewPace(c.opts.Brokers, away(c.opts.Told), c.opts.Seed)
-	if c.whole && !sleep(ctx, pace.Start()) {
+	defer c.closeConn()
+	pace := NewBackoff(c.opts.Brokers, maxPauseFor(c.opts.PropagationLimit), c.opts.Seed)
+	if c.hasFullList && !sleep(ctx, pace.StartDelay()) {
 		return
 	}
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := c.step(ctx)
+		err := c.poll(ctx)
 		if err == nil {
-			pace.Answered()
-			c.silent = false
+			pace.Reset()
+			c.lastWatchSilent = false
 			continue
 		}
-		c.hangUp()
+		c.closeConn()
 		if ctx.Err() != nil {
 			return
 		}
-		pause := pace.Anew()
-		if again := c.silent; !errors.Is(err, errSilent) || again {
-			pause = pace.Failed(overbooked(err, time.Since(began)))
+		pause := pace.ReopenDelay()
+		if silentAgain := c.lastWatchSilent; !errors.Is(err, errWatchSilent) || silentAgain {
+			pause = pace.NextPause(isQueueOverload(err, time.Since(began)))
 		}
-		c.silent = errors.Is(err, errSilent)
-		// What is in hand stands: the module works on with its old list.
-		c.opts.Log.Warn().Str("event", "discovery").Err(err).Dur("pause", pause).Msg("discovery does not answer")
+		c.lastWatchSilent = errors.Is(err, errWatchSilent)
+		// The current list stays in use.
+		c.opts.Log.Warn().Str("event", "discovery").Err(err).Dur("pause", pause).Msg("request to discovery failed")
 		sleep(ctx, pause)
 	}
 }
 
-// overbooked says whether discovery turned a call away that had stood in its queue. One
-// that refuses at once may be back at any moment.
-func overbooked(err error, took time.Duration) bool {
+// isQueueOverload reports whether discovery refused a request that had waited in its queue.
+// One that refuses at once may recover at any moment.
+func isQueueOverload(err error, elapsed time.Duration) bool {
 	var refused statusError
-	return errors.As(err, &refused) && took >= queuedFor
+	return errors.As(err, &refused) && elapsed >= queuedRefusalTime
 }
 
-// sleep waits for d; it returns false once ctx ends.
+// sleep waits for d; it returns false if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -150,77 +156,79 @@
 	}
 }
 
-// step makes one call and delivers its answer.
-func (c *Client) step(ctx context.Context) error {
-	path, within := "/v1/endpoints", answerWithin
-	if c.whole {
-		wait := c.wait()
-		if within = wait + watchSlack; c.opts.Brokers == 0 {
-			within = wait + freeSlack
+// poll sends one request and delivers its answer.
+func (c *Client) poll(ctx context.Context) error {
+	path, timeout := "/v1/endpoints", requestTimeout
+	if c.hasFullList {
+		wait := c.watchTime()
+		if timeout = wait + watchGrace; c.opts.Brokers == 0 {
+			timeout = wait + uncontendedWatchGrace
 		}
 		q := url.Values{"after": {strconv.FormatUint(uint64(c.version), 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 		path += "?" + q.Encode()
 	}
-	m, err := c.call(ctx, path, within)
+	m, err := c.request(ctx, path, timeout)
 	if err != nil {
 		return err
 	}
 	if m.Status != 200 {
 		return statusError(m.Status)
 	}
-	l, err := ParseList(m.Body, c.opts.Zones, c.opts.Kinds)
+	list, err := ParseList(m.Body, c.opts.Zones, c.opts.Kinds)
 	if err != nil {
-		c.whole = false // a change was missed: fetch the whole list
+		c.hasFullList = false // a change was missed: fetch the full list next
 		return err
 	}
-	for _, f := range l.Faults {
+	for _, f := range list.AddressErrors {
 		c.opts.Log.Warn().Str("event", "list-address").Str("node", f.Node).Str("field", f.Field).Err(f.Err).
-			Msg("an address of a node in the list cannot be used; its others stand")
+			Msg("ignoring an unusable address of a node in the list")
 	}
-	if !l.Full && !c.whole {
-		return errors.New("calling discovery: changes came where the whole list was asked for")
+	if !list.Full && !c.hasFullList {
+		return errors.New("calling discovery: got changes, want the full list")
 	}
-	if !l.Full && uint64(l.Version) < uint64(c.version) { // it has begun anew: what it told before may not hold
-		c.whole = false
-		return fmt.Errorf("calling discovery: version %d after %d", uint64(l.Version), uint64(c.version))
+	if !list.Full && uint64(list.Version) < uint64(c.version) { // it has restarted: earlier lists may no longer hold
+		c.hasFullList = false
+		return fmt.Errorf("calling discovery: got version %d, lower than %d before", uint64(list.Version), uint64(c.version))
 	}
-	c.version = l.Version
+	c.version = list.Version
 	kind := decide.ListDelta
-	if l.Full {
-		kind, c.whole = decide.ListFull, true
+	if list.Full {
+		kind, c.hasFullList = decide.ListFull, true
 	}
-	if c.opts.Heard != nil {
-		c.opts.Heard()
+	if c.opts.OnAnswer != nil {
+		c.opts.OnAnswer()
 	}
-	if l.Full || len(l.Nodes) > 0 {
-		c.opts.Deliver(broker.Roster{Kind: kind, Version: l.Version, Nodes: l.Nodes})
+	if list.Full || len(list.Nodes) > 0 {
+		c.opts.Deliver(broker.Roster{Kind: kind, Version: list.Version, Nodes: list.Nodes})
 	}
 	return nil
 }
 
-// wait is how long a watch may wait.
-func (c *Client) wait() time.Duration {
+// watchTime returns the wait that a watch asks discovery for.
+func (c *Client) watchTime() time.Duration {
 	if c.opts.Brokers == 0 {
-		return freeWatch
+		return uncontendedWatch
 	}
-	return min(max(leastWatch, time.Duration(c.opts.Brokers)*watchEach), watchFor)
+	return min(max(minWatch, time.Duration(c.opts.Brokers)*watchPerBroker), maxWatch)
 }
 
-func (c *Client) call(ctx context.Context, path string, within time.Duration) (*http1.Message, error) {
+// request sends one GET request and returns its answer; timeout includes connecting.
+func (c *Client) request(ctx context.Context, path string, timeout time.Duration) (*http1.Message, error) {
 	start := time.Now()
 	if c.conn == nil {
-		d := net.Dialer{Timeout: dialWithin}
+		d := net.Dialer{Timeout: dialTimeout}
 		conn, err := d.DialContext(ctx, "tcp", c.opts.Addr)
 		if err != nil {
-			return nil, fmt.Errorf("reaching discovery: %w", err)
+			return nil, fmt.Errorf("connecting to discovery: %w", err)
 		}
-		c.conn, c.parser = conn, http1.Parser{MaxBody: maxList, Answers: true}
+		c.conn, c.parser = conn, http1.Parser{MaxBody: maxListBytes, Answers: true}
 	}
 	conn := c.conn
-	if err := conn.SetDeadline(start.Add(within)); err != nil {
+	if err := conn.SetDeadline(start.Add(timeout)); err != nil {
 		return nil, fmt.Errorf("calling discovery: %w", err)
 	}
-	// Only now: ctx may have ended already, and this deadline must be the last.
+	// Only now, as ctx may have ended already, and the deadline set here must be the last
+	// one.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Now()) })
 	defer stop()
 	if _, err := conn.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + c.opts.Addr + "\r\n\r\n")); err != nil {
@@ -230,27 +238,27 @@
 	for {
 		n, err := conn.Read(buf)
 		c.parser.Feed(buf[:n])
-		m, bad := c.parser.Next()
-		if bad == nil && m == nil && errors.Is(err, io.EOF) { // a reset, or our patience, ends no answer
-			m, bad = c.parser.End()
+		m, parseErr := c.parser.Next()
+		if parseErr == nil && m == nil && errors.Is(err, io.EOF) { // a reset or a time-out does not complete an answer
+			m, parseErr = c.parser.End()
 		}
 		switch {
-		case bad != nil:
-			return nil, fmt.Errorf("reading discovery's answer: %w", bad)
+		case parseErr != nil:
+			return nil, fmt.Errorf("reading discovery's answer: %w", parseErr)
 		case m != nil && m.Status >= 200:
 			if m.Close || err != nil {
-				c.hangUp()
+				c.closeConn()
 			}
 			return m, nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && c.whole && !c.parser.Mid():
-			return nil, errSilent
+		case errors.Is(err, os.ErrDeadlineExceeded) && c.hasFullList && !c.parser.Mid():
+			return nil, errWatchSilent
 		case err != nil:
 			return nil, fmt.Errorf("reading discovery's answer: %w", err)
 		}
 	}
 }
 
-func (c *Client) hangUp() {
+func (c *Client) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -19,7 +19,9 @@
 	"onyxsail/internal/testkit"
 )
 
-func TestParseList(t *testing.T) {
+// A list with a missing or invalid field is rejected with the field's name; a valid one is
+// decoded in full.
+func TestParseListRejectsInvalidEntries(t *testing.T) {
 	zones, kinds := []string{"neihu", "banqiao"}, []string{"std-2c"}
 	for _, c := range []struct{ in, fault string }{
 		{`{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"banqiao","kind":"std-2c","cell":2,"state":"terminating","weight":1.5,"started_ms":1500}]}`, ""},
@@ -29,7 +31,7 @@
 		{`{"full":true}`, "version"}, {`[`, "list"},
 		{`{"version":1,"full":true,"servers":[{"id":"","addr":"127.0.0.1:1","zone":"neihu","state":"in_service"}]}`, "servers[0].id"},
 		{`{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1","zone":"neihu","state":"in_service"}]}`, "servers[0].addr"},
-		{`{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"x","state":"in_service"}]}`, ""}, // a zone that no setting names yet
+		{`{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"x","state":"in_service"}]}`, ""}, // a zone that is not in the settings
 		{`{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"neihu","state":"up"}]}`, "servers[0].state"},
 	} {
 		l, err := ParseList([]byte(c.in), zones, kinds)
@@ -44,9 +46,9 @@
 	}
 }
 
-// A node's further addresses are read strictly; one that cannot be used is
-// named and takes nothing from the others.
-func TestParseAddrs(t *testing.T) {
+// A node's addrs are parsed strictly; one that cannot be used is reported and does not
+// affect the others.
+func TestUnusableAddressKeepsTheOthers(t *testing.T) {
 	for _, c := range []struct{ addr, addrs, want, faults string }{
 		{"127.0.0.1:1", `["[::1]:1","unix:/n","127.0.0.1:1"]`, "[::1]:1 unix:/n 127.0.0.1:1", ""},
 		{"127.0.0.1:1", `["[::1]:1","[0::1]:1"]`, "127.0.0.1:1 [::1]:1", ""},
@@ -63,18 +65,18 @@
 			t.Fatal(err)
 		}
 		var faults []string
-		for _, f := range l.Faults {
+		for _, f := range l.AddressErrors {
 			faults = append(faults, f.Node, f.Field)
 		}
 		if got := strings.Join(l.Nodes[0].Addrs, " "); got != c.want || strings.Join(faults, " ") != c.faults || l.Nodes[0].Addr != c.addr {
-			t.Errorf("%s: %q, faults %q", in, got, faults)
+			t.Errorf("%s: %q, address errors %q", in, got, faults)
 		}
 	}
 }
 
-// The whole list comes first, then each change, on a watch that asks for what
-// is newer than the last answer.
-func TestFollow(t *testing.T) {
+// The full list is delivered first, then each change, on watches that ask for what is newer
+// than the latest answer.
+func TestFullListThenChanges(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
 	var mu sync.Mutex
@@ -96,15 +98,15 @@
 			return len(got) == n
 		}
 	}
-	testkit.Eventually(t, "the whole list", count(1))
+	testkit.Eventually(t, "the full list", count(1))
 	testkit.Eventually(t, "a watch", func() bool { return len(d.Calls()) > 1 })
 	e := n.Entry()
 	e.State = "terminating"
 	d.Change(e)
-	testkit.Eventually(t, "the drain", count(2))
+	testkit.Eventually(t, "the change to draining", count(2))
 	e.State = "terminated"
 	d.Change(e)
-	testkit.Eventually(t, "the end", count(3))
+	testkit.Eventually(t, "the removal", count(3))
 	cancel()
 	<-ended
 	for i, want := range []struct {
@@ -112,7 +114,7 @@
 		state decide.State
 	}{{decide.ListFull, decide.Ready}, {decide.ListDelta, decide.Draining}, {decide.ListDelta, decide.Gone}} {
 		if r := got[i]; r.Kind != want.kind || len(r.Nodes) != 1 || r.Nodes[0].State != want.state || r.Version != int64(i+1) {
-			t.Errorf("news %d: %+v", i, r)
+			t.Errorf("roster %d: %+v", i, r)
 		}
 	}
 	if calls := d.Calls(); calls[0] != "/v1/endpoints" || !strings.Contains(calls[1], "after=1") ||
@@ -121,15 +123,15 @@
 	}
 }
 
-// watched runs a client, from a version in hand where there is one, until the test ends.
-func watched(t *testing.T, addr string, known *int64) <-chan broker.Roster {
+// runClient runs a client until the test ends, from a known version if there is one.
+func runClient(t *testing.T, addr string, known *int64) <-chan broker.Roster {
 	t.Helper()
 	got := make(chan broker.Roster, 8)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		New(Options{Addr: addr, Zones: []string{"neihu"}, Known: known, Log: zerolog.New(io.Discard),
+		New(Options{Addr: addr, Zones: []string{"neihu"}, KnownVersion: known, Log: zerolog.New(io.Discard),
 			Deliver: func(r broker.Roster) { got <- r }}).Run(ctx)
 	}()
 	t.Cleanup(func() {
@@ -139,14 +141,14 @@
 	return got
 }
 
-// A watch that has fallen silent looks like one that has nothing to tell: it is given
-// up and opened anew soon, or the broker goes on with nodes that are long gone. It is
-// opened seldom where brokers share discovery's room.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+// A watch that has fallen silent looks like one without changes: it must time out and be
+// reopened soon, or the broker goes on using nodes that are long gone. With more brokers
+// sharing discovery it is reopened more seldom.
+func TestSilentWatchIsReopened(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
 	known := int64(1)
-	got := watched(t, d.Addr, &known)
+	got := runClient(t, d.Addr, &known)
 	testkit.Eventually(t, "a watch", func() bool { return len(d.Calls()) > 0 })
 	d.Hush()
 	testkit.Eventually(t, "the watch is silent", func() bool { return d.Silent() > 0 })
@@ -155,14 +157,14 @@
 	d.Change(e)
 	began := time.Now()
 	r := <-got
-	// Told by the platform's clock 6 s after the watch fell silent, at the latest.
+	// The platform allows 6 s after the watch fell silent.
 	if took := time.Since(began); r.Version != 2 || r.Nodes[0].State != decide.Draining || took > 5*time.Second {
 		t.Errorf("got %+v after %v", r, took)
 	}
 }
 
-// A list may come indented, in chunks of any size, and be megabytes long.
-func TestLongListInPieces(t *testing.T) {
+// A list may be indented, split into chunks of any size, and megabytes long.
+func TestLongChunkedListIsRead(t *testing.T) {
 	const nodes = 1024
 	all := make([]testkit.Entry, nodes)
 	for i := range all {
@@ -183,7 +185,7 @@
 			return
 		}
 		defer conn.Close()
-		w := bufio.NewWriterSize(conn, 1000) // splits chunks and their size lines anywhere
+		w := bufio.NewWriterSize(conn, 1000) // splits chunks and their size lines at any byte
 		fmt.Fprint(w, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for rest, size := text, 1; len(rest) > 0; size = size%257 + 1 {
 			n := min(size, len(rest))
@@ -191,25 +193,25 @@
 			rest = rest[n:]
 		}
 		fmt.Fprint(w, "0\r\n\r\n")
-		_ = w.Flush() // the client may have gone
+		_ = w.Flush() // the client may have closed the connection
 		_, _ = io.Copy(io.Discard, conn)
 	}()
-	got := watched(t, l.Addr().String(), nil)
+	got := runClient(t, l.Addr().String(), nil)
 	if r := <-got; len(text) < 2<<20 || r.Version != 7 || len(r.Nodes) != nodes || r.Nodes[nodes-1].ID != "s-1023" {
-		t.Errorf("of %d bytes: version %d, %d nodes", len(text), r.Version, len(r.Nodes))
+		t.Errorf("list of %d bytes: got version %d, %d nodes", len(text), r.Version, len(r.Nodes))
 	}
 }
 
-// A broker that starts with a list in hand asks for what is newer alone: whole
-// lists for all that restart together would keep discovery busy for seconds.
-func TestCarriesOnFromKnown(t *testing.T) {
+// A broker that starts with a known list only fetches what is newer: full lists for all
+// brokers that restart together would keep discovery busy for seconds.
+func TestKnownListIsNotFetchedAgain(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
 	e := n.Entry()
 	e.State = "terminating"
 	d.Change(e)
 	known := int64(1)
-	got := watched(t, d.Addr, &known)
+	got := runClient(t, d.Addr, &known)
 	r := <-got
 	if r.Kind != decide.ListDelta || r.Version != 2 || len(r.Nodes) != 1 || r.Nodes[0].State != decide.Draining {
 		t.Errorf("got %+v", r)
@@ -219,7 +221,8 @@
 	}
 }
 
-// A list is read whole or refused: each node has what the broker goes by.
+// Whatever the bytes, a list is either rejected or has a valid id, kind and address for
+// each node.
 func FuzzParseList(f *testing.F) {
 	f.Add([]byte(`{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","addrs":["unix:/n",7],"zone":"z","state":"in_service","weight":1e300,"started_ms":1e300}]}`))
 	f.Add([]byte(`{"version":1,"full":false,"servers":[{"id":"a","state":"terminated","cell":-9223372036854775808}]}`))
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -14,22 +14,25 @@
 	"onyxsail/internal/address"
 )
 
-// List is one answer of discovery.
+// List is one answer of discovery: the full list, or changes to it.
 type List struct {
-	Version int64 // the bits of an unsigned number, as it is told
+	Version int64 // the bits of the unsigned 64-bit number in the answer
 	Full    bool
 	Nodes   []broker.Node
-	// Faults are addresses that cannot be used; their nodes' others stand.
-	Faults []Fault
+	// AddressErrors are the addresses that cannot be used. The other addresses of their
+	// nodes can.
+	AddressErrors []AddressError
 }
 
-// Fault is one entry of a node's addrs.
-type Fault struct {
+// AddressError is an unusable entry of a node's addrs, or an addrs that is unusable
+// altogether.
+type AddressError struct {
 	Node, Field string
 	Err         error
 }
 
-type entry struct {
+// serverEntry is one node in an answer of discovery.
+type serverEntry struct {
 	ID      string          `json:"id"`
 	Addr    string          `json:"addr"`
 	Addrs   json.RawMessage `json:"addrs"`
@@ -41,15 +44,16 @@
 	Started float64         `json:"started_ms"`
 }
 
-type message struct {
-	Version *uint64 `json:"version"`
-	Full    *bool   `json:"full"`
-	Servers []entry `json:"servers"`
+// listMessage is an answer of discovery.
+type listMessage struct {
+	Version *uint64       `json:"version"`
+	Full    *bool         `json:"full"`
+	Servers []serverEntry `json:"servers"`
 }
 
-// ParseList decodes an answer. A zone or kind is its place in the settings.
+// ParseList decodes an answer. Zones and kinds become indexes into the given names.
 func ParseList(data []byte, zones, kinds []string) (*List, error) {
-	var m message
+	var m listMessage
 	if err := json.Unmarshal(data, &m); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
@@ -59,7 +63,7 @@
 	l := &List{Version: int64(*m.Version), Full: *m.Full}
 	for i, e := range m.Servers {
 		n := broker.Node{
-			ID: e.ID, Addr: e.Addr, Zone: zone(zones, e.Zone), Kind: max(0, index(kinds, e.Kind)),
+			ID: e.ID, Addr: e.Addr, Zone: zoneIndex(zones, e.Zone), Kind: max(0, indexOf(kinds, e.Kind)),
 			Cell: e.Cell, Weight: 1,
 		}
 		switch e.State {
@@ -86,35 +90,36 @@
 			n.Started = time.UnixMicro(int64(e.Started * 1000))
 		}
 		if len(e.Addrs) > 0 && n.State != decide.Gone {
-			l.addrs(&n, e.Addrs)
+			l.parseAddrs(&n, e.Addrs)
 		}
 		l.Nodes = append(l.Nodes, n)
 	}
 	return l, nil
 }
 
-// maxAddrs bounds the addresses of one node.
-const maxAddrs = 16
+// maxAddrsPerNode bounds the number of addresses of one node.
+const maxAddrsPerNode = 16
 
-// addrs reads a node's further addresses. addr goes before them, unless it
-// stands among them.
-func (l *List) addrs(n *broker.Node, raw json.RawMessage) {
-	fault := func(field string, err error) { l.Faults = append(l.Faults, Fault{n.ID, field, err}) }
+// parseAddrs parses a node's addrs. Its addr goes before them, unless it is among them.
+func (l *List) parseAddrs(n *broker.Node, raw json.RawMessage) {
+	report := func(field string, err error) {
+		l.AddressErrors = append(l.AddressErrors, AddressError{n.ID, field, err})
+	}
 	var texts []json.RawMessage
 	if err := json.Unmarshal(raw, &texts); err != nil {
-		fault("addrs", err)
+		report("addrs", err)
 		return
 	}
-	if len(texts) > maxAddrs {
-		fault("addrs", fmt.Errorf("%d of them, want %d at most", len(texts), maxAddrs))
-		texts = texts[:maxAddrs]
+	if len(texts) > maxAddrsPerNode {
+		report("addrs", fmt.Errorf("got %d addresses, want %d at most", len(texts), maxAddrsPerNode))
+		texts = texts[:maxAddrsPerNode]
 	}
 	first, err := address.Parse(n.Addr)
-	if err != nil { // the platform's form is wider: it alone counts then
-		fault("addr", err)
+	if err != nil { // addr may have forms that address.Parse does not accept; it is then the node's only address
+		report("addr", err)
 		return
 	}
-	all := []address.Address{}
+	distinct := []address.Address{}
 	for i, raw := range texts {
 		var text string
 		var a address.Address
@@ -123,34 +128,35 @@
 			a, err = address.Parse(text)
 		}
 		if err == nil && a.Flight != first.Flight {
-			err = errors.New("speaks another protocol than addr")
+			err = errors.New("protocol differs from that of addr")
 		}
 		if err != nil {
-			fault(fmt.Sprintf("addrs[%d]", i), err)
-		} else if !slices.Contains(all, a) {
-			all = append(all, a)
+			report(fmt.Sprintf("addrs[%d]", i), err)
+		} else if !slices.Contains(distinct, a) {
+			distinct = append(distinct, a)
 		}
 	}
-	if !slices.Contains(all, first) {
-		all = append([]address.Address{first}, all...)
+	if !slices.Contains(distinct, first) {
+		distinct = append([]address.Address{first}, distinct...)
 	}
-	if len(all) > 1 {
-		for _, a := range all {
+	if len(distinct) > 1 {
+		for _, a := range distinct {
 			n.Addrs = append(n.Addrs, a.String())
 		}
 	}
 }
 
-// zone is the place of a zone in the settings; -1, another one than any broker's,
-// for one that they don't name; where they name none there is one alone.
-func zone(zones []string, name string) int {
+// zoneIndex returns the index of a zone in the settings. If the settings name no zones, all
+// nodes are in one; a zone that they do not name is -1, which is no broker's zone.
+func zoneIndex(zones []string, name string) int {
 	if len(zones) == 0 {
 		return 0
 	}
-	return index(zones, name)
+	return indexOf(zones, name)
 }
 
-func index(words []string, w string) int {
+// indexOf returns the index of w in words, -1 if it is not among them.
+func indexOf(words []string, w string) int {
 	for i, x := range words {
 		if x == w {
 			return i
--- a/discovery/pace.go
+++ b/discovery/pace.go
@@ -6,81 +6,86 @@
 )
 
 const (
-	firstPause = 20 * time.Millisecond // for one broker alone
-	longPause  = time.Second
-	// Where many brokers ask one discovery, each leaves the others this much
-	// time, and twice that once calls fail again and again.
-	perBroker = 50 * time.Millisecond
-	// few brokers may ask at the same moment.
-	few = 4
-	// patient is how many refusals in a row are taken for a discovery that is overbooked
-	// rather than in some passing trouble.
-	patient = 2
+	defaultInitialPause = 20 * time.Millisecond // where few brokers share discovery; doubles up to defaultMaxPause
+	defaultMaxPause     = time.Second
+	// pausePerBroker is the share of the initial pause, and of the start delay, that each
+	// broker adds once more than unpacedBrokers share one discovery. Repeated failures
+	// double it.
+	pausePerBroker = 50 * time.Millisecond
+	// unpacedBrokers is the number of brokers that may send requests at the same moment.
+	unpacedBrokers = 4
+	// toleratedRefusals is the number of refusals in a row that still count as a passing
+	// failure; after more of them discovery counts as overloaded.
+	toleratedRefusals = 2
 )
 
-// Pace says when a broker asks discovery: it does no I/O and reads no clock.
+// Backoff computes the pauses between requests to discovery. It does no I/O and reads no
+// clock.
 //
-// All brokers ask one discovery, and what makes one of them ask, or fail, makes
-// the others do the same at that moment. Calls wait in its queue until their
-// time is up, and what has given up is served all the same: asked anew too
-// early, discovery works through calls that nobody waits for any more, and then
-// answers none. So each broker leaves room for the others, by their number, and
-// draws its moment at random. It must not stay away for long all the same: what
-// discovery has counts as told some time after it could be reached.
-type Pace struct {
-	start, first, longest, next time.Duration
-	most                        time.Duration // bounds each pause; 0: nothing does
-	crowded                     bool          // room for so many brokers asks for longer ones
-	refusals                    int           // in a row
-	rng                         *rand.Rand
+// All brokers share one discovery, and whatever makes one of them send a request, or its
+// request fail, does so for the others at the same moment. Requests wait in discovery's
+// queue until they time out, and those given up are processed all the same: if brokers
+// retried too early, discovery would work only through requests that nobody waits for any
+// more, and answer none. So each pause grows with the number of brokers and has jitter. It
+// is also bounded, as a change must be known within a given time once discovery has it and
+// can be reached.
+type Backoff struct {
+	maxStartDelay, initialPause, maxGrownPause, nextPause time.Duration
+	limit                                                 time.Duration // upper bound on pauses; 0: none
+	limitTooLow                                           bool          // so many brokers need longer pauses than limit allows
+	overloads                                             int           // refusals from a full queue, in a row
+	rng                                                   *rand.Rand
 }
 
-// NewPace returns the pace of one of so many brokers that ask the same
-// discovery. No pause is longer than longest, if that is given, but where discovery
-// refuses again and again and the room for so many brokers asks for longer ones.
-// Brokers are given different seeds.
-func NewPace(brokers int, longest time.Duration, seed uint64) *Pace {
+// NewBackoff returns the backoff of one of so many brokers that share a discovery. No pause
+// exceeds limit, unless that is 0, or discovery keeps refusing requests from its queue and
+// so many brokers need longer pauses. Each broker needs a seed of its own.
+func NewBackoff(brokers int, limit time.Duration, seed uint64) *Backoff {
 	n := time.Duration(max(1, brokers))
-	p := &Pace{
-		start: max(0, n-few) * perBroker, first: firstPause, longest: longPause, most: longest,
+	b := &Backoff{
+		maxStartDelay: max(0, n-unpacedBrokers) * pausePerBroker, initialPause: defaultInitialPause, maxGrownPause: defaultMaxPause, limit: limit,
 		rng: rand.New(rand.NewPCG(seed, 0x9ace)),
 	}
-	if n > few {
-		p.first, p.longest = n*perBroker, max(longPause, 2*n*perBroker)
+	if n > unpacedBrokers {
+		b.initialPause, b.maxGrownPause = n*pausePerBroker, max(defaultMaxPause, 2*n*pausePerBroker)
 	}
-	if longest > 0 {
-		p.crowded = p.longest > longest
-		p.start, p.first = min(p.start, longest), min(p.first, longest)
+	if limit > 0 {
+		b.limitTooLow = b.maxGrownPause > limit
+		b.maxStartDelay, b.initialPause = min(b.maxStartDelay, limit), min(b.initialPause, limit)
 	}
-	p.Answered()
-	return p
+	b.Reset()
+	return b
 }
 
-// Start returns how long a broker that has just started waits before its first
-// call. Where most of them are restarted together, all would ask at once.
-func (p *Pace) Start() time.Duration { return time.Duration(p.rng.Float64() * float64(p.start)) }
+// StartDelay returns how long a broker that has just started waits before its first
+// request: brokers that are restarted together would otherwise all send it at once.
+func (b *Backoff) StartDelay() time.Duration {
+	return time.Duration(b.rng.Float64() * float64(b.maxStartDelay))
+}
 
-// Anew returns the pause before a watch is opened in place of one that fell silent:
-// watches of many brokers that did so at one moment must not come back at one.
-func (p *Pace) Anew() time.Duration { return time.Duration(p.rng.Float64() * float64(anew)) }
+// ReopenDelay returns the pause before a watch that fell silent is opened again: watches of
+// many brokers that fell silent together must not all be reopened at once.
+func (b *Backoff) ReopenDelay() time.Duration {
+	return time.Duration(b.rng.Float64() * float64(maxReopenDelay))
+}
 
-// Answered notes that discovery has answered.
-func (p *Pace) Answered() { p.next, p.refusals = p.first, 0 }
+// Reset notes that discovery has answered: the pauses start from the initial one again.
+func (b *Backoff) Reset() { b.nextPause, b.overloads = b.initialPause, 0 }
 
-// Failed returns the pause before the next call after one that failed: half to
-// one and a half times a figure that doubles, and no longer than allowed. Near that
-// it is drawn from the upper quarter, so that none comes oftener than it must.
-// refused says that discovery turned the call away after it had stood in its queue: where
-// it goes on to and many share it, more ask than it can answer, and to ask as often as ever
-// would help none.
-func (p *Pace) Failed(refused bool) time.Duration {
-	if p.refusals++; !refused {
-		p.refusals = 0
+// NextPause returns the pause before the next request after one has failed: 0.5 to 1.5
+// times a base that doubles each time, bounded by the limit. A pause at the limit is drawn
+// from the upper quarter below it, so that no broker sends requests more often than it
+// must. queueOverload says that discovery refused the request after it had waited in its
+// queue: if that goes on and many brokers share discovery, they send more requests than it
+// can answer, and the limit would keep it overloaded.
+func (b *Backoff) NextPause(queueOverload bool) time.Duration {
+	if b.overloads++; !queueOverload {
+		b.overloads = 0
 	}
-	pause := time.Duration((0.5 + p.rng.Float64()) * float64(p.next))
-	if p.most > 0 && pause > p.most && (p.refusals <= patient || !p.crowded) {
-		pause = time.Duration((0.75 + 0.25*p.rng.Float64()) * float64(p.most))
+	pause := time.Duration((0.5 + b.rng.Float64()) * float64(b.nextPause))
+	if b.limit > 0 && pause > b.limit && (b.overloads <= toleratedRefusals || !b.limitTooLow) {
+		pause = time.Duration((0.75 + 0.25*b.rng.Float64()) * float64(b.limit))
 	}
-	p.next = min(2*p.next, p.longest)
+	b.nextPause = min(2*b.nextPause, b.maxGrownPause)
 	return pause
 }
--- a/discovery/pace_test.go
+++ b/discovery/pace_test.go
@@ -6,109 +6,113 @@
 	"time"
 )
 
-// office is a discovery of scarce room: one call after another takes `each`,
-// one that has waited for `patience` is told no, and is served all the same.
-type office struct {
-	each, patience time.Duration
-	free           time.Duration // when it is done with all that was asked
+// overloadedServer models a discovery of limited capacity: it serves one request at a time,
+// each within serviceTime. A request that has waited for queueTimeout is refused, and
+// processed all the same.
+type overloadedServer struct {
+	serviceTime, queueTimeout time.Duration
+	idleAt                    time.Duration // when it will have processed all requests so far
 }
 
-// ask returns when the caller hears, and whether it is an answer.
-func (o *office) ask(at time.Duration) (time.Duration, bool) {
-	o.free = max(o.free, at) + o.each
-	if o.free-at > o.patience {
-		return at + o.patience, false
+// request returns the time at which the caller hears of a request sent at the given time,
+// and whether it got an answer rather than a refusal.
+func (o *overloadedServer) request(at time.Duration) (time.Duration, bool) {
+	o.idleAt = max(o.idleAt, at) + o.serviceTime
+	if o.idleAt-at > o.queueTimeout {
+		return at + o.queueTimeout, false
 	}
-	return o.free, true
+	return o.idleAt, true
 }
 
-// follow lets brokers ask until all are answered; it returns when each was.
-func follow(o *office, paces []*Pace) []time.Duration {
-	type call struct {
+// runUntilAnswered lets brokers send requests until all are answered or a minute is over;
+// it returns the times of the answers.
+func runUntilAnswered(server *overloadedServer, backoffs []*Backoff) []time.Duration {
+	type scheduled struct {
 		at time.Duration
-		p  *Pace
+		p  *Backoff
 	}
-	var calls []call
-	for _, p := range paces {
-		calls = append(calls, call{p.Start(), p})
+	var pending []scheduled
+	for _, p := range backoffs {
+		pending = append(pending, scheduled{p.StartDelay(), p})
 	}
 	var answered []time.Duration
-	for len(calls) > 0 && calls[0].at < time.Minute {
-		slices.SortFunc(calls, func(a, b call) int { return int(a.at - b.at) })
-		c := calls[0]
-		calls = calls[1:]
-		if at, ok := o.ask(c.at); ok {
-			c.p.Answered()
+	for len(pending) > 0 && pending[0].at < time.Minute {
+		slices.SortFunc(pending, func(a, b scheduled) int { return int(a.at - b.at) })
+		c := pending[0]
+		pending = pending[1:]
+		if at, ok := server.request(c.at); ok {
+			c.p.Reset()
 			answered = append(answered, at)
 		} else {
-			calls = append(calls, call{at + c.p.Failed(true), c.p})
+			pending = append(pending, scheduled{at + c.p.NextPause(true), c.p})
 		}
 	}
 	return answered
 }
 
-// Most of eighty brokers restart at one moment, and discovery can answer some
-// thirteen a second. Asked by all at once, and again by all that it turned away,
-// it would serve nothing but calls that nobody waits for any more.
-func TestAllBrokersAreAnsweredAfterARelease(t *testing.T) {
+// 56 of 80 brokers restart at the same moment, and discovery can answer some 13 requests a
+// second. If all of them sent their request at once, and retried together when refused,
+// discovery would process only requests that nobody waits for any more.
+func TestAllBrokersAreAnsweredAfterMassRestart(t *testing.T) {
 	for _, c := range []struct {
 		each time.Duration
-		all  time.Duration // by then each broker has its answer
+		all  time.Duration // time by which each broker has its answer
 	}{{75 * time.Millisecond, 12 * time.Second}, {10 * time.Millisecond, 5 * time.Second}, {150 * time.Millisecond, 45 * time.Second}} {
-		var paces []*Pace
+		var paces []*Backoff
 		for i := range 56 {
-			paces = append(paces, NewPace(80, away(6*time.Second), uint64(i+1)))
+			paces = append(paces, NewBackoff(80, maxPauseFor(6*time.Second), uint64(i+1)))
 		}
-		answered := follow(&office{each: c.each, patience: 2 * time.Second}, paces)
+		answered := runUntilAnswered(&overloadedServer{serviceTime: c.each, queueTimeout: 2 * time.Second}, paces)
 		if len(answered) < len(paces) || slices.Max(answered) > c.all {
-			t.Errorf("%v a call: %d of %d answered, the last after %v", c.each, len(answered), len(paces), slices.Max(answered))
+			t.Errorf("%v per request: %d of %d answered, the last after %v", c.each, len(answered), len(paces), slices.Max(answered))
 		}
 	}
 }
 
-// Two or three brokers go on asking at once, and soon hear of a discovery that
-// is back.
-func TestFewBrokersAskAtOnce(t *testing.T) {
-	for _, brokers := range []int{0, 1, 3, few} {
-		p := NewPace(brokers, 5*time.Second, 7)
-		if d := p.Start(); d != 0 {
-			t.Errorf("%d brokers: the first call after %v", brokers, d)
+// Few brokers need no long pauses: they send their first request at once and soon notice
+// that discovery is back.
+func TestFewBrokersAreNotDelayed(t *testing.T) {
+	for _, brokers := range []int{0, 1, 3, unpacedBrokers} {
+		p := NewBackoff(brokers, 5*time.Second, 7)
+		if d := p.StartDelay(); d != 0 {
+			t.Errorf("%d brokers: the first request is delayed by %v", brokers, d)
 		}
-		if d := p.Failed(false); d > 2*firstPause {
+		if d := p.NextPause(false); d > 2*defaultInitialPause {
 			t.Errorf("%d brokers: the first pause is %v", brokers, d)
 		}
 		for range 20 {
-			if d := p.Failed(false); d > 2*longPause {
-				t.Errorf("%d brokers: a pause of %v", brokers, d)
+			if d := p.NextPause(false); d > 2*defaultMaxPause {
+				t.Errorf("%d brokers: pause of %v", brokers, d)
 			}
 		}
-		if p.Answered(); p.Failed(false) > 2*firstPause {
-			t.Error("an answer does not end the long pauses")
+		if p.Reset(); p.NextPause(false) > 2*defaultInitialPause {
+			t.Error("an answer does not reset the pauses")
 		}
 	}
-	for range 20 { // and none stays away longer than it may be silent
-		p := NewPace(1000, 5*time.Second, 3)
-		if a, b := p.Start(), p.Failed(false); a > 5*time.Second || b > 8*time.Second {
-			t.Errorf("1,000 brokers: %v, %v", a, b)
+	for range 20 { // with many brokers the limit bounds each pause
+		p := NewBackoff(1000, 5*time.Second, 3)
+		if a, b := p.StartDelay(), p.NextPause(false); a > 5*time.Second || b > 8*time.Second {
+			t.Errorf("1,000 brokers: start delay %v, first pause %v", a, b)
 		}
 	}
 }
 
-// The operators' latest notes count a change as told 6 s after discovery had it and could be
-// reached, whatever calls have failed. Where over 32 brokers share one that has refused each
-// of them twice from its queue, the third pause leaves it room, and a broker hears later. Held
-// to 3.25 s, 35 of 56 brokers get no answer within a minute from one with room for 6.7 calls a
-// second, which cannot reach all of them in 6 s (TestAllBrokersAreAnsweredAfterARelease, run with
-// that bound); whether one that refuses counts as reached is with the operators
-// (docs/questions.md).
+// The operators' notes require that a change is known 6 s after discovery had it and could
+// be reached, whatever requests have failed. If more than 32 brokers share one discovery
+// that has refused each of them twice from its queue, the third pause exceeds this bound to
+// relieve it, and a broker learns of a change later. With pauses bounded to 3.25 s, 35 of
+// 56 brokers get no answer within a minute from a discovery that answers 6.7 requests a
+// second, which cannot answer all of them within 6 s
+// (TestAllBrokersAreAnsweredAfterMassRestart, run with that bound). The operators have been
+// asked whether a discovery that refuses counts as reached (docs/questions.md).
 func TestRefusalsInARowKeepNoBrokerAway(t *testing.T) {
 	for _, brokers := range []int{33, 80, 350} {
 		for seed := range uint64(20) {
-			p := NewPace(brokers, away(6*time.Second), seed)
+			p := NewBackoff(brokers, maxPauseFor(6*time.Second), seed)
 			for refusal := range 6 {
-				if pause := p.Failed(true); pause > away(6*time.Second) {
-					t.Fatalf("%d brokers, seed %d: a pause of %v after %d refusals, want %v at most",
-						brokers, seed, pause, refusal+1, away(6*time.Second))
+				if pause := p.NextPause(true); pause > maxPauseFor(6*time.Second) {
+					t.Fatalf("%d brokers, seed %d: pause of %v after %d refusals, want %v at most",
+						brokers, seed, pause, refusal+1, maxPauseFor(6*time.Second))
 				}
 			}
 		}
--- a/discovery/told_test.go
+++ b/discovery/told_test.go
@@ -21,102 +21,104 @@
 	"onyxsail/internal/testkit"
 )
 
-// told is when a change counts as told once discovery has it and can be reached, also
-// after a call that was refused, failed or given up.
-const told = 6 * time.Second
+// propagationLimit is the time within which a change must be known once discovery has it
+// and can be reached, also after a request that was refused, failed or timed out.
+const propagationLimit = 6 * time.Second
 
-// Whatever calls have failed, one that is out when discovery can be reached again, the
-// pause after it and the next one's answer come to less than told. It holds where lists
-// are pushed, and where any number of brokers share an office of scarce room; up to
-// thirty of them also where it refuses call after call.
-func TestNoFailureKeepsABrokerAwayForLong(t *testing.T) {
-	for _, brokers := range []int{0, 1, 2, few, 5, 20, 30, 80, 350, 1024} {
+// Whatever requests have failed, one that is open when discovery can be reached again, the
+// pause after it and the time until the next answer must add up to less than
+// propagationLimit. This holds with a discovery whose capacity is no concern, and with any
+// number of brokers that share a limited one; for up to 30 brokers also while it refuses
+// request after request.
+func TestPausesStayWithinPropagationLimit(t *testing.T) {
+	for _, brokers := range []int{0, 1, 2, unpacedBrokers, 5, 20, 30, 80, 350, 1024} {
 		for seed := range uint64(50) {
-			p := NewPace(brokers, away(told), seed)
-			if d := p.Start() + answerWithin + spare; d > told {
+			p := NewBackoff(brokers, maxPauseFor(propagationLimit), seed)
+			if d := p.StartDelay() + requestTimeout + propagationMargin; d > propagationLimit {
 				t.Fatalf("%d brokers: the first answer after %v", brokers, d)
 			}
 			for i := range 12 {
-				if d := answerWithin + p.Failed(i < patient || brokers <= 30) + spare; d > told {
-					t.Fatalf("%d brokers: after %d failures %v go by", brokers, i+1, d)
+				if d := requestTimeout + p.NextPause(i < toleratedRefusals || brokers <= 30) + propagationMargin; d > propagationLimit {
+					t.Fatalf("%d brokers: the next answer after failure %d comes after %v", brokers, i+1, d)
 				}
 			}
-			p.Answered()
-			if d := watchSlack + p.Anew() + spare; d > 2*time.Second {
-				t.Fatalf("a silent watch is heard of %v after its wait", d)
+			p.Reset()
+			if d := watchGrace + p.ReopenDelay() + propagationMargin; d > 2*time.Second {
+				t.Fatalf("a silent watch is reopened %v after its wait", d)
 			}
-			if d := leastWatch + watchSlack + p.Anew() + spare; d > told {
-				t.Fatalf("a silent watch of few brokers is heard of after %v", d)
+			if d := minWatch + watchGrace + p.ReopenDelay() + propagationMargin; d > propagationLimit {
+				t.Fatalf("a silent watch of few brokers is reopened after %v", d)
 			}
 		}
 	}
 	for _, within := range []time.Duration{time.Second, 3 * time.Second, 10 * time.Second} {
-		p := NewPace(350, away(within), 1)
+		p := NewBackoff(350, maxPauseFor(within), 1)
 		for range 12 {
-			if d := p.Failed(false); d > max(within/4, within-answerWithin-spare) {
-				t.Errorf("known within %v: a pause of %v", within, d)
+			if d := p.NextPause(false); d > max(within/4, within-requestTimeout-propagationMargin) {
+				t.Errorf("limit of %v: pause of %v", within, d)
 			}
 		}
 	}
 }
 
-// Only a refusal that had stood in discovery's queue tells of too many brokers: one that
-// comes at once, or a call that failed otherwise, lengthens no pause beyond what is allowed.
-func TestRefusalAtOnceIsNoQueue(t *testing.T) {
+// Only a refusal from discovery's queue shows that too many brokers share it: one that
+// comes at once, or any other failure, must not lengthen a pause beyond the limit.
+func TestImmediateRefusalIsNoQueueOverload(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		took time.Duration
 		want bool
 	}{
-		{fmt.Errorf("a call: %w", statusError(503)), answerWithin, true},
+		{fmt.Errorf("a request: %w", statusError(503)), requestTimeout, true},
 		{statusError(503), 5 * time.Millisecond, false},
-		{errSilent, answerWithin, false},
-		{io.ErrUnexpectedEOF, answerWithin, false},
+		{errWatchSilent, requestTimeout, false},
+		{io.ErrUnexpectedEOF, requestTimeout, false},
 	} {
-		p := NewPace(350, away(told), 1)
+		p := NewBackoff(350, maxPauseFor(propagationLimit), 1)
 		for range 12 {
-			if got := overbooked(c.err, c.took); got != c.want {
+			if got := isQueueOverload(c.err, c.took); got != c.want {
 				t.Fatalf("%v after %v: got %v", c.err, c.took, got)
 			}
-			if d := answerWithin + p.Failed(overbooked(c.err, c.took)) + spare; !c.want && d > told {
-				t.Errorf("%v after %v: %v go by", c.err, c.took, d)
+			if d := requestTimeout + p.NextPause(isQueueOverload(c.err, c.took)) + propagationMargin; !c.want && d > propagationLimit {
+				t.Errorf("%v after %v: the next answer comes after %v", c.err, c.took, d)
 			}
 		}
 	}
 }
 
-// script is a discovery whose calls are answered by hand, in their order.
-type script struct {
-	addr  string
-	mu    sync.Mutex
-	calls []url.Values
-	at    []time.Time
+// scriptedServer is a discovery whose requests are answered by a function of the test, in
+// their order.
+type scriptedServer struct {
+	addr       string
+	mu         sync.Mutex
+	queries    []url.Values
+	receivedAt []time.Time
 }
 
-// newScript starts one; each call goes to answer with its number and its connection,
+// newScriptedServer starts one; answer gets the number of each request and its connection,
 // which it may keep.
-func newScript(t *testing.T, answer func(n int, conn net.Conn)) *script {
+func newScriptedServer(t *testing.T, answer func(n int, conn net.Conn)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{addr: l.Addr().String()}
-	var all sync.WaitGroup
+	s := &scriptedServer{addr: l.Addr().String()}
+	var goroutines sync.WaitGroup
 	var conns sync.Map
 	t.Cleanup(func() {
 		l.Close()
 		conns.Range(func(c, _ any) bool { c.(net.Conn).Close(); return true })
-		all.Wait()
+		goroutines.Wait()
 	})
-	all.Go(func() {
+	goroutines.Go(func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
 			conns.Store(conn, true)
-			all.Go(func() {
+			goroutines.Go(func() {
 				defer conn.Close()
 				buf, text := make([]byte, 4096), ""
 				for {
@@ -130,8 +132,8 @@
 					target, _ := url.ParseRequestURI(strings.Fields(text)[1])
 					text = ""
 					s.mu.Lock()
-					s.calls, s.at = append(s.calls, target.Query()), append(s.at, time.Now())
-					i := len(s.calls)
+					s.queries, s.receivedAt = append(s.queries, target.Query()), append(s.receivedAt, time.Now())
+					i := len(s.queries)
 					s.mu.Unlock()
 					answer(i, conn)
 				}
@@ -141,32 +143,36 @@
 	return s
 }
 
-func (s *script) call(n int) (q url.Values, at time.Time) {
+// query returns the query string of the n-th request, counted from 1, and the time of its
+// arrival.
+func (s *scriptedServer) query(n int) (q url.Values, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.calls[n-1], s.at[n-1]
+	return s.queries[n-1], s.receivedAt[n-1]
 }
 
-func (s *script) count() int {
+// count returns the number of requests so far.
+func (s *scriptedServer) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.calls)
+	return len(s.queries)
 }
 
-// listed is a list of one node.
-func listed(version int, full bool, state string) string {
+// oneNodeList returns a list of one node.
+func oneNodeList(version int, full bool, state string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"neihu","state":%q}]}`, version, full, state)
 }
 
-func answered(body string) string {
+// httpAnswer returns an HTTP answer with this body.
+func httpAnswer(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// following runs a client of so many brokers till the test ends.
-func following(t *testing.T, o Options) <-chan broker.Roster {
+// runClientWith runs a client with these options until the test ends.
+func runClientWith(t *testing.T, o Options) <-chan broker.Roster {
 	t.Helper()
 	got := make(chan broker.Roster, 16)
-	o.Zones, o.Told, o.Log, o.Seed = []string{"neihu"}, told, zerolog.New(io.Discard), 1
+	o.Zones, o.PropagationLimit, o.Log, o.Seed = []string{"neihu"}, propagationLimit, zerolog.New(io.Discard), 1
 	ctx, cancel := context.WithCancel(context.Background())
 	o.Deliver = func(r broker.Roster) {
 		select {
@@ -186,9 +192,10 @@
 	return got
 }
 
-// A call that hangs, one whose answer drips past its time and one that is refused are
-// followed by another soon enough, on sockets as in the plan.
-func TestChangeIsKnownAfterCallsThatFailed(t *testing.T) {
+// A request that hangs, one whose answer trickles in past its time-out, and one that is
+// refused must be followed by another soon enough, over real sockets as in the computed
+// pauses.
+func TestChangeIsKnownInTimeAfterFailedCalls(t *testing.T) {
 	for _, brokers := range []int{0, 3, 350} {
 		for name, fail := range map[string]func(net.Conn){
 			"hangs":   func(net.Conn) {},
@@ -206,127 +213,127 @@
 			t.Run(fmt.Sprint(brokers, name), func(t *testing.T) {
 				t.Parallel()
 				var reached atomic.Pointer[time.Time]
-				s := newScript(t, func(n int, c net.Conn) {
+				s := newScriptedServer(t, func(n int, c net.Conn) {
 					switch {
-					case n == 1: // discovery can be reached from here on
+					case n == 1: // discovery can be reached from now on
 						now := time.Now()
 						reached.Store(&now)
 						fail(c)
 					case n == 2:
-						_, _ = io.WriteString(c, answered(listed(2, true, "terminating")))
+						_, _ = io.WriteString(c, httpAnswer(oneNodeList(2, true, "terminating")))
 					}
 				})
-				got := following(t, Options{Addr: s.addr, Brokers: brokers})
+				got := runClientWith(t, Options{Addr: s.addr, Brokers: brokers})
 				if r := <-got; r.Nodes[0].State != decide.Draining {
 					t.Errorf("got %+v", r)
 				}
-				if took := time.Since(*reached.Load()); took > told {
-					t.Errorf("known after %v", took)
+				if took := time.Since(*reached.Load()); took > propagationLimit {
+					t.Errorf("change known after %v", took)
 				}
 			})
 		}
 	}
 }
 
-// A watch that falls silent is noticed the sooner the fewer brokers share an office of
-// scarce room, after a call that has failed as before it.
-func TestWatchIsShortWhereBrokersAreFew(t *testing.T) {
+// With fewer brokers on a discovery of limited capacity watches are shorter, so that a
+// silent one is noticed sooner, after a failed request as before it.
+func TestWatchIsShortWithFewBrokers(t *testing.T) {
 	t.Parallel()
 	for brokers, want := range map[int]string{3: "3000", 30: "6000", 350: "20000"} {
-		s := newScript(t, func(n int, c net.Conn) {
+		s := newScriptedServer(t, func(n int, c net.Conn) {
 			if n == 1 {
 				_, _ = io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 			}
 		})
 		known := int64(1)
-		following(t, Options{Addr: s.addr, Brokers: brokers, Known: &known})
-		testkit.Eventually(t, "the second call", func() bool { return s.count() > 1 })
+		runClientWith(t, Options{Addr: s.addr, Brokers: brokers, KnownVersion: &known})
+		testkit.Eventually(t, "the second request", func() bool { return s.count() > 1 })
 		for n := 1; n <= 2; n++ {
-			if q, _ := s.call(n); q.Get("wait_ms") != want {
-				t.Errorf("%d brokers: call %d is a watch of %s ms, want %s", brokers, n, q.Get("wait_ms"), want)
+			if q, _ := s.query(n); q.Get("wait_ms") != want {
+				t.Errorf("%d brokers: request %d is a watch of %s ms, want %s", brokers, n, q.Get("wait_ms"), want)
 			}
 		}
 	}
 }
 
-// Where lists must be asked for a silent watch is opened anew within 2 s of the end of
-// its wait: what it missed counts as told then.
-func TestSilentWatchThatCosts(t *testing.T) {
+// Where brokers share a discovery of limited capacity, a silent watch must be reopened
+// within 2 s of the end of its wait: a change that it missed counts as delivered then.
+func TestSilentContendedWatchIsReopenedInTime(t *testing.T) {
 	t.Parallel()
-	s := newScript(t, func(n int, c net.Conn) {
+	s := newScriptedServer(t, func(n int, c net.Conn) {
 		switch n {
 		case 1:
 			_, _ = io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
-		case 3: // the second says nothing
-			_, _ = io.WriteString(c, answered(listed(2, false, "terminating")))
+		case 3: // the second request gets no answer
+			_, _ = io.WriteString(c, httpAnswer(oneNodeList(2, false, "terminating")))
 		}
 	})
 	known := int64(1)
-	got := following(t, Options{Addr: s.addr, Brokers: few, Known: &known})
+	got := runClientWith(t, Options{Addr: s.addr, Brokers: unpacedBrokers, KnownVersion: &known})
 	if r := <-got; r.Version != 2 {
 		t.Errorf("got %+v", r)
 	}
-	_, silent := s.call(2)
-	_, anew := s.call(3)
-	if gap := anew.Sub(silent); gap < leastWatch || gap > leastWatch+2*time.Second {
-		t.Errorf("opened anew after %v", gap)
+	_, silent := s.query(2)
+	_, anew := s.query(3)
+	if gap := anew.Sub(silent); gap < minWatch || gap > minWatch+2*time.Second {
+		t.Errorf("reopened after %v", gap)
 	}
 }
 
-// An answer without a length ends with its connection's end, and a reset is none: what
-// came before it may be any part of it, even where it could be read.
-func TestResetIsNoEnd(t *testing.T) {
+// An answer without a length ends when its connection is closed, but not when it is reset:
+// what arrived before a reset may be incomplete even if it can be parsed.
+func TestResetDoesNotEndAnAnswer(t *testing.T) {
 	for _, reset := range []bool{true, false} {
-		s := newScript(t, func(n int, c net.Conn) {
+		s := newScriptedServer(t, func(n int, c net.Conn) {
 			if n > 1 {
-				_, _ = io.WriteString(c, answered(listed(5, true, "in_service")))
+				_, _ = io.WriteString(c, httpAnswer(oneNodeList(5, true, "in_service")))
 				return
 			}
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+listed(4, true, "terminating"))
-			time.Sleep(50 * time.Millisecond) // the bytes are read before the end comes
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+oneNodeList(4, true, "terminating"))
+			time.Sleep(50 * time.Millisecond) // the client reads the bytes before the end of the connection
 			if reset {
 				_ = c.(*net.TCPConn).SetLinger(0)
 			}
 			_ = c.Close()
 		})
-		got := following(t, Options{Addr: s.addr})
+		got := runClientWith(t, Options{Addr: s.addr})
 		if r := <-got; reset != (r.Version == 5) {
 			t.Errorf("reset %v: got %+v", reset, r)
 		}
 	}
 }
 
-// A discovery whose versions go back has begun anew: what it told before may not hold,
-// so the whole list is asked for.
-func TestVersionThatGoesBack(t *testing.T) {
-	s := newScript(t, func(n int, c net.Conn) {
+// A discovery whose version goes back has restarted: earlier lists may no longer hold, so
+// the full list is fetched.
+func TestFullListIsFetchedWhenVersionGoesBack(t *testing.T) {
+	s := newScriptedServer(t, func(n int, c net.Conn) {
 		switch n {
 		case 1:
-			_, _ = io.WriteString(c, answered(`{"version":3,"full":false,"servers":[]}`))
+			_, _ = io.WriteString(c, httpAnswer(`{"version":3,"full":false,"servers":[]}`))
 		case 2:
-			_, _ = io.WriteString(c, answered(listed(3, true, "in_service")))
+			_, _ = io.WriteString(c, httpAnswer(oneNodeList(3, true, "in_service")))
 		}
 	})
 	known := int64(41)
-	got := following(t, Options{Addr: s.addr, Known: &known})
+	got := runClientWith(t, Options{Addr: s.addr, KnownVersion: &known})
 	if r := <-got; r.Kind != decide.ListFull || r.Version != 3 {
 		t.Errorf("got %+v", r)
 	}
-	if q, _ := s.call(2); q.Get("after") != "" {
-		t.Errorf("the second call is %v", q)
+	if q, _ := s.query(2); q.Get("after") != "" {
+		t.Errorf("the second request has the query %v", q)
 	}
 }
 
-// A discovery that answers on a connection that it ends each time is a watch like any
-// other: the next call follows at once.
-func TestConnectionEndsBehindEachAnswer(t *testing.T) {
+// With a discovery that closes the connection after each answer the watch continues as
+// usual: the next request follows at once.
+func TestServerThatClosesAfterEachAnswer(t *testing.T) {
 	var version atomic.Int64
 	d := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Connection", "close")
-		_, _ = io.WriteString(w, listed(int(version.Add(1)), r.URL.Query().Get("after") == "", "in_service"))
+		_, _ = io.WriteString(w, oneNodeList(int(version.Add(1)), r.URL.Query().Get("after") == "", "in_service"))
 	}))
 	t.Cleanup(d.Close)
-	got := following(t, Options{Addr: strings.TrimPrefix(d.URL, "http://")})
+	got := runClientWith(t, Options{Addr: strings.TrimPrefix(d.URL, "http://")})
 	last := time.Now()
 	for i := range 20 {
 		r := <-got
@@ -337,33 +344,34 @@
 	}
 }
 
-// endingConn is a connection on which a stop comes in the moment that a call sets its
-// deadline: if the stop's own is set before that, it comes first.
-type endingConn struct {
+// stopDuringDeadlineConn is a connection that stops the client just before a request's
+// deadline is set. If the request is already watching for the stop, the stop's deadline is
+// set first.
+type stopDuringDeadlineConn struct {
 	net.Conn
-	stop  context.CancelFunc
-	ended chan struct{} // closed once the stop's deadline is set
-	once  sync.Once
+	stop        context.CancelFunc
+	stopApplied chan struct{} // closed once the stop has set its deadline
+	once        sync.Once
 }
 
 // SetDeadline implements net.Conn.
-func (c *endingConn) SetDeadline(at time.Time) error {
+func (c *stopDuringDeadlineConn) SetDeadline(at time.Time) error {
 	if time.Until(at) > time.Second {
 		c.stop()
 		select {
-		case <-c.ended:
-		case <-time.After(50 * time.Millisecond): // it comes after
+		case <-c.stopApplied:
+		case <-time.After(50 * time.Millisecond): // the stop sets its deadline afterwards
 		}
 		return c.Conn.SetDeadline(at)
 	}
-	defer c.once.Do(func() { close(c.ended) })
+	defer c.once.Do(func() { close(c.stopApplied) })
 	return c.Conn.SetDeadline(at)
 }
 
-// A stop that comes while a call is being made ends the call: its time for the answer must
-// not take the place of the stop's.
-func TestStopEndsACallThatIsBeingMade(t *testing.T) {
-	s := newScript(t, func(int, net.Conn) {}) // answers nothing
+// A stop while a request is being set up must end the request: the request's deadline must
+// not replace the one that the stop sets.
+func TestStopDuringRequestSetupEndsTheRequest(t *testing.T) {
+	s := newScriptedServer(t, func(int, net.Conn) {}) // sends no answers
 	conn, err := net.Dial("tcp", s.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -371,45 +379,45 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	c := New(Options{Addr: s.addr, Log: zerolog.Nop()})
-	c.conn = &endingConn{Conn: conn, stop: stop, ended: make(chan struct{})}
-	defer c.hangUp()
-	over := make(chan struct{})
+	c.conn = &stopDuringDeadlineConn{Conn: conn, stop: stop, stopApplied: make(chan struct{})}
+	defer c.closeConn()
+	returned := make(chan struct{})
 	go func() {
-		defer close(over)
-		_, _ = c.call(ctx, "/v1/endpoints", watchFor) // its error is the stop's
+		defer close(returned)
+		_, _ = c.request(ctx, "/v1/endpoints", maxWatch) // its error is that of the stop
 	}()
 	select {
-	case <-over:
+	case <-returned:
 	case <-time.After(10 * time.Second):
 		_ = conn.Close()
-		<-over
-		t.Error("the call went on after the stop")
+		<-returned
+		t.Error("the request continued after the stop")
 	}
 }
 
-// A version is any number of 64 bits, as on the simulator's wire, and is told back as it
-// came; the same one with the whole list counts, as do changes under the same.
-func TestVersionsAreNumbersOf64Bits(t *testing.T) {
+// A version is any unsigned 64-bit number, as in the simulator's protocol, and is sent back
+// unchanged; a full list or changes with the same version as before are still delivered.
+func TestVersionsCoverUnsigned64Bits(t *testing.T) {
 	const huge = "18446744073709551615"
 	list := func(version string, full bool) string {
-		return answered(fmt.Sprintf(`{"version":%s,"full":%v,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"in_service","cell":0,"weight":1.0,"started_ms":0}]}`, version, full))
+		return httpAnswer(fmt.Sprintf(`{"version":%s,"full":%v,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"in_service","cell":0,"weight":1.0,"started_ms":0}]}`, version, full))
 	}
-	s := newScript(t, func(n int, conn net.Conn) {
+	s := newScriptedServer(t, func(n int, conn net.Conn) {
 		versions := []string{"9223372036854775807", "9223372036854775808", huge, huge}
 		if n <= len(versions) {
 			fmt.Fprint(conn, list(versions[n-1], n == 1 || n == len(versions)))
 		}
 	})
-	news := following(t, Options{Addr: s.addr})
+	rosters := runClientWith(t, Options{Addr: s.addr})
 	for i := range 4 {
 		select {
-		case <-news:
+		case <-rosters:
 		case <-time.After(10 * time.Second):
-			t.Fatalf("answer %d was not taken", i)
+			t.Fatalf("answer %d was not delivered", i)
 		}
 	}
-	testkit.Eventually(t, "the next call", func() bool { return s.count() > 4 })
-	if q, _ := s.call(5); q.Get("after") != huge {
-		t.Errorf("asked for what comes after %q", q.Get("after"))
+	testkit.Eventually(t, "the next request", func() bool { return s.count() > 4 })
+	if q, _ := s.query(5); q.Get("after") != huge {
+		t.Errorf("the next request asks for changes after %q", q.Get("after"))
 	}
 }
