--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -181,7 +181,7 @@
 		ProbesSupported: cfg.Settings.MayProbe, DisableCancel: !cfg.Settings.MayCancel, Log: log,
 	})
 	d.remote = flightnode.New(flightnode.Options{
-		Sink: s, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wire, Log: log,
+		Sink: s, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ServerIdleTimeout: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wire, Log: log,
 	})
 	d.core = broker.New(broker.Options{
 		Settings: cfg.Settings, Seed: cfg.Seed, Log: log,
--- a/daemon/figures.go
+++ b/daemon/figures.go
@@ -32,7 +32,7 @@
 			admin.Figure{Name: "faulted." + c.name, Value: c.Faulted})
 	}
 	return append(all,
-		admin.Figure{Name: "relayed", Value: d.nodes.WrittenAttempts() + d.remote.Relayed()},
+		admin.Figure{Name: "relayed", Value: d.nodes.WrittenAttempts() + d.remote.WrittenAttempts()},
 		admin.Figure{Name: "open_requests", Value: d.core.Stats().Open},
 		admin.Figure{Name: "registry_entries", Value: int64(list.Listed)},
 		admin.Figure{Name: "out_of_rotation", Value: int64(list.Avoided)},
--- a/dial/dial.go
+++ b/dial/dial.go
@@ -1,6 +1,6 @@
-// Package dial makes connections to nodes that have several addresses. It is
-// what the two node clients share: package reach decides, this one has the
-// sockets and the clock. A node with one address has no place here.
+// Package dial connects to nodes that have several addresses, on behalf of both node
+// clients. Package reach decides which addresses are dialled and when; this package has the
+// sockets and the clock. Nodes with a single address are not handled here.
 package dial
 
 import (
@@ -20,234 +20,238 @@
 	"onyxsail/reach"
 )
 
-// switchEvery is how often one node's change of its preferred address is
-// logged.
-const switchEvery = 10 * time.Second
+// switchLogInterval is the minimum interval between two log lines about a change of one
+// node's preferred address.
+const switchLogInterval = 10 * time.Second
 
-// Paths are the ways to all nodes of several addresses. Its methods may be
-// called from any goroutine and, Dial apart, do not block.
-type Paths struct {
+// Dialer connects to all nodes of several addresses. Its methods may be called from any
+// goroutine and, except for Dial and RunRace, do not block.
+type Dialer struct {
 	dialer  *netio.Dialer
 	timeout time.Duration
 	log     zerolog.Logger
 	start   time.Time
 	ctx     context.Context
-	end     context.CancelFunc
+	cancel  context.CancelFunc
 
 	mu      sync.Mutex
 	planner *reach.Planner
 	nodes   map[string]*node
 }
 
+// node is one node with several addresses.
 type node struct {
-	addrs    map[string]address.Address // by their text
-	told     time.Time                  // when a switch was logged last
-	switches int                        // not logged since
+	addrs            map[string]address.Address // by address text
+	switchLoggedAt   time.Time                  // time of the latest log line about a change of the preferred address
+	unloggedSwitches int                        // changes since then that were not logged
 }
 
-// New returns paths to no node. timeout is that of a connection, over all its
-// addresses; conns is how many connections there may be in all.
-func New(d *netio.Dialer, timeout time.Duration, conns int, log zerolog.Logger) *Paths {
-	p := &Paths{dialer: d, timeout: timeout, log: log, start: time.Now(), planner: reach.New(reach.Defaults(conns)), nodes: map[string]*node{}}
-	p.ctx, p.end = context.WithCancel(context.Background())
-	return p
+// New returns a dialer that knows no node. timeout bounds connecting to a node, over all
+// its addresses; maxConns is the limit on connections to all nodes.
+func New(netDialer *netio.Dialer, timeout time.Duration, maxConns int, log zerolog.Logger) *Dialer {
+	d := &Dialer{dialer: netDialer, timeout: timeout, log: log, start: time.Now(), planner: reach.New(reach.Defaults(maxConns)), nodes: map[string]*node{}}
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	return d
 }
 
-// Close breaks off all dials; each Dial returns.
-func (p *Paths) Close() { p.end() }
+// Close cancels all dials; each Dial then returns.
+func (d *Dialer) Close() { d.cancel() }
 
-func (p *Paths) at(t time.Time) time.Duration { return t.Sub(p.start) }
+// sinceStart converts a time to the planner's clock.
+func (d *Dialer) sinceStart(t time.Time) time.Duration { return t.Sub(d.start) }
 
-// Set tells a node's addresses, and says whether it has several. With fewer it
-// is forgotten: it is dialled here no more.
-func (p *Paths) Set(id string, texts []string) (several bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	n := p.nodes[id]
+// SetAddrs sets a node's addresses, and reports whether it has several. A node with fewer
+// is forgotten and no longer dialled here.
+func (d *Dialer) SetAddrs(id string, texts []string) (several bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	n := d.nodes[id]
 	if len(texts) < 2 {
 		if n != nil {
-			p.planner.Set(id, nil)
-			delete(p.nodes, id)
+			d.planner.Set(id, nil)
+			delete(d.nodes, id)
 		}
 		return false
 	}
 	if n == nil {
 		n = &node{}
-		p.nodes[id] = n
+		d.nodes[id] = n
 	}
 	n.addrs = make(map[string]address.Address, len(texts))
 	var all []address.Address
 	for _, text := range texts {
 		a, err := address.Parse(text)
-		if err != nil { // the list's reader has checked them
-			p.log.Error().Str("event", "address").Str("node", id).Err(err).Msg("an address cannot be used")
+		if err != nil { // unexpected, as package discovery has checked them
+			d.log.Error().Str("event", "address").Str("node", id).Err(err).Msg("ignoring an unusable address of a node")
 			continue
 		}
 		n.addrs[text] = a
 		all = append(all, a)
 	}
-	p.planner.Set(id, all)
+	d.planner.Set(id, all)
 	return true
 }
 
-// Has says whether an address is one of a node's.
-func (p *Paths) Has(id, text string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	_, ok := p.find(id, text)
+// HasAddr reports whether the text is one of the node's addresses.
+func (d *Dialer) HasAddr(id, text string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	_, ok := d.findAddr(id, text)
 	return ok
 }
 
-// Count is how many addresses a node has.
-func (p *Paths) Count(id string) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if n := p.nodes[id]; n != nil {
+// AddrCount returns the number of a node's addresses.
+func (d *Dialer) AddrCount(id string) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if n := d.nodes[id]; n != nil {
 		return len(n.addrs)
 	}
 	return 0
 }
 
-func (p *Paths) find(id, text string) (a address.Address, ok bool) {
-	if n := p.nodes[id]; n != nil {
+// findAddr looks up one of a node's addresses by its text; d.mu is held.
+func (d *Dialer) findAddr(id, text string) (a address.Address, ok bool) {
+	if n := d.nodes[id]; n != nil {
 		a, ok = n.addrs[text]
 	}
 	return a, ok
 }
 
-// Doubtful says whether an address is in doubt.
-func (p *Paths) Doubtful(id, text string, now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a, ok := p.find(id, text)
-	return ok && p.planner.Doubtful(id, a, p.at(now))
+// Suspected reports whether an address is under suspicion.
+func (d *Dialer) Suspected(id, text string, now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	a, ok := d.findAddr(id, text)
+	return ok && d.planner.Doubtful(id, a, d.sinceStart(now))
 }
 
-// Answered says that a node spoke over an address.
-func (p *Paths) Answered(id, text string, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a, ok := p.find(id, text)
-	if !ok || !p.planner.Answered(id, a, p.at(now)) {
+// ReportAnswer records that a node answered over an address.
+func (d *Dialer) ReportAnswer(id, text string, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	a, ok := d.findAddr(id, text)
+	if !ok || !d.planner.Answered(id, a, d.sinceStart(now)) {
 		return
 	}
-	n := p.nodes[id]
-	if n.switches++; now.Sub(n.told) >= switchEvery {
-		p.log.Info().Str("event", "address-switch").Str("node", id).Str("addr", text).Int("times", n.switches).
-			Msg("another address of a node is preferred now")
-		n.told, n.switches = now, 0
+	n := d.nodes[id]
+	if n.unloggedSwitches++; now.Sub(n.switchLoggedAt) >= switchLogInterval {
+		d.log.Info().Str("event", "address-switch").Str("node", id).Str("addr", text).Int("times", n.unloggedSwitches).
+			Msg("preferred address of a node changed")
+		n.switchLoggedAt, n.unloggedSwitches = now, 0
 	}
 }
 
-// Silent says that an address keeps parts without a word.
-func (p *Paths) Silent(id, text string, since, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if a, ok := p.find(id, text); ok {
-		p.planner.Silent(id, a, p.at(since), p.at(now))
+// ReportSilence records that calls over an address have had no answer since the given time.
+func (d *Dialer) ReportSilence(id, text string, since, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if a, ok := d.findAddr(id, text); ok {
+		d.planner.Silent(id, a, d.sinceStart(since), d.sinceStart(now))
 	}
 }
 
-// Reset says that a connection over an address broke.
-func (p *Paths) Reset(id, text string, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if a, ok := p.find(id, text); ok {
-		p.planner.Reset(id, a, p.at(now))
+// ReportReset records that a connection over an address broke.
+func (d *Dialer) ReportReset(id, text string, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if a, ok := d.findAddr(id, text); ok {
+		d.planner.Reset(id, a, d.sinceStart(now))
 	}
 }
 
-// Views are the addresses of all nodes here, the preferred one first.
-func (p *Paths) Views() map[string][]reach.View {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	all := make(map[string][]reach.View, len(p.nodes))
-	for id := range p.nodes {
-		all[id] = p.planner.Order(id, p.at(time.Now()))
+// Views returns the addresses of all nodes known here, the preferred one first.
+func (d *Dialer) Views() map[string][]reach.View {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	all := make(map[string][]reach.View, len(d.nodes))
+	for id := range d.nodes {
+		all[id] = d.planner.Order(id, d.sinceStart(time.Now()))
 	}
 	return all
 }
 
-// ended is what one dial of a race came to.
-type ended struct {
-	addr address.Address
-	conn net.Conn
-	err  error
-	took time.Duration
+// dialResult is the result of one dial of a race.
+type dialResult struct {
+	addr    address.Address
+	conn    net.Conn
+	err     error
+	elapsed time.Duration
 }
 
-// Dial makes a connection to a node: it dials the addresses as the planner says,
-// takes the first that comes up, and breaks the others off. When it returns all
-// its dials have ended. text is the address that it leads to.
-func (p *Paths) Dial(ctx context.Context, id string) (conn net.Conn, text string, err error) {
-	p.mu.Lock()
-	r := p.planner.Begin(id, p.at(time.Now()))
-	p.mu.Unlock()
-	if r == nil {
-		return nil, "", errors.New("dialling a node: it has no address, or too many dials are out")
+// Dial connects to a node: it dials the addresses as the planner decides, takes the first
+// connection that comes up, and cancels the other dials. All dials have ended when it
+// returns. text is the address that was reached.
+func (d *Dialer) Dial(ctx context.Context, id string) (conn net.Conn, text string, err error) {
+	d.mu.Lock()
+	race := d.planner.Begin(id, d.sinceStart(time.Now()))
+	d.mu.Unlock()
+	if race == nil {
+		return nil, "", errors.New("dialling a node: it has no address, or too many dials are pending")
 	}
-	return p.Run(ctx, r)
+	return d.RunRace(ctx, race)
 }
 
-// Trial names an address in doubt that is due to be tried beside the work, as a
-// race that Run must end; nil where none is.
-func (p *Paths) Trial(id string) *reach.Race {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.planner.Trial(id, p.at(time.Now()))
+// StartProbation returns a race to a suspected address that is due to be tested while the
+// node is served over another one; nil if none is due. RunRace must be called on it.
+func (d *Dialer) StartProbation(id string) *reach.Race {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.planner.Trial(id, d.sinceStart(time.Now()))
 }
 
-// Proved says that an address has stood its trial.
-func (p *Paths) Proved(id, text string, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if a, ok := p.find(id, text); ok {
-		p.planner.Proved(id, a, p.at(now))
+// ReportProbationPassed records that a suspected address has passed its test.
+func (d *Dialer) ReportProbationPassed(id, text string, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if a, ok := d.findAddr(id, text); ok {
+		d.planner.Proved(id, a, d.sinceStart(now))
 	}
 }
 
-// Run runs a race to its end, as Dial does.
-func (p *Paths) Run(ctx context.Context, r *reach.Race) (conn net.Conn, text string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, p.timeout)
+// RunRace dials the addresses of a race as the planner decides, until one connects or none
+// is left, and waits for all dials to end.
+func (d *Dialer) RunRace(ctx context.Context, race *reach.Race) (conn net.Conn, text string, err error) {
+	ctx, cancel := context.WithTimeout(ctx, d.timeout)
 	defer cancel()
-	defer context.AfterFunc(p.ctx, cancel)()
-	results := make(chan ended) // each dial is waited for
+	defer context.AfterFunc(d.ctx, cancel)()
+	results := make(chan dialResult) // unbuffered, as each dial's result is received
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	for out := 0; ; {
-		p.mu.Lock()
-		now := p.at(time.Now())
+	for pending := 0; ; {
+		d.mu.Lock()
+		now := d.sinceStart(time.Now())
 		if ctx.Err() != nil {
-			r.Stop()
+			race.Stop()
 		}
-		s := r.Next(now)
-		p.mu.Unlock()
-		if s.Dial != (address.Address{}) {
-			out++
+		step := race.Next(now)
+		d.mu.Unlock()
+		if step.Dial != (address.Address{}) {
+			pending++
 			go func() {
 				start := time.Now()
-				c, err := p.dialer.Dial(ctx, s.Dial.Network(), s.Dial.Target)
-				results <- ended{s.Dial, c, err, time.Since(start)}
+				c, err := d.dialer.Dial(ctx, step.Dial.Network(), step.Dial.Target)
+				results <- dialResult{step.Dial, c, err, time.Since(start)}
 			}()
 			continue
 		}
-		if out == 0 {
+		if pending == 0 {
 			break
 		}
 		timer.Reset(time.Hour)
-		if s.Wait > 0 {
-			timer.Reset(max(0, s.Wait-now))
+		if step.Wait > 0 {
+			timer.Reset(max(0, step.Wait-now))
 		}
 		select {
 		case <-timer.C:
-		case e := <-results:
-			out--
+		case result := <-results:
+			pending--
 			switch {
-			case p.book(r, e):
-				conn, text = e.conn, e.addr.String()
-				cancel() // the others
-			case e.err != nil:
-				err = e.err
+			case d.recordResult(race, result):
+				conn, text = result.conn, result.addr.String()
+				cancel() // cancels the other dials
+			case result.err != nil:
+				err = result.err
 			}
 		}
 	}
@@ -255,28 +259,29 @@
 		return conn, text, nil
 	}
 	if err == nil {
-		err = errors.New("no address was left")
+		err = errors.New("no address left to dial")
 	}
 	return nil, "", fmt.Errorf("dialling a node at its addresses: %w", err)
 }
 
-// book takes the end of a dial in, and says whether its connection is the one.
-func (p *Paths) book(r *reach.Race, e ended) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	now := p.at(time.Now())
+// recordResult records the result of a dial, and reports whether its connection is the one
+// to use.
+func (d *Dialer) recordResult(race *reach.Race, result dialResult) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.sinceStart(time.Now())
 	switch {
-	case e.err == nil:
-		if r.Up(e.addr, e.took, now) {
+	case result.err == nil:
+		if race.Up(result.addr, result.elapsed, now) {
 			return true
 		}
-		_ = e.conn.Close()
-	case errors.Is(e.err, context.Canceled), netio.LocalFailure(e.err):
-		r.Dropped(e.addr, now)
-	case errors.Is(e.err, context.DeadlineExceeded), errors.Is(e.err, os.ErrDeadlineExceeded), errors.Is(e.err, syscall.ETIMEDOUT):
-		r.Failed(e.addr, reach.TimedOut, now)
+		_ = result.conn.Close()
+	case errors.Is(result.err, context.Canceled), netio.LocalFailure(result.err):
+		race.Dropped(result.addr, now)
+	case errors.Is(result.err, context.DeadlineExceeded), errors.Is(result.err, os.ErrDeadlineExceeded), errors.Is(result.err, syscall.ETIMEDOUT):
+		race.Failed(result.addr, reach.TimedOut, now)
 	default:
-		r.Failed(e.addr, reach.Refused, now)
+		race.Failed(result.addr, reach.Refused, now)
 	}
 	return false
 }
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -1,5 +1,5 @@
-// Package flightnode carries attempts to nodes that speak Arrow Flight: one
-// DoGet a part, one connection a node.
+// Package flightnode sends attempts to nodes that speak Arrow Flight: each part is a DoGet,
+// over one connection per node.
 package flightnode
 
 import (
@@ -33,57 +33,58 @@
 )
 
 const (
-	maxAnswer = 128 << 10 // of one message
-	maxValue  = 64 << 10
-	idleShare = 0.7
-	maxCalls  = 4096 // attempts out at once, over all nodes
-	// complainEvery is how often want of room is logged.
-	complainEvery = 10 * time.Second
+	maxMessageBytes     = 128 << 10 // limit on one received message
+	maxValueBytes       = 64 << 10  // limit on one part's value
+	idleTimeoutFraction = 0.7       // fraction of the server's idle timeout after which an idle connection is closed
+	maxOpenAttempts     = 4096      // limit on concurrent attempts over all nodes
+	// warnLogInterval is the minimum interval between two log lines about a full pool.
+	warnLogInterval = 10 * time.Second
 )
 
-// Options make a Client.
+// Options configures a Client.
 type Options struct {
-	Sink           broker.Sink
-	ConnectTimeout time.Duration
-	Dialer         *netio.Dialer // nil: one of its own
-	ConnIdle       time.Duration
-	MaxConns       int
-	Observer       broker.WireObserver // nil: nobody is told
-	Log            zerolog.Logger
+	Sink              broker.Sink
+	ConnectTimeout    time.Duration
+	Dialer            *netio.Dialer       // nil: the client makes its own
+	ServerIdleTimeout time.Duration       // idle timeout of the servers
+	MaxConns          int                 // connection limit over all nodes
+	Observer          broker.WireObserver // may be nil
+	Log               zerolog.Logger
 }
 
-// Client implements broker.NodeClient. It holds no socket and no goroutine
-// while no Flight node has work.
+// Client implements broker.NodeClient. It holds no socket and no goroutine while no Flight
+// node has work to do.
 type Client struct {
-	opts  Options
-	paths *dial.Paths // to nodes of several addresses
-	done  sync.WaitGroup
-
-	mu      sync.Mutex
-	nodes   map[string]*node
-	calls   map[broker.AttemptID]context.CancelFunc
-	conns   int
-	full    time.Time // when want of room was logged last
-	shut    bool
-	relayed atomic.Int64 // attempts whose ticket has left
+	opts        Options
+	multiDialer *dial.Dialer // connects to nodes with more than one address
+	goroutines  sync.WaitGroup
+
+	mu               sync.Mutex
+	nodes            map[string]*node
+	cancelByAttempt  map[broker.AttemptID]context.CancelFunc
+	openConns        int
+	poolFullLoggedAt time.Time // time of the latest pool-full log line
+	closed           bool
+	writtenAttempts  atomic.Int64 // attempts whose ticket has been handed to gRPC
 }
 
+// node is one node, listed or with calls still open.
 type node struct {
-	id, addr string
-	conn     *grpc.ClientConn // nil until it is needed
-	out      int              // attempts and probes
-	rests    time.Time        // since when none is out
-	listed   bool
-	latest   time.Time              // until when attempts may begin; zero: no bound
-	several  bool                   // paths knows its addresses
-	at       atomic.Pointer[string] // of several, the address that its connection leads to
-	local    atomic.Bool            // its latest dial failed for want of something on this machine
+	id, addr     string
+	conn         *grpc.ClientConn // nil until it is needed
+	openCalls    int              // attempts and probes that are open
+	idleSince    time.Time        // since when it has had no open calls
+	listed       bool
+	latestStart  time.Time              // attempts may not begin after this; zero: no limit
+	multiAddr    bool                   // multiDialer has its addresses
+	connAddr     atomic.Pointer[string] // with several addresses, the one that conn leads to
+	localFailure atomic.Bool            // its latest dial failed because of a failure on this machine
 }
 
-// Relayed is how many attempts have been written whole to nodes.
-func (c *Client) Relayed() int64 { return c.relayed.Load() }
+// WrittenAttempts returns the number of attempts that have been handed to gRPC whole.
+func (c *Client) WrittenAttempts() int64 { return c.writtenAttempts.Load() }
 
-// New returns a client; Close ends it.
+// New returns a client; Close stops it.
 func New(o Options) *Client {
 	if o.ConnectTimeout <= 0 {
 		o.ConnectTimeout = 250 * time.Millisecond
@@ -92,29 +93,30 @@
 	if o.Dialer == nil {
 		o.Dialer = netio.NewDialer()
 	}
-	return &Client{opts: o, paths: dial.New(o.Dialer, o.ConnectTimeout, o.MaxConns, o.Log), nodes: map[string]*node{}, calls: map[broker.AttemptID]context.CancelFunc{}}
+	return &Client{opts: o, multiDialer: dial.New(o.Dialer, o.ConnectTimeout, o.MaxConns, o.Log), nodes: map[string]*node{}, cancelByAttempt: map[broker.AttemptID]context.CancelFunc{}}
 }
 
-// Close ends the client and waits for what it has out.
+// Close cancels all attempts, closes all connections and waits for open calls to end.
 func (c *Client) Close() {
 	c.mu.Lock()
-	c.shut = true
-	for _, cancel := range c.calls {
+	c.closed = true
+	for _, cancel := range c.cancelByAttempt {
 		cancel()
 	}
 	for _, n := range c.nodes {
-		c.hangUp(n)
+		c.closeConn(n)
 	}
 	c.mu.Unlock()
-	c.paths.Close()
-	c.done.Wait()
+	c.multiDialer.Close()
+	c.goroutines.Wait()
 }
 
-func (c *Client) hangUp(n *node) {
+// closeConn closes a node's connection, if there is one; c.mu is held.
+func (c *Client) closeConn(n *node) {
 	if n.conn != nil {
 		_ = n.conn.Close()
 		n.conn = nil
-		c.conns--
+		c.openConns--
 	}
 }
 
@@ -125,186 +127,188 @@
 	for _, n := range c.nodes {
 		n.listed = false
 	}
-	for _, in := range nodes {
-		n := c.nodes[in.ID]
-		addr := strings.TrimPrefix(in.Addr, broker.FlightScheme)
-		if n == nil || n.addr != addr && n.out > 0 { // what is out at the old address ends there
-			n = &node{id: in.ID, addr: addr}
-			c.nodes[in.ID] = n
+	for _, listed := range nodes {
+		n := c.nodes[listed.ID]
+		addr := strings.TrimPrefix(listed.Addr, broker.FlightScheme)
+		if n == nil || n.addr != addr && n.openCalls > 0 { // calls open at the old address end there
+			n = &node{id: listed.ID, addr: addr}
+			c.nodes[listed.ID] = n
 		} else if n.addr != addr {
-			c.hangUp(n)
+			c.closeConn(n)
 			n.addr = addr
 		}
-		n.listed, n.latest = true, in.Latest
-		n.several = c.paths.Set(in.ID, in.Addrs)
-		if n.several { // what its connection leads to may have gone from the list
-			if at := n.at.Load(); at != nil && !c.paths.Has(in.ID, *at) {
-				n = c.renew(n)
+		n.listed, n.latestStart = true, listed.Latest
+		n.multiAddr = c.multiDialer.SetAddrs(listed.ID, listed.Addrs)
+		if n.multiAddr { // the address of its connection may have been removed
+			if at := n.connAddr.Load(); at != nil && !c.multiDialer.HasAddr(listed.ID, *at) {
+				n = c.replaceConn(n)
 			}
 		}
 	}
 	for id, n := range c.nodes {
-		if !n.listed && n.several { // never dialled again
-			c.paths.Set(id, nil)
+		if !n.listed && n.multiAddr { // it is not dialled again
+			c.multiDialer.SetAddrs(id, nil)
 		}
-		if !n.listed && n.out == 0 {
-			c.hangUp(n)
+		if !n.listed && n.openCalls == 0 {
+			c.closeConn(n)
 			delete(c.nodes, id)
 		}
 	}
 }
 
-// renew gives a node a new connection for what comes next; what is out ends on
-// the old one. c.mu is held.
-func (c *Client) renew(n *node) *node {
+// replaceConn gives a node a new connection for later calls; open calls end on the old one.
+// c.mu is held.
+func (c *Client) replaceConn(n *node) *node {
 	if n.conn == nil {
-		n.at.Store(nil)
+		n.connAddr.Store(nil)
 		return n
 	}
-	fresh := &node{id: n.id, addr: n.addr, listed: n.listed, latest: n.latest, several: n.several}
+	fresh := &node{id: n.id, addr: n.addr, listed: n.listed, latestStart: n.latestStart, multiAddr: n.multiAddr}
 	c.nodes[n.id] = fresh
-	if n.out == 0 {
-		c.hangUp(n)
+	if n.openCalls == 0 {
+		c.closeConn(n)
 	}
 	return fresh
 }
 
-// learn tells the paths what an attempt's end says of its address, and leaves
-// an address that is in doubt then. c.mu is held.
-func (c *Client) learn(n *node, at string, o decide.Outcome, sent time.Time) {
+// reportOutcome reports to the address planner what the end of an attempt shows about its
+// address, and replaces the connection if the address is under suspicion then. c.mu is
+// held.
+func (c *Client) reportOutcome(n *node, addr string, outcome decide.Outcome, sentAt time.Time) {
 	now := time.Now()
-	switch o {
+	switch outcome {
 	case decide.OK, decide.Failed, decide.Rejected:
-		c.paths.Answered(n.id, at, now)
+		c.multiDialer.ReportAnswer(n.id, addr, now)
 	case decide.Broken:
-		c.paths.Reset(n.id, at, now)
+		c.multiDialer.ReportReset(n.id, addr, now)
 	case decide.TimedOut:
-		c.paths.Silent(n.id, at, sent, now)
+		c.multiDialer.ReportSilence(n.id, addr, sentAt, now)
 	}
-	if c.nodes[n.id] == n && !c.shut && c.paths.Doubtful(n.id, at, now) {
-		c.renew(n)
+	if c.nodes[n.id] == n && !c.closed && c.multiDialer.Suspected(n.id, addr, now) {
+		c.replaceConn(n)
 	}
 }
 
-// dialer is how gRPC reaches a node of several addresses.
-func (c *Client) dialer(n *node) grpc.DialOption {
+// dialMultiAddr is the gRPC dialer of a node with several addresses.
+func (c *Client) dialMultiAddr(n *node) grpc.DialOption {
 	return grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) {
-		conn, at, err := c.paths.Dial(ctx, n.id)
+		conn, addr, err := c.multiDialer.Dial(ctx, n.id)
 		if err != nil {
 			return nil, err
 		}
-		n.at.Store(&at)
-		return &greeted{Conn: conn, mute: func() { c.paths.Silent(n.id, at, time.Now(), time.Now()) }}, nil
+		n.connAddr.Store(&addr)
+		return &greetingCheckConn{Conn: conn, onSilence: func() { c.multiDialer.ReportSilence(n.id, addr, time.Now(), time.Now()) }}, nil
 	})
 }
 
-// only is how gRPC reaches a node of one address.
-func (c *Client) only(n *node) grpc.DialOption {
+// dialSingleAddr is the gRPC dialer of a node with one address.
+func (c *Client) dialSingleAddr(n *node) grpc.DialOption {
 	return grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, c.opts.ConnectTimeout)
 		defer cancel()
 		conn, err := c.opts.Dialer.DialOnly(ctx, "tcp", addr)
-		n.local.Store(netio.LocalFailure(err))
+		n.localFailure.Store(netio.LocalFailure(err))
 		return conn, err
 	})
 }
 
-// greeted notices a connection that ends before the other side has said a
-// word: HTTP/2 begins with its settings (RFC 9113, section 3.4).
-type greeted struct {
+// greetingCheckConn detects connections that are closed before the server has sent
+// anything: a server begins with its SETTINGS frame (RFC 9113, section 3.4).
+type greetingCheckConn struct {
 	net.Conn
-	heard atomic.Bool
-	once  sync.Once
-	mute  func()
+	received  atomic.Bool
+	once      sync.Once
+	onSilence func()
 }
 
 // Read implements net.Conn.
-func (g *greeted) Read(b []byte) (int, error) {
-	n, err := g.Conn.Read(b)
+func (c *greetingCheckConn) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
 	if n > 0 {
-		g.heard.Store(true)
+		c.received.Store(true)
 	}
 	return n, err
 }
 
 // Close implements net.Conn.
-func (g *greeted) Close() error {
-	g.once.Do(func() {
-		if !g.heard.Load() {
-			g.mute()
+func (c *greetingCheckConn) Close() error {
+	c.once.Do(func() {
+		if !c.received.Load() {
+			c.onSilence()
 		}
 	})
-	return g.Conn.Close()
+	return c.Conn.Close()
 }
 
-// room says whether one more connection may be made. Where all places are taken,
-// that of the node which has rested the longest is closed. c.mu is held.
-func (c *Client) room() bool {
-	if c.conns < c.opts.MaxConns {
+// makeRoom reports whether one more connection may be opened. If the pool is full, it
+// closes the connection of the node that has been idle the longest. c.mu is held.
+func (c *Client) makeRoom() bool {
+	if c.openConns < c.opts.MaxConns {
 		return true
 	}
 	var oldest *node
 	for _, n := range c.nodes {
-		if n.conn != nil && n.out == 0 && (oldest == nil || n.rests.Before(oldest.rests)) {
+		if n.conn != nil && n.openCalls == 0 && (oldest == nil || n.idleSince.Before(oldest.idleSince)) {
 			oldest = n
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	c.hangUp(oldest)
+	c.closeConn(oldest)
 	return true
 }
 
-// reach returns the node and its connection, made if need be; else what came of
-// it: want of room is no fault of the node's.
-func (c *Client) reach(id string) (*node, decide.Outcome) {
+// connectedNode returns the node and opens its connection if there is none; otherwise the
+// outcome that explains why not. A full pool is reported as NotSent, as it is not the
+// node's fault. c.mu is held.
+func (c *Client) connectedNode(id string) (*node, decide.Outcome) {
 	n := c.nodes[id]
-	if n == nil || c.shut {
+	if n == nil || c.closed {
 		return nil, decide.Unreachable
 	}
 	if n.conn == nil {
-		if !c.room() {
-			if now := time.Now(); now.Sub(c.full) >= complainEvery { // it would be a line a part
-				c.full = now
-				c.opts.Log.Warn().Str("event", "pool-full").Str("node", id).Int("conns", c.conns).
-					Msg("no connection may be opened, and none is idle")
+		if !c.makeRoom() {
+			if now := time.Now(); now.Sub(c.poolFullLoggedAt) >= warnLogInterval { // otherwise every part would log a line
+				c.poolFullLoggedAt = now
+				c.opts.Log.Warn().Str("event", "pool-full").Str("node", id).Int("conns", c.openConns).
+					Msg("connection pool is full and no connection is idle")
 			}
 			return nil, decide.NotSent
 		}
 		options := []grpc.DialOption{
 			grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(), grpc.WithNoProxy(),
-			grpc.WithIdleTimeout(time.Duration(idleShare * float64(c.opts.ConnIdle))),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxAnswer)),
+			grpc.WithIdleTimeout(time.Duration(idleTimeoutFraction * float64(c.opts.ServerIdleTimeout))),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 			grpc.WithConnectParams(grpc.ConnectParams{
 				Backoff:           backoff.Config{BaseDelay: 50 * time.Millisecond, Multiplier: 2, Jitter: 0.2, MaxDelay: time.Second},
 				MinConnectTimeout: c.opts.ConnectTimeout,
 			}),
 		}
-		if n.several {
-			options = append(options, c.dialer(n))
+		if n.multiAddr {
+			options = append(options, c.dialMultiAddr(n))
 		} else {
-			options = append(options, c.only(n))
+			options = append(options, c.dialSingleAddr(n))
 		}
 		conn, err := grpc.NewClient("passthrough:///"+n.addr, options...)
 		if err != nil {
-			c.opts.Log.Error().Str("event", "connect").Str("node", id).Err(err).Msg("a node could not be reached")
+			c.opts.Log.Error().Str("event", "connect").Str("node", id).Err(err).Msg("failed to connect to a node")
 			return nil, decide.Unreachable
 		}
 		n.conn = conn
-		c.conns++
+		c.openConns++
 	}
 	return n, decide.OK
 }
 
-// Send implements broker.NodeClient. Flight has no calls of many parts: each
-// part is a DoGet.
+// Send implements broker.NodeClient. Flight has no calls of several parts: each part is a
+// DoGet of its own.
 func (c *Client) Send(id string, calls []broker.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, failed := c.reach(id)
-	if n != nil && len(c.calls)+len(calls) > maxCalls {
+	n, failed := c.connectedNode(id)
+	if n != nil && len(c.cancelByAttempt)+len(calls) > maxOpenAttempts {
 		n, failed = nil, decide.NotSent
 	}
 	for _, a := range calls {
@@ -313,21 +317,21 @@
 			continue
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), a.Wait)
-		c.calls[a.ID] = cancel
-		n.out++
-		c.done.Add(1)
+		c.cancelByAttempt[a.ID] = cancel
+		n.openCalls++
+		c.goroutines.Add(1)
 		go func(conn *grpc.ClientConn) {
-			defer c.done.Done()
+			defer c.goroutines.Done()
 			sent := time.Now()
-			outcome, answer, err := c.call(ctx, conn, n, a)
+			outcome, answer, err := c.runAttempt(ctx, conn, n, a)
 			cancel()
 			if err != nil {
-				c.opts.Log.Debug().Str("event", "attempt").Str("node", id).Err(err).Msg("an attempt was not served")
+				c.opts.Log.Debug().Str("event", "attempt").Str("node", id).Err(err).Msg("attempt failed")
 			}
 			c.mu.Lock()
-			delete(c.calls, a.ID)
-			if at := n.at.Load(); n.several && at != nil {
-				c.learn(n, *at, outcome, sent)
+			delete(c.cancelByAttempt, a.ID)
+			if at := n.connAddr.Load(); n.multiAddr && at != nil {
+				c.reportOutcome(n, *at, outcome, sent)
 			}
 			c.release(n)
 			c.mu.Unlock()
@@ -336,24 +340,24 @@
 	}
 }
 
-// release closes a node's connection with its last call once the node is no
-// longer listed, or is listed at another address.
+// release ends an open call of a node. With the last one it closes the connection if the
+// node is no longer listed, or has been replaced; c.mu is held.
 func (c *Client) release(n *node) {
-	n.out--
-	if n.out > 0 {
+	n.openCalls--
+	if n.openCalls > 0 {
 		return
 	}
-	n.rests = time.Now()
+	n.idleSince = time.Now()
 	if c.nodes[n.id] != n {
-		c.hangUp(n)
+		c.closeConn(n)
 	} else if !n.listed {
-		c.hangUp(n)
+		c.closeConn(n)
 		delete(c.nodes, n.id)
 	}
 }
 
-// up waits for an open connection. Nothing has been sent before it is up.
-func (c *Client) up(ctx context.Context, conn *grpc.ClientConn) error {
+// waitReady waits until the connection is up. Until then nothing has been sent on it.
+func (c *Client) waitReady(ctx context.Context, conn *grpc.ClientConn) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ConnectTimeout)
 	defer cancel()
 	for {
@@ -372,25 +376,25 @@
 	}
 }
 
-// call makes one attempt. Until DoGet's stream is open nothing has run; from
-// then on only the node's own word, in the trailer, proves that it did not.
-func (c *Client) call(ctx context.Context, conn *grpc.ClientConn, n *node, a broker.Attempt) (decide.Outcome, broker.Answer, error) {
+// runAttempt makes one attempt. Nothing has run before DoGet's stream is open; afterwards
+// only the node's own word, in the trailer, proves that it did not run.
+func (c *Client) runAttempt(ctx context.Context, conn *grpc.ClientConn, n *node, a broker.Attempt) (decide.Outcome, broker.Answer, error) {
 	var answer broker.Answer
-	tell := func(p broker.WirePhase, at time.Time) {
+	notify := func(p broker.WirePhase, at time.Time) {
 		if c.opts.Observer != nil {
 			c.opts.Observer.Wire(a.ID, p, conn.Target(), at)
 		}
 	}
 	if conn.GetState() != connectivity.Ready {
-		tell(broker.WireDialing, time.Now())
+		notify(broker.WireDialing, time.Now())
 	}
-	if err := c.up(ctx, conn); err != nil {
-		if n.local.Load() {
+	if err := c.waitReady(ctx, conn); err != nil {
+		if n.localFailure.Load() {
 			return decide.NotSent, answer, err
 		}
 		return decide.Unreachable, answer, err
 	}
-	tell(broker.WireUp, time.Now())
+	notify(broker.WireUp, time.Now())
 	if c.opts.Observer != nil {
 		if parent, state := c.opts.Observer.Carry(a.ID); parent != "" {
 			ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.ParentKey, parent)
@@ -399,87 +403,87 @@
 			}
 		}
 	}
-	// The raw stream and not the client's DoGet, which hides whether an error
-	// came before the ticket left or after.
+	// NewStream instead of the generated DoGet client, which does not show whether an error
+	// came before or after the ticket was sent.
 	stream, err := conn.NewStream(ctx, &grpc.StreamDesc{ServerStreams: true}, "/arrow.flight.protocol.FlightService/DoGet")
 	if err != nil {
 		return decide.Unreachable, answer, err
 	}
-	// It may have waited for the connection, and for the node to allow one more stream.
-	if latest, listed := c.latest(n); !listed || a.Late(latest, time.Now()) {
-		return decide.NotSent, answer, errLate
+	// NewStream may have waited for the connection, and for the node's limit on streams.
+	if latest, listed := c.latestStart(n); !listed || a.Late(latest, time.Now()) {
+		return decide.NotSent, answer, errTooLate
 	}
-	left := a.Wait // the node is told what is left now
+	remaining := a.Wait // the node gets the time that remains now
 	if end, ok := ctx.Deadline(); ok {
-		left = time.Until(end)
+		remaining = time.Until(end)
 	}
 	ticket, err := flightwire.Encode(flightwire.PartTicket{
-		ID: fmt.Sprintf("%s.%d", a.Query, a.Shard), Partition: a.Shard, WaitMs: max(1, left.Milliseconds()),
+		ID: fmt.Sprintf("%s.%d", a.Query, a.Shard), Partition: a.Shard, WaitMs: max(1, remaining.Milliseconds()),
 		Key: a.Key, Query: a.Text,
 	})
 	if err != nil {
 		return decide.NotSent, answer, err
 	}
-	get := &answers{ClientStream: stream, began: &answer.Began}
+	answers := &answerStream{ClientStream: stream, firstMessageAt: &answer.Began}
 	if err = stream.SendMsg(ticket); err == nil {
 		err = stream.CloseSend()
 	}
 	if err == nil {
-		c.relayed.Add(1)
-		tell(broker.WireGone, time.Now())
+		c.writtenAttempts.Add(1)
+		notify(broker.WireGone, time.Now())
 	}
 	var values []broker.Value
 	if err == nil {
-		_, values, err = flightwire.ReadValues(get)
+		_, values, err = flightwire.ReadValues(answers)
 	}
-	if err == nil && (len(values) != 1 || values[0].Shard != a.Shard || len(values[0].Data) > maxValue) {
-		return decide.Failed, answer, fmt.Errorf("answer of %d parts, want the one of shard %d", len(values), a.Shard)
+	if err == nil && (len(values) != 1 || values[0].Shard != a.Shard || len(values[0].Data) > maxValueBytes) {
+		return decide.Failed, answer, fmt.Errorf("got an answer of %d parts, want one part of shard %d", len(values), a.Shard)
 	}
 	if err == nil {
 		answer.Value = values[0].Data
 		return decide.OK, answer, nil
 	}
-	return outcome(err, stream.Trailer()), answer, err
+	return classify(err, stream.Trailer()), answer, err
 }
 
-// errLate is the end of an attempt that came to its stream when it might not begin
-// any more.
-var errLate = errors.New("the time in which it might begin was over")
+// errTooLate reports that an attempt got its stream when it might no longer begin.
+var errTooLate = errors.New("the attempt's latest start has passed, or its node is no longer listed")
 
-// latest is until when attempts may begin at a node, and whether they may at all.
-func (c *Client) latest(n *node) (latest time.Time, listed bool) {
+// latestStart returns the time after which attempts may not begin at a node, and whether
+// the node is listed.
+func (c *Client) latestStart(n *node) (latest time.Time, listed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now := c.nodes[n.id]; now != nil { // n, or what has taken its place
-		return now.latest, now.listed
+	if current := c.nodes[n.id]; current != nil { // n, or its replacement
+		return current.latestStart, current.listed
 	}
 	return time.Time{}, false
 }
 
-// answers are the messages of one answer.
-type answers struct {
+// answerStream receives the messages of one answer.
+type answerStream struct {
 	grpc.ClientStream
-	began *time.Time // when the first came
+	firstMessageAt *time.Time // when the first message arrived
 }
 
 // Recv implements flight.DataStreamReader.
-func (a *answers) Recv() (*flight.FlightData, error) {
+func (a *answerStream) Recv() (*flight.FlightData, error) {
 	m := new(flight.FlightData)
 	if err := a.RecvMsg(m); err != nil {
 		return nil, err
 	}
-	if a.began.IsZero() {
-		*a.began = time.Now()
+	if a.firstMessageAt.IsZero() {
+		*a.firstMessageAt = time.Now()
 	}
 	return m, nil
 }
 
-// outcome classifies what ended a stream that had been opened.
-func outcome(err error, trailer metadata.MD) decide.Outcome {
+// classify returns the outcome for an error on a stream that had been opened.
+func classify(err error, trailer metadata.MD) decide.Outcome {
 	if ends := trailer.Get(flightwire.EndKey); len(ends) == 1 && ends[0] == flightwire.EndFull {
 		return decide.Rejected
 	}
-	switch code(err) {
+	switch statusCode(err) {
 	case codes.DeadlineExceeded:
 		return decide.TimedOut
 	case codes.Canceled:
@@ -490,7 +494,8 @@
 	return decide.Failed
 }
 
-func code(err error) codes.Code {
+// statusCode returns the gRPC status code of an error, Unknown if it has none.
+func statusCode(err error) codes.Code {
 	var s interface{ GRPCStatus() *status.Status }
 	if errors.As(err, &s) {
 		return s.GRPCStatus().Code()
@@ -502,35 +507,35 @@
 func (c *Client) Cancel(_ string, id broker.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if cancel := c.calls[id]; cancel != nil {
+	if cancel := c.cancelByAttempt[id]; cancel != nil {
 		cancel()
 	}
 }
 
-// Probe implements broker.NodeClient: it asks for the node's actions, which
-// costs it next to nothing.
+// Probe implements broker.NodeClient: it lists the node's actions, which is cheap for the
+// node.
 func (c *Client) Probe(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, failed := c.reach(id)
+	n, failed := c.connectedNode(id)
 	if n == nil {
 		c.opts.Sink.Probed(id, failed, 0)
 		return
 	}
-	n.out++
-	c.done.Add(1)
+	n.openCalls++
+	c.goroutines.Add(1)
 	go func(conn *grpc.ClientConn) {
-		defer c.done.Done()
+		defer c.goroutines.Done()
 		start := time.Now()
 		ctx, cancel := context.WithTimeout(context.Background(), 4*c.opts.ConnectTimeout)
 		defer cancel()
 		outcome := decide.OK
-		if err := c.up(ctx, conn); err != nil {
+		if err := c.waitReady(ctx, conn); err != nil {
 			outcome = decide.Unreachable
 		} else if stream, err := flight.NewFlightServiceClient(conn).ListActions(ctx, &flight.Empty{}); err != nil {
 			outcome = decide.Failed
-		} else if _, err := stream.Recv(); err != nil && !errors.Is(err, io.EOF) && code(err) != codes.Unimplemented {
-			// A node that has no actions has answered all the same.
+		} else if _, err := stream.Recv(); err != nil && !errors.Is(err, io.EOF) && statusCode(err) != codes.Unimplemented {
+			// A node without actions has answered all the same.
 			outcome = decide.Failed
 		}
 		c.mu.Lock()
@@ -544,10 +549,10 @@
 func (c *Client) CloseIdle(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := c.nodes[id]; n != nil && n.out == 0 {
-		c.hangUp(n)
+	if n := c.nodes[id]; n != nil && n.openCalls == 0 {
+		c.closeConn(n)
 	}
 }
 
-// Addresses are those of the nodes that have several, the preferred one first.
-func (c *Client) Addresses() map[string][]reach.View { return c.paths.Views() }
+// Addresses returns the addresses of each node that has several, the preferred one first.
+func (c *Client) Addresses() map[string][]reach.View { return c.multiDialer.Views() }
--- a/flightnode/client_test.go
+++ b/flightnode/client_test.go
@@ -20,9 +20,9 @@
 	"onyxsail/internal/testkit"
 )
 
-// Only the node's own trailer proves that an opened stream never ran: the
-// transport makes up the same codes itself.
-func TestClassification(t *testing.T) {
+// Only the node's own trailer proves that an opened stream never ran: the transport
+// generates the same status codes itself.
+func TestStreamErrorsAreClassified(t *testing.T) {
 	full := metadata.Pairs(flightwire.EndKey, flightwire.EndFull)
 	for _, c := range []struct {
 		err     error
@@ -40,23 +40,24 @@
 		{status.Error(codes.Internal, "failed"), metadata.Pairs(flightwire.EndKey, "other"), decide.Failed},
 		{errors.New("schema"), nil, decide.Broken},
 	} {
-		if got := outcome(c.err, c.trailer); got != c.want {
+		if got := classify(c.err, c.trailer); got != c.want {
 			t.Errorf("%v, %v: got %d, want %d", c.err, c.trailer, got, c.want)
 		}
 	}
 }
 
+// sink records the outcomes of attempts, the latest value, and the outcomes of probes.
 type sink struct {
-	mu     sync.Mutex
-	got    map[broker.AttemptID][]decide.Outcome
-	value  string
-	probes []decide.Outcome
+	mu       sync.Mutex
+	outcomes map[broker.AttemptID][]decide.Outcome
+	value    string
+	probes   []decide.Outcome
 }
 
 func (s *sink) Outcome(id broker.AttemptID, o decide.Outcome, a broker.Answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.got[id], s.value = append(s.got[id], o), string(a.Value)
+	s.outcomes[id], s.value = append(s.outcomes[id], o), string(a.Value)
 }
 
 func (s *sink) Probed(_ string, o decide.Outcome, _ time.Duration) {
@@ -65,8 +66,10 @@
 	s.probes = append(s.probes, o)
 }
 
-func TestOutcomes(t *testing.T) {
-	s := &sink{got: map[broker.AttemptID][]decide.Outcome{}}
+// Each way in which a part or probe can end is reported once, as its own outcome, and a
+// node that has moved is reached at its new address.
+func TestEachResultGetsItsOutcome(t *testing.T) {
+	s := &sink{outcomes: map[broker.AttemptID][]decide.Outcome{}}
 	c := New(Options{Sink: s, ConnectTimeout: 200 * time.Millisecond, MaxConns: 3, Log: zerolog.New(io.Discard)})
 	defer c.Close()
 	n := testkit.NewNode(t, "n", true)
@@ -78,13 +81,13 @@
 		t.Fatal(err)
 	}
 	dead.Close()
-	mute, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
+	defer silent.Close()
 	scheme := func(l net.Listener) string { return broker.FlightScheme + l.Addr().String() }
-	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}, {ID: "dead", Addr: scheme(dead)}, {ID: "mute", Addr: scheme(mute)}})
+	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}, {ID: "dead", Addr: scheme(dead)}, {ID: "mute", Addr: scheme(silent)}})
 	id := broker.AttemptID(0)
 	send := func(node string, shard int, wait time.Duration) broker.AttemptID {
 		id++
@@ -96,12 +99,12 @@
 		testkit.Eventually(t, "an outcome", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return len(s.got[id]) > 0
+			return len(s.outcomes[id]) > 0
 		})
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if len(s.got[id]) != 1 || s.got[id][0] != want {
-			t.Errorf("attempt %d: outcomes %v, want %d once", id, s.got[id], want)
+		if len(s.outcomes[id]) != 1 || s.outcomes[id][0] != want {
+			t.Errorf("attempt %d: outcomes %v, want %d once", id, s.outcomes[id], want)
 		}
 	}
 	expect(send("n", 0, time.Minute), decide.OK)
@@ -110,16 +113,16 @@
 	}
 	expect(send("n", 1, time.Minute), decide.Failed)
 	expect(send("n", 2, time.Minute), decide.Rejected)
-	expect(send("n", 3, time.Minute), decide.Broken) // the value had come, its end had not
+	expect(send("n", 3, time.Minute), decide.Broken) // the value had arrived, the end of the stream had not
 	expect(send("n", 4, 300*time.Millisecond), decide.TimedOut)
 	expect(send("dead", 0, time.Minute), decide.Unreachable)
 	expect(send("mute", 0, time.Minute), decide.Unreachable)
 	expect(send("unlisted", 0, time.Minute), decide.Unreachable)
-	off := send("n", 4, time.Minute)
+	cancelled := send("n", 4, time.Minute)
 	n.Wait(t, "the part", func() bool { return len(n.Calls()) == 6 })
-	c.Cancel("n", off)
-	expect(off, decide.Cancelled)
-	n.Wait(t, "the part given up", func() bool { return len(n.GivenUp()) >= 2 })
+	c.Cancel("n", cancelled)
+	expect(cancelled, decide.Cancelled)
+	n.Wait(t, "the part is cancelled", func() bool { return len(n.GivenUp()) >= 2 })
 	c.Probe("n")
 	c.Probe("dead")
 	testkit.Eventually(t, "both probes", func() bool {
@@ -127,7 +130,7 @@
 		defer s.mu.Unlock()
 		return len(s.probes) == 2 && s.probes[0]+s.probes[1] == decide.OK+decide.Unreachable
 	})
-	// The node is the same under its id at another address.
+	// The node is reached under its id at another address.
 	moved := testkit.NewNode(t, "n", true)
 	c.Update([]broker.Node{{ID: "n", Addr: moved.Addr}})
 	expect(send("n", 0, time.Minute), decide.OK)
@@ -136,10 +139,11 @@
 	}
 }
 
-// More nodes are listed than connections may be open: the one that has rested the
-// longest makes room. Where none rests the part is not sent, and its node is not blamed.
-func TestNodesBeyondThePool(t *testing.T) {
-	s := &sink{got: map[broker.AttemptID][]decide.Outcome{}}
+// With more nodes listed than connections allowed, the connection that has been idle the
+// longest is closed to make room. If none is idle, the part is not sent and its node is not
+// blamed.
+func TestMoreNodesThanConnections(t *testing.T) {
+	s := &sink{outcomes: map[broker.AttemptID][]decide.Outcome{}}
 	c := New(Options{Sink: s, ConnectTimeout: time.Second, MaxConns: 2, Log: zerolog.New(io.Discard)})
 	defer c.Close()
 	var list []broker.Node
@@ -159,17 +163,17 @@
 		id := broker.AttemptID(shard + 1)
 		c.Send(list[node].ID, []broker.Attempt{{ID: id, Query: "q", Shard: shard, Text: []byte("x"), Wait: 20 * time.Second}})
 		if shard >= 100 && want == decide.OK {
-			return // it stays out
+			return // it stays open
 		}
 		testkit.Eventually(t, "the outcome", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return len(s.got[id]) == 1
+			return len(s.outcomes[id]) == 1
 		})
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.got[id][0] != want {
-			t.Errorf("part %d at node %d: outcome %d, want %d", shard, node, s.got[id][0], want)
+		if s.outcomes[id][0] != want {
+			t.Errorf("part %d at node %d: outcome %d, want %d", shard, node, s.outcomes[id][0], want)
 		}
 	}
 	for i := range 15 {
--- a/flightnode/late_test.go
+++ b/flightnode/late_test.go
@@ -15,9 +15,9 @@
 	"onyxsail/internal/testkit"
 )
 
-// gate is a way to a node that passes nothing on until it is opened: connections to it
-// come up, and the node's first words do not come.
-func gate(t *testing.T, to *testkit.Node) (addr string, open func()) {
+// gatedAddr returns an address that forwards to a node only once open is called: until then
+// connections come up, but the node's SETTINGS frame does not arrive.
+func gatedAddr(t *testing.T, to *testkit.Node) (addr string, open func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,7 +49,7 @@
 				back := make(chan struct{})
 				go func() {
 					defer close(back)
-					_, _ = io.Copy(c, node) // ends with either side
+					_, _ = io.Copy(c, node) // ends when either side closes
 					_ = c.Close()
 				}()
 				_, _ = io.Copy(node, c)
@@ -61,11 +61,11 @@
 	return broker.FlightScheme + l.Addr().String(), open
 }
 
-// What waits for a connection past the time in which it may begin, a repeat past its
-// class's window or the work for a node whose drain has been told or that is gone, is not
-// sent and never ran.
-func TestNothingBeginsLate(t *testing.T) {
-	s := &sink{got: map[broker.AttemptID][]decide.Outcome{}}
+// A part that waits for a connection past its latest start, as a retry after its class's
+// window or for a node that is draining or no longer listed, must not be sent and counts as
+// never run.
+func TestPartsPastTheirLatestStartAreNotSent(t *testing.T) {
+	s := &sink{outcomes: map[broker.AttemptID][]decide.Outcome{}}
 	c := New(Options{Sink: s, ConnectTimeout: 20 * time.Second, MaxConns: 8, Log: zerolog.New(io.Discard)})
 	defer c.Close()
 	var list []broker.Node
@@ -73,29 +73,29 @@
 	var opens []func()
 	for _, id := range []string{"n", "drained", "gone"} {
 		n := testkit.NewNode(t, id, true)
-		addr, open := gate(t, n)
+		addr, open := gatedAddr(t, n)
 		nodes, opens, list = append(nodes, n), append(opens, open), append(list, broker.Node{ID: id, Addr: addr})
 	}
 	c.Update(list)
-	try := func(id int, node string, latest time.Time) {
+	send := func(id int, node string, latest time.Time) {
 		c.Send(node, []broker.Attempt{{ID: broker.AttemptID(id), Node: node, Query: "q", Shard: id, Text: []byte("x"), Wait: time.Minute, Latest: latest}})
 	}
-	try(1, "n", time.Now())
-	try(2, "n", time.Time{})
-	try(3, "drained", time.Time{})
-	try(4, "gone", time.Time{})
+	send(1, "n", time.Now())
+	send(2, "n", time.Time{})
+	send(3, "drained", time.Time{})
+	send(4, "gone", time.Time{})
 	list[1].Latest = time.Now()
 	c.Update(list[:2])
 	for _, open := range opens {
 		open()
 	}
-	testkit.Eventually(t, "all have ended", func() bool {
+	testkit.Eventually(t, "all attempts end", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.got) == 4
+		return len(s.outcomes) == 4
 	})
 	for id, want := range map[broker.AttemptID]decide.Outcome{1: decide.NotSent, 2: decide.OK, 3: decide.NotSent, 4: decide.NotSent} {
-		if got := s.got[id]; len(got) != 1 || got[0] != want {
+		if got := s.outcomes[id]; len(got) != 1 || got[0] != want {
 			t.Errorf("attempt %d: outcomes %v, want %v", id, got, want)
 		}
 	}
@@ -104,25 +104,25 @@
 	}
 }
 
-// A node is told the time that is left when the ticket leaves, not what was left before it
-// waited for its connection.
-func TestNodeIsToldWhatIsLeft(t *testing.T) {
-	s := &sink{got: map[broker.AttemptID][]decide.Outcome{}}
+// A node must be given the time that remains when the ticket is sent, not what remained
+// before the part waited for its connection.
+func TestNodeGetsTheRemainingTime(t *testing.T) {
+	s := &sink{outcomes: map[broker.AttemptID][]decide.Outcome{}}
 	c := New(Options{Sink: s, ConnectTimeout: 20 * time.Second, MaxConns: 8, Log: zerolog.New(io.Discard)})
 	defer c.Close()
 	n := testkit.NewNode(t, "n", true)
-	addr, open := gate(t, n)
+	addr, open := gatedAddr(t, n)
 	c.Update([]broker.Node{{ID: "n", Addr: addr}})
 	sent := time.Now()
 	c.Send("n", []broker.Attempt{{ID: 1, Node: "n", Query: "q", Shard: 1, Text: []byte("x"), Wait: time.Minute}})
 	began := time.Now()
-	testkit.Eventually(t, "some time has gone by", func() bool { return time.Since(began) > 20*time.Millisecond })
+	testkit.Eventually(t, "some time passes", func() bool { return time.Since(began) > 20*time.Millisecond })
 	waited := time.Since(began)
 	open()
-	testkit.Eventually(t, "it has ended", func() bool {
+	testkit.Eventually(t, "the attempt ends", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.got) == 1
+		return len(s.outcomes) == 1
 	})
 	calls := n.Calls()
 	if len(calls) != 1 || calls[0].Wait > time.Minute-waited || calls[0].Wait < time.Minute-time.Since(sent)-time.Millisecond {
--- a/flightnode/paths_test.go
+++ b/flightnode/paths_test.go
@@ -14,37 +14,39 @@
 	"onyxsail/internal/testkit"
 )
 
-func start(t *testing.T) (*Client, func(id broker.AttemptID, wait time.Duration, want decide.Outcome)) {
+// newTestClient returns a client, and a function that sends an attempt to its node "n" and
+// checks the outcome.
+func newTestClient(t *testing.T) (*Client, func(id broker.AttemptID, wait time.Duration, want decide.Outcome)) {
 	t.Helper()
-	s := &sink{got: map[broker.AttemptID][]decide.Outcome{}}
+	s := &sink{outcomes: map[broker.AttemptID][]decide.Outcome{}}
 	c := New(Options{Sink: s, ConnectTimeout: 200 * time.Millisecond, MaxConns: 8, Log: zerolog.New(io.Discard)})
 	t.Cleanup(c.Close)
 	return c, func(id broker.AttemptID, wait time.Duration, want decide.Outcome) {
 		t.Helper()
-		if got := ask(t, c, s, id, wait); got != want {
+		if got := sendAndWait(t, c, s, id, wait); got != want {
 			t.Errorf("attempt %d: outcome %d, want %d", id, got, want)
 		}
 	}
 }
 
-// ask sends one attempt and returns its one outcome.
-func ask(t *testing.T, c *Client, s *sink, id broker.AttemptID, wait time.Duration) decide.Outcome {
+// sendAndWait sends one attempt to node "n" and returns its outcome.
+func sendAndWait(t *testing.T, c *Client, s *sink, id broker.AttemptID, wait time.Duration) decide.Outcome {
 	t.Helper()
 	c.Send("n", []broker.Attempt{{ID: id, Query: "q", Shard: int(id), Text: []byte("x"), Wait: wait}})
 	var got []decide.Outcome
 	testkit.Eventually(t, "an outcome", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		got = s.got[id]
+		got = s.outcomes[id]
 		return len(got) > 0
 	})
 	return got[0]
 }
 
-// A node whose first address is dead is served over its Unix socket; when the
-// list takes that away, over what is left, and not at all once it is gone.
-func TestSeveralAddresses(t *testing.T) {
-	c, send := start(t)
+// A node whose first address is dead is reached over its Unix socket; once the list no
+// longer has that, over the remaining address, and not at all once the node is removed.
+func TestDeadAndRemovedAddressesAreAvoided(t *testing.T) {
+	c, send := newTestClient(t)
 	dead, err := net.Listen("tcp", "[::1]:0")
 	if err != nil {
 		t.Fatal(err)
@@ -77,31 +79,31 @@
 	send(3, time.Minute, decide.Unreachable)
 }
 
-// An address that accepts and never greets runs nothing: the part goes back as
-// one that never ran, and the next goes elsewhere.
-func TestAddressThatNeverGreets(t *testing.T) {
-	c, send := start(t)
-	mute, err := net.Listen("tcp", "127.0.0.1:0") // its kernel accepts, and nobody speaks
+// A part sent to an address that accepts connections but never sends its SETTINGS frame
+// counts as never run, and the next one goes to another address.
+func TestAddressWithoutServerSettingsIsAvoided(t *testing.T) {
+	c, send := newTestClient(t)
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // the kernel accepts connections, and no server reads them
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer mute.Close()
+	defer silent.Close()
 	n := testkit.NewNode(t, "n", true)
-	first := broker.FlightScheme + mute.Addr().String()
+	first := broker.FlightScheme + silent.Addr().String()
 	c.Update([]broker.Node{{ID: "n", Addr: first, Addrs: []string{first, n.Addr}}})
 	send(1, time.Minute, decide.Unreachable)
-	testkit.Eventually(t, "the doubt", func() bool { return c.Addresses()["n"][0].Text == n.Addr })
+	testkit.Eventually(t, "the address is suspected", func() bool { return c.Addresses()["n"][0].Text == n.Addr })
 	id := broker.AttemptID(1)
-	testkit.Eventually(t, "a part that is served at the other address", func() bool { // gRPC comes back after a pause
+	testkit.Eventually(t, "a part is served at the other address", func() bool { // gRPC reconnects after a backoff
 		id++
-		return ask(t, c, c.opts.Sink.(*sink), id, time.Minute) == decide.OK
+		return sendAndWait(t, c, c.opts.Sink.(*sink), id, time.Minute) == decide.OK
 	})
 }
 
-// A stall behind an open stream is the attempt's own time-out; what comes next
-// takes another address.
-func TestStallLeavesTheAddress(t *testing.T) {
-	c, send := start(t)
+// A stall on an open stream ends the attempt as timed out; the next one goes to another
+// address.
+func TestStalledAddressIsAvoided(t *testing.T) {
+	c, send := newTestClient(t)
 	stalled, good := testkit.NewNode(t, "n", true), testkit.NewNode(t, "n", true)
 	stalled.Always(testkit.Silent)
 	c.Update([]broker.Node{{ID: "n", Addr: stalled.Addr, Addrs: []string{stalled.Addr, good.Addr}}})
--- a/nodeclient/client.go
+++ b/nodeclient/client.go
@@ -72,7 +72,7 @@
 // Client implements broker.NodeClient.
 type Client struct {
 	opts        Options
-	multiDialer *dial.Paths     // connects to nodes with more than one address
+	multiDialer *dial.Dialer    // connects to nodes with more than one address
 	ctx         context.Context // of the sweep goroutine and of pending connects
 	cancel      context.CancelFunc
 	goroutines  sync.WaitGroup
@@ -155,11 +155,11 @@
 			c.nodes[listed.ID] = n
 		}
 		n.addr, n.listed, n.latestStart = listed.Addr, true, listed.Latest
-		n.multiAddr = c.multiDialer.Set(listed.ID, listed.Addrs)
+		n.multiAddr = c.multiDialer.SetAddrs(listed.ID, listed.Addrs)
 	}
 	for id, n := range c.nodes {
 		if !n.listed && n.multiAddr { // it is not dialled again
-			c.multiDialer.Set(id, nil)
+			c.multiDialer.SetAddrs(id, nil)
 		}
 		if !n.listed && len(n.conns) == 0 {
 			delete(c.nodes, id)
--- a/nodeclient/conn.go
+++ b/nodeclient/conn.go
@@ -280,7 +280,7 @@
 	cn.lastUsedAt = time.Now()
 	cn.lastReadAt, cn.node.lastReadAt, cn.unansweredSince = cn.lastUsedAt, cn.lastUsedAt, time.Time{}
 	if cn.silenceReported = false; cn.node.multiAddr && !cn.onProbation {
-		cn.client.multiDialer.Answered(cn.node.id, cn.addr, cn.lastUsedAt)
+		cn.client.multiDialer.ReportAnswer(cn.node.id, cn.addr, cn.lastUsedAt)
 	}
 	defer func() {
 		if len(cn.calls) > 0 {
@@ -427,7 +427,7 @@
 		cn.node.exclusiveUntil = now.Add(exclusivePeriod)
 	}
 	if brokenByPeer && cn.node.multiAddr {
-		cn.client.multiDialer.Reset(cn.node.id, cn.addr, time.Now())
+		cn.client.multiDialer.ReportReset(cn.node.id, cn.addr, time.Now())
 	}
 	for _, cl := range cn.calls {
 		if cn.sock != nil {
--- a/nodeclient/race.go
+++ b/nodeclient/race.go
@@ -19,12 +19,12 @@
 	if !n.multiAddr {
 		return cn.addr == n.addr
 	}
-	return cn.addr == "" || cn.client.multiDialer.Has(n.id, cn.addr) // "": still connecting to several
+	return cn.addr == "" || cn.client.multiDialer.HasAddr(n.id, cn.addr) // "": still connecting to several
 }
 
 // addrIsSuspected reports whether the connection's address is under suspicion.
 func (cn *conn) addrIsSuspected(now time.Time) bool {
-	return cn.node.multiAddr && cn.addr != "" && cn.client.multiDialer.Doubtful(cn.node.id, cn.addr, now)
+	return cn.node.multiAddr && cn.addr != "" && cn.client.multiDialer.Suspected(cn.node.id, cn.addr, now)
 }
 
 // reportSilence reports each silence on the connection to the address planner once; c.mu is
@@ -32,7 +32,7 @@
 func (cn *conn) reportSilence(now time.Time) {
 	if n := cn.node; n.multiAddr && !cn.silenceReported && cn.isSilent(now) {
 		cn.silenceReported = true
-		cn.client.multiDialer.Silent(n.id, cn.addr, cn.unansweredSince, now)
+		cn.client.multiDialer.ReportSilence(n.id, cn.addr, cn.unansweredSince, now)
 	}
 }
 
@@ -42,7 +42,7 @@
 	if !n.listed || c.closed || c.openConns >= c.opts.MaxConns {
 		return
 	}
-	race := c.multiDialer.Trial(n.id)
+	race := c.multiDialer.StartProbation(n.id)
 	if race == nil {
 		return
 	}
@@ -51,7 +51,7 @@
 	c.goroutines.Add(1)
 	go func() {
 		defer c.goroutines.Done()
-		netConn, addr, err := c.multiDialer.Run(c.ctx, race)
+		netConn, addr, err := c.multiDialer.RunRace(c.ctx, race)
 		if err != nil {
 			cn.terminate()
 			return
@@ -87,10 +87,10 @@
 	now := time.Now()
 	cn.onProbation = false
 	if ok {
-		cn.client.multiDialer.Proved(cn.node.id, cn.addr, now)
+		cn.client.multiDialer.ReportProbationPassed(cn.node.id, cn.addr, now)
 		return true
 	}
-	cn.client.multiDialer.Silent(cn.node.id, cn.addr, cn.dialedAt, now)
+	cn.client.multiDialer.ReportSilence(cn.node.id, cn.addr, cn.dialedAt, now)
 	cn.closedLocally = true
 	cn.sock.Close()
 	return false
@@ -102,7 +102,7 @@
 	n, c := cn.node, cn.client
 	a := cl.Attempt
 	a.Wait -= time.Since(cl.requestedAt)
-	if !n.multiAddr || !n.listed || c.closed || cl.resends >= c.multiDialer.Count(n.id) || a.Wait <= 0 {
+	if !n.multiAddr || !n.listed || c.closed || cl.resends >= c.multiDialer.AddrCount(n.id) || a.Wait <= 0 {
 		return false
 	}
 	c.sendTo(n.id, []broker.Attempt{a}, cl.resends+1)
