--- a/dial/dial.go
+++ b/dial/dial.go
@@ -30,8 +30,8 @@
 	dialer  *netio.Dialer
 	timeout time.Duration
 	log     zerolog.Logger
-	start   time.Time
-	ctx     context.Context
+	start   time.Time       // origin of the times given to planner
+	ctx     context.Context // of all dials; Close cancels it
 	cancel  context.CancelFunc
 
 	mu      sync.Mutex
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -110,15 +110,15 @@
 // new watch.
 func (c *Client) Run(ctx context.Context) {
 	defer c.closeConn()
-	pace := NewBackoff(c.opts.Brokers, maxPauseFor(c.opts.PropagationLimit), c.opts.Seed)
-	if c.hasFullList && !sleep(ctx, pace.StartDelay()) {
+	backoff := NewBackoff(c.opts.Brokers, maxPauseFor(c.opts.PropagationLimit), c.opts.Seed)
+	if c.hasFullList && !sleep(ctx, backoff.StartDelay()) {
 		return
 	}
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := c.poll(ctx)
 		if err == nil {
-			pace.Reset()
+			backoff.Reset()
 			c.lastWatchSilent = false
 			continue
 		}
@@ -126,9 +126,9 @@
 		if ctx.Err() != nil {
 			return
 		}
-		pause := pace.ReopenDelay()
+		pause := backoff.ReopenDelay()
 		if silentAgain := c.lastWatchSilent; !errors.Is(err, errWatchSilent) || silentAgain {
-			pause = pace.NextPause(isQueueOverload(err, time.Since(began)))
+			pause = backoff.NextPause(isQueueOverload(err, time.Since(began)))
 		}
 		c.lastWatchSilent = errors.Is(err, errWatchSilent)
 		// The current list stays in use.
--- a/discovery/pace_test.go
+++ b/discovery/pace_test.go
@@ -16,35 +16,35 @@
 
 // request returns the time at which the caller hears of a request sent at the given time,
 // and whether it got an answer rather than a refusal.
-func (o *overloadedServer) request(at time.Duration) (time.Duration, bool) {
-	o.idleAt = max(o.idleAt, at) + o.serviceTime
-	if o.idleAt-at > o.queueTimeout {
-		return at + o.queueTimeout, false
+func (s *overloadedServer) request(at time.Duration) (time.Duration, bool) {
+	s.idleAt = max(s.idleAt, at) + s.serviceTime
+	if s.idleAt-at > s.queueTimeout {
+		return at + s.queueTimeout, false
 	}
-	return o.idleAt, true
+	return s.idleAt, true
 }
 
 // runUntilAnswered lets brokers send requests until all are answered or a minute is over;
 // it returns the times of the answers.
 func runUntilAnswered(server *overloadedServer, backoffs []*Backoff) []time.Duration {
 	type scheduled struct {
-		at time.Duration
-		p  *Backoff
+		at      time.Duration
+		backoff *Backoff
 	}
 	var pending []scheduled
-	for _, p := range backoffs {
-		pending = append(pending, scheduled{p.StartDelay(), p})
+	for _, b := range backoffs {
+		pending = append(pending, scheduled{b.StartDelay(), b})
 	}
 	var answered []time.Duration
 	for len(pending) > 0 && pending[0].at < time.Minute {
 		slices.SortFunc(pending, func(a, b scheduled) int { return int(a.at - b.at) })
-		c := pending[0]
+		next := pending[0]
 		pending = pending[1:]
-		if at, ok := server.request(c.at); ok {
-			c.p.Reset()
+		if at, ok := server.request(next.at); ok {
+			next.backoff.Reset()
 			answered = append(answered, at)
 		} else {
-			pending = append(pending, scheduled{at + c.p.NextPause(true), c.p})
+			pending = append(pending, scheduled{at + next.backoff.NextPause(true), next.backoff})
 		}
 	}
 	return answered
@@ -55,16 +55,16 @@
 // discovery would process only requests that nobody waits for any more.
 func TestAllBrokersAreAnsweredAfterMassRestart(t *testing.T) {
 	for _, c := range []struct {
-		each time.Duration
-		all  time.Duration // time by which each broker has its answer
+		serviceTime time.Duration
+		deadline    time.Duration // time by which each broker has its answer
 	}{{75 * time.Millisecond, 12 * time.Second}, {10 * time.Millisecond, 5 * time.Second}, {150 * time.Millisecond, 45 * time.Second}} {
-		var paces []*Backoff
+		var backoffs []*Backoff
 		for i := range 56 {
-			paces = append(paces, NewBackoff(80, maxPauseFor(6*time.Second), uint64(i+1)))
+			backoffs = append(backoffs, NewBackoff(80, maxPauseFor(6*time.Second), uint64(i+1)))
 		}
-		answered := runUntilAnswered(&overloadedServer{serviceTime: c.each, queueTimeout: 2 * time.Second}, paces)
-		if len(answered) < len(paces) || slices.Max(answered) > c.all {
-			t.Errorf("%v per request: %d of %d answered, the last after %v", c.each, len(answered), len(paces), slices.Max(answered))
+		answered := runUntilAnswered(&overloadedServer{serviceTime: c.serviceTime, queueTimeout: 2 * time.Second}, backoffs)
+		if len(answered) < len(backoffs) || slices.Max(answered) > c.deadline {
+			t.Errorf("%v per request: %d of %d answered, the last after %v", c.serviceTime, len(answered), len(backoffs), slices.Max(answered))
 		}
 	}
 }
@@ -73,25 +73,25 @@
 // that discovery is back.
 func TestFewBrokersAreNotDelayed(t *testing.T) {
 	for _, brokers := range []int{0, 1, 3, unpacedBrokers} {
-		p := NewBackoff(brokers, 5*time.Second, 7)
-		if d := p.StartDelay(); d != 0 {
+		backoff := NewBackoff(brokers, 5*time.Second, 7)
+		if d := backoff.StartDelay(); d != 0 {
 			t.Errorf("%d brokers: the first request is delayed by %v", brokers, d)
 		}
-		if d := p.NextPause(false); d > 2*defaultInitialPause {
+		if d := backoff.NextPause(false); d > 2*defaultInitialPause {
 			t.Errorf("%d brokers: the first pause is %v", brokers, d)
 		}
 		for range 20 {
-			if d := p.NextPause(false); d > 2*defaultMaxPause {
+			if d := backoff.NextPause(false); d > 2*defaultMaxPause {
 				t.Errorf("%d brokers: pause of %v", brokers, d)
 			}
 		}
-		if p.Reset(); p.NextPause(false) > 2*defaultInitialPause {
+		if backoff.Reset(); backoff.NextPause(false) > 2*defaultInitialPause {
 			t.Error("an answer does not reset the pauses")
 		}
 	}
 	for range 20 { // with many brokers the limit bounds each pause
-		p := NewBackoff(1000, 5*time.Second, 3)
-		if a, b := p.StartDelay(), p.NextPause(false); a > 5*time.Second || b > 8*time.Second {
+		backoff := NewBackoff(1000, 5*time.Second, 3)
+		if a, b := backoff.StartDelay(), backoff.NextPause(false); a > 5*time.Second || b > 8*time.Second {
 			t.Errorf("1,000 brokers: start delay %v, first pause %v", a, b)
 		}
 	}
@@ -108,9 +108,9 @@
 func TestRefusalsInARowKeepNoBrokerAway(t *testing.T) {
 	for _, brokers := range []int{33, 80, 350} {
 		for seed := range uint64(20) {
-			p := NewBackoff(brokers, maxPauseFor(6*time.Second), seed)
+			backoff := NewBackoff(brokers, maxPauseFor(6*time.Second), seed)
 			for refusal := range 6 {
-				if pause := p.NextPause(true); pause > maxPauseFor(6*time.Second) {
+				if pause := backoff.NextPause(true); pause > maxPauseFor(6*time.Second) {
 					t.Fatalf("%d brokers, seed %d: pause of %v after %d refusals, want %v at most",
 						brokers, seed, pause, refusal+1, maxPauseFor(6*time.Second))
 				}
--- a/discovery/told_test.go
+++ b/discovery/told_test.go
@@ -33,29 +33,29 @@
 func TestPausesStayWithinPropagationLimit(t *testing.T) {
 	for _, brokers := range []int{0, 1, 2, unpacedBrokers, 5, 20, 30, 80, 350, 1024} {
 		for seed := range uint64(50) {
-			p := NewBackoff(brokers, maxPauseFor(propagationLimit), seed)
-			if d := p.StartDelay() + requestTimeout + propagationMargin; d > propagationLimit {
+			backoff := NewBackoff(brokers, maxPauseFor(propagationLimit), seed)
+			if d := backoff.StartDelay() + requestTimeout + propagationMargin; d > propagationLimit {
 				t.Fatalf("%d brokers: the first answer after %v", brokers, d)
 			}
 			for i := range 12 {
-				if d := requestTimeout + p.NextPause(i < toleratedRefusals || brokers <= 30) + propagationMargin; d > propagationLimit {
+				if d := requestTimeout + backoff.NextPause(i < toleratedRefusals || brokers <= 30) + propagationMargin; d > propagationLimit {
 					t.Fatalf("%d brokers: the next answer after failure %d comes after %v", brokers, i+1, d)
 				}
 			}
-			p.Reset()
-			if d := watchGrace + p.ReopenDelay() + propagationMargin; d > 2*time.Second {
+			backoff.Reset()
+			if d := watchGrace + backoff.ReopenDelay() + propagationMargin; d > 2*time.Second {
 				t.Fatalf("a silent watch is reopened %v after its wait", d)
 			}
-			if d := minWatch + watchGrace + p.ReopenDelay() + propagationMargin; d > propagationLimit {
+			if d := minWatch + watchGrace + backoff.ReopenDelay() + propagationMargin; d > propagationLimit {
 				t.Fatalf("a silent watch of few brokers is reopened after %v", d)
 			}
 		}
 	}
-	for _, within := range []time.Duration{time.Second, 3 * time.Second, 10 * time.Second} {
-		p := NewBackoff(350, maxPauseFor(within), 1)
+	for _, limit := range []time.Duration{time.Second, 3 * time.Second, 10 * time.Second} {
+		backoff := NewBackoff(350, maxPauseFor(limit), 1)
 		for range 12 {
-			if d := p.NextPause(false); d > max(within/4, within-requestTimeout-propagationMargin) {
-				t.Errorf("limit of %v: pause of %v", within, d)
+			if d := backoff.NextPause(false); d > max(limit/4, limit-requestTimeout-propagationMargin) {
+				t.Errorf("limit of %v: pause of %v", limit, d)
 			}
 		}
 	}
@@ -74,12 +74,12 @@
 		{errWatchSilent, requestTimeout, false},
 		{io.ErrUnexpectedEOF, requestTimeout, false},
 	} {
-		p := NewBackoff(350, maxPauseFor(propagationLimit), 1)
+		backoff := NewBackoff(350, maxPauseFor(propagationLimit), 1)
 		for range 12 {
 			if got := isQueueOverload(c.err, c.took); got != c.want {
 				t.Fatalf("%v after %v: got %v", c.err, c.took, got)
 			}
-			if d := requestTimeout + p.NextPause(isQueueOverload(c.err, c.took)) + propagationMargin; !c.want && d > propagationLimit {
+			if d := requestTimeout + backoff.NextPause(isQueueOverload(c.err, c.took)) + propagationMargin; !c.want && d > propagationLimit {
 				t.Errorf("%v after %v: the next answer comes after %v", c.err, c.took, d)
 			}
 		}
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -304,14 +304,14 @@
 
 // Send implements broker.NodeClient. Flight has no calls of several parts: each part is a
 // DoGet of its own.
-func (c *Client) Send(id string, calls []broker.Attempt) {
+func (c *Client) Send(id string, attempts []broker.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n, failed := c.connectedNode(id)
-	if n != nil && len(c.cancelByAttempt)+len(calls) > maxOpenAttempts {
+	if n != nil && len(c.cancelByAttempt)+len(attempts) > maxOpenAttempts {
 		n, failed = nil, decide.NotSent
 	}
-	for _, a := range calls {
+	for _, a := range attempts {
 		if n == nil {
 			c.opts.Sink.Outcome(a.ID, failed, broker.Answer{})
 			continue
--- a/nodeclient/client.go
+++ b/nodeclient/client.go
@@ -1,5 +1,5 @@
 // Package nodeclient sends attempts to shard servers in length-prefixed frames over TCP. It
-// keeps a pool of connections per node, multiplexes calls over each of them, and tells
+// keeps a pool of connections per node, multiplexes attempts over each of them, and tells
 // attempts that cannot have run from those that may have.
 package nodeclient
 
@@ -34,11 +34,11 @@
 	// warnLogInterval is the minimum interval between two log lines about a full pool, or
 	// about malformed frames from one node.
 	warnLogInterval = 10 * time.Second
-	// A connection counts as silent once calls have waited on it for silenceFactor times
+	// A connection counts as silent once attempts have waited on it for silenceFactor times
 	// the node's smoothed latency, and at least minSilence, with nothing read.
 	silenceFactor = 8
 	minSilence    = 30 * time.Millisecond
-	// silentConnTimeout is how long a silent connection may carry calls while its node
+	// silentConnTimeout is how long a silent connection may carry attempts while its node
 	// answers on another one, and how long it stays open without any.
 	silentConnTimeout = 250 * time.Millisecond
 	// silentConnThreshold is the number of silent connections from which on the node itself
@@ -79,12 +79,12 @@
 
 	mu               sync.Mutex
 	nodes            map[string]*node
-	callsByAttempt   map[broker.AttemptID]*call
+	attempts         map[broker.AttemptID]*openAttempt
 	openConns        int
 	poolFullLoggedAt time.Time // time of the latest pool-full log line
 	closed           bool
 	writtenAttempts  atomic.Int64  // attempts written to the socket whole
-	frameTimeout     time.Duration // frameWriteTimeout; writeStallTimeout is extended by the same difference. Tests override it
+	frameTimeout     time.Duration // frameWriteTimeout unless a test changes it; writeStallTimeout then changes by as much
 }
 
 // node is one node, listed or with connections still open.
@@ -114,7 +114,7 @@
 		o.Dialer = netio.NewDialer()
 	}
 	c := &Client{
-		opts: o, frameTimeout: frameWriteTimeout, nodes: map[string]*node{}, callsByAttempt: map[broker.AttemptID]*call{},
+		opts: o, frameTimeout: frameWriteTimeout, nodes: map[string]*node{}, attempts: map[broker.AttemptID]*openAttempt{},
 		multiDialer: dial.New(o.Dialer, o.ConnectTimeout, o.MaxConns, o.Log),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
@@ -168,53 +168,53 @@
 }
 
 // Send implements broker.NodeClient.
-func (c *Client) Send(id string, calls []broker.Attempt) {
+func (c *Client) Send(id string, attempts []broker.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sendTo(id, calls, 0)
+	c.sendTo(id, attempts, 0)
 }
 
-// sendTo starts attempts that were resent to another address of the node so many times
-// already; c.mu is held.
-func (c *Client) sendTo(id string, calls []broker.Attempt, resends int) {
+// sendTo starts attempts that leave in one call, and that have already been resent so many
+// times; c.mu is held.
+func (c *Client) sendTo(id string, attempts []broker.Attempt, resends int) {
 	n := c.nodes[id]
 	if n == nil || c.closed {
-		c.failUnsent(calls, decide.Unreachable)
+		c.failUnsent(attempts, decide.Unreachable)
 		return
 	}
 	now := time.Now()
 	exclusive := now.Before(n.exclusiveUntil)
-	cn := n.pickConn(c.opts.StreamsPerConn, calls, exclusive)
+	cn := n.pickConn(c.opts.StreamsPerConn, attempts, exclusive)
 	if cn == nil && exclusive && !c.makeRoom() {
-		cn = n.pickConn(c.opts.StreamsPerConn, calls, false)
+		cn = n.pickConn(c.opts.StreamsPerConn, attempts, false)
 	}
 	if cn == nil {
 		if cn = c.dial(n); cn == nil {
-			c.failUnsent(calls, decide.NotSent)
+			c.failUnsent(attempts, decide.NotSent)
 			return
 		}
 	}
-	for i := range calls {
-		cl := &call{Attempt: calls[i], partID: partID(&calls[i]), conn: cn, requestedAt: now, resends: resends}
+	for i := range attempts {
+		att := &openAttempt{Attempt: attempts[i], partID: partID(&attempts[i]), conn: cn, requestedAt: now, resends: resends}
 		if i == 0 {
-			cl.pendingBatch = calls
+			att.pendingCall = attempts
 		}
-		cn.calls[cl.partID] = cl
-		c.callsByAttempt[cl.ID] = cl
+		cn.attempts[att.partID] = att
+		c.attempts[att.ID] = att
 		if cn.sock == nil && c.opts.Observer != nil {
-			c.opts.Observer.Wire(cl.ID, broker.WireDialing, cn.addr, cn.dialedAt)
+			c.opts.Observer.Wire(att.ID, broker.WireDialing, cn.addr, cn.dialedAt)
 		}
 	}
 	if cn.sock != nil {
-		cn.writeCall(calls)
+		cn.writeCall(attempts)
 	}
 }
 
-// failUnsent ends attempts that were not sent. A full pool is reported as NotSent, as it
+// failUnsent ends attempts that were not sent. The outcome NotSent, as for a full pool,
 // says nothing about the node.
-func (c *Client) failUnsent(calls []broker.Attempt, outcome decide.Outcome) {
-	for i := range calls {
-		c.opts.Sink.Outcome(calls[i].ID, outcome, broker.Answer{})
+func (c *Client) failUnsent(attempts []broker.Attempt, outcome decide.Outcome) {
+	for i := range attempts {
+		c.opts.Sink.Outcome(attempts[i].ID, outcome, broker.Answer{})
 	}
 }
 
@@ -280,7 +280,7 @@
 	now := time.Now()
 	cn := &conn{
 		client: c, node: n, addr: n.addr, lastUsedAt: now, dialedAt: now, holdsSlot: true,
-		calls: map[string]*call{}, cancelled: map[string]broker.AttemptID{},
+		attempts: map[string]*openAttempt{}, cancelled: map[string]broker.AttemptID{},
 	}
 	if n.multiAddr {
 		cn.addr = "" // set once one of the addresses has connected
@@ -304,41 +304,41 @@
 func (c *Client) Cancel(_ string, id broker.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	cl := c.callsByAttempt[id]
-	if cl == nil {
+	att := c.attempts[id]
+	if att == nil {
 		return
 	}
-	cn := cl.conn
-	delete(c.callsByAttempt, id)
+	cn := att.conn
+	delete(c.attempts, id)
 	if cn.sock != nil {
-		cn.markWritten(cl, time.Now())
+		cn.markWritten(att, time.Now())
 	}
-	delete(cn.calls, cl.partID)
-	if cl.pendingBatch != nil && len(cl.pendingBatch) > 1 { // the other parts of the batch still wait for the connection
-		for i := range cl.pendingBatch {
-			if other := cn.calls[partID(&cl.pendingBatch[i])]; other != nil {
-				other.pendingBatch = cl.pendingBatch
+	delete(cn.attempts, att.partID)
+	if att.pendingCall != nil && len(att.pendingCall) > 1 { // the other parts of the call still wait for the connection
+		for i := range att.pendingCall {
+			if other := cn.attempts[partID(&att.pendingCall[i])]; other != nil {
+				other.pendingCall = att.pendingCall
 				break
 			}
 		}
 	}
-	if cl.frameEnd == 0 || cn.closed || cn.unusable {
+	if att.frameEnd == 0 || cn.closed || cn.unusable {
 		return
 	}
-	if cn.frameIsUnwanted(cl) {
+	if cn.frameIsUnwanted(att) {
 		cn.close()
 		return
 	}
-	cn.abortIfUndelivered(cl)
+	cn.abortIfUndelivered(att)
 	cn.lastUsedAt = time.Now()
-	if len(cn.calls) == 0 && !cn.isSilent(cn.lastUsedAt) {
+	if len(cn.attempts) == 0 && !cn.isSilent(cn.lastUsedAt) {
 		cn.unansweredSince = time.Time{} // the node need not answer anything more
 	}
-	cn.cancelled[cl.partID] = cl.ID
+	cn.cancelled[att.partID] = att.ID
 	if c.opts.DisableCancel {
 		return
 	}
-	if _, err := cn.sock.Write(appendCancel(nil, cl.partID)); err != nil {
+	if _, err := cn.sock.Write(appendCancel(nil, att.partID)); err != nil {
 		cn.sock.Close()
 	}
 }
@@ -382,8 +382,8 @@
 	}
 }
 
-// sweep closes connections that are idle, that lead to an address the node no longer has,
-// or whose bytes are not taken by the socket.
+// sweep checks the state of all connections at each interval, and starts the tests of
+// suspected addresses that are due.
 func (c *Client) sweep() {
 	defer c.goroutines.Done()
 	tick := time.NewTicker(sweepInterval)
--- a/nodeclient/client_test.go
+++ b/nodeclient/client_test.go
@@ -295,9 +295,10 @@
 }
 
 // A frame has been taken by the local kernel but not by the node, whose link is down or
-// which reads nothing, and its client leaves. The kernel kept sending it, so the part began
-// whenever the node's kernel accepted bytes again, however much later. An attempt that
-// begins 0.1 s after its client has left counts as a lost request (row 30 of the audit).
+// which reads nothing, and its client leaves. The kernel goes on sending the frame, so the
+// part used to begin whenever the node's kernel accepted bytes again, however much later.
+// An attempt that begins 0.1 s after its client has left counts as a lost request (row 30
+// of the audit).
 func TestUndeliveredCancelledPartDoesNotRun(t *testing.T) {
 	c, s, peer, cn := clientOfNonReadingNode(t)
 	big := attempt(2)
--- a/nodeclient/conn.go
+++ b/nodeclient/conn.go
@@ -20,7 +20,7 @@
 	closed            bool
 	holdsSlot         bool // it counts against the client's MaxConns
 	buf               []byte
-	calls             map[string]*call            // by part id
+	attempts          map[string]*openAttempt     // by part id
 	cancelled         map[string]broker.AttemptID // cancelled parts whose answer may still arrive
 	dialedAt          time.Time                   // when connecting began
 	frameBeganAt      time.Time                   // when the first byte of the frame in buf arrived
@@ -28,7 +28,7 @@
 	lastUsedAt        time.Time
 	writeBlockedSince time.Time // since when written bytes have waited for the socket; zero: none wait
 	lastReadAt        time.Time // time of the latest read
-	unansweredSince   time.Time // since when calls have waited with nothing read; zero: none wait
+	unansweredSince   time.Time // since when attempts have waited with nothing read; zero: none wait
 	unusable          bool      // nothing more is sent on it
 	closedLocally     bool      // closed by this client, not by the node
 	silenceReported   bool      // the address planner has been told of the current silence
@@ -37,8 +37,8 @@
 	lastAnswerID      string    // part id of the latest answer
 }
 
-// call is one open attempt.
-type call struct {
+// openAttempt is one attempt that has no outcome yet.
+type openAttempt struct {
 	broker.Attempt
 	sentAt      time.Time
 	partID      string
@@ -48,11 +48,12 @@
 	requestedAt time.Time // when the broker core asked for it
 	resends     int       // how often it was resent to another address, with nothing written before
 	written     bool      // its frame has been written whole, and that is counted
-	// pendingBatch is the whole batch that waits for the connection, on its first call only.
-	pendingBatch []broker.Attempt
+	// pendingCall has all attempts of a call that waits for the connection; only the first
+	// of them has it.
+	pendingCall []broker.Attempt
 }
 
-// releaseSlot stops counting the connection against MaxConns; further calls do nothing.
+// releaseSlot stops counting the connection against MaxConns; it may be called again.
 func (cn *conn) releaseSlot() {
 	if cn.holdsSlot {
 		cn.holdsSlot = false
@@ -60,12 +61,12 @@
 	}
 }
 
-// pickConn chooses a connection that the node has not closed. A node may close a connection
-// right after its last answer: a part sent there would end in a reset, and may then not be
-// retried.
-func (n *node) pickConn(streams int, calls []broker.Attempt, exclusive bool) *conn {
+// pickConn chooses a connection that the node has not closed, and closes those that it has.
+// A node may close a connection right after its last answer: a part sent there would end in
+// a reset, and may then not be retried. The client's mu is held.
+func (n *node) pickConn(streams int, attempts []broker.Attempt, exclusive bool) *conn {
 	for {
-		cn := n.findConn(streams, calls, exclusive)
+		cn := n.findConn(streams, attempts, exclusive)
 		if cn == nil || cn.sock == nil || !cn.sock.HungUp() {
 			return cn
 		}
@@ -77,12 +78,13 @@
 // findConn finds a connection with room, preferring open ones to those being opened. It
 // skips connections that carry the same part or have cancelled it, as the answers could not
 // be told apart, and those with bytes waiting for the socket, as they may be closed. It
-// also skips silent ones, where a part would probably only time out: they are used again
-// once the node answers there, or if so many are silent that the node itself must be.
+// also skips silent ones and those to a suspected address, where a part would probably only
+// time out: they are used again once the node answers there, or if there are so many of
+// them that the node itself must be silent.
 //
 // exclusive asks for a connection that carries nothing at all: if a node closes connections
 // after an answer, everything else waiting there is lost.
-func (n *node) findConn(streams int, calls []broker.Attempt, exclusive bool) *conn {
+func (n *node) findConn(streams int, attempts []broker.Attempt, exclusive bool) *conn {
 	var best, silentConn *conn
 	silentCount, now := 0, time.Now()
 	for _, cn := range n.conns {
@@ -94,16 +96,16 @@
 		if suspect {
 			silentCount++
 		}
-		if len(cn.calls)+len(calls) > max(streams, len(calls)) ||
+		if len(cn.attempts)+len(attempts) > max(streams, len(attempts)) ||
 			len(cn.cancelled) >= maxCancelledParts || cn.sock != nil && cn.sock.Backlog() > 0 ||
-			exclusive && len(cn.calls)+len(cn.cancelled) > 0 {
+			exclusive && len(cn.attempts)+len(cn.cancelled) > 0 {
 			continue
 		}
 		clash := false
-		for i := range calls {
-			id := partID(&calls[i])
+		for i := range attempts {
+			id := partID(&attempts[i])
 			_, isCancelled := cn.cancelled[id]
-			clash = clash || isCancelled || cn.calls[id] != nil
+			clash = clash || isCancelled || cn.attempts[id] != nil
 		}
 		switch {
 		case clash:
@@ -119,7 +121,7 @@
 	return best
 }
 
-// isSilent reports whether calls have waited on the connection for unusually long with
+// isSilent reports whether attempts have waited on the connection for unusually long with
 // nothing read.
 func (cn *conn) isSilent(now time.Time) bool {
 	return cn.sock != nil && !cn.unansweredSince.IsZero() && now.Sub(cn.unansweredSince) > max(minSilence, silenceFactor*cn.node.smoothedLatency)
@@ -149,37 +151,37 @@
 	}
 	if cn.client.opts.Observer != nil {
 		now := time.Now()
-		for _, cl := range cn.calls {
-			cn.client.opts.Observer.Wire(cl.ID, broker.WireUp, cn.addr, now)
+		for _, att := range cn.attempts {
+			cn.client.opts.Observer.Wire(att.ID, broker.WireUp, cn.addr, now)
 		}
 	}
-	for _, cl := range cn.calls {
-		if cl.frameEnd == 0 && cl.pendingBatch != nil {
-			cn.writeCall(cl.pendingBatch)
+	for _, att := range cn.attempts {
+		if att.frameEnd == 0 && att.pendingCall != nil {
+			cn.writeCall(att.pendingCall)
 		}
 	}
 }
 
-// writeCall queues one frame with those of the parts that may still begin. On an error it
-// closes the socket; terminate then ends the attempts according to how much of the frame
-// was written.
-func (cn *conn) writeCall(calls []broker.Attempt) {
+// writeCall queues one frame with those of the attempts that may still begin. On an error
+// it closes the socket; terminate then ends the attempts according to how much of the frame
+// was written. The client's mu is held.
+func (cn *conn) writeCall(attempts []broker.Attempt) {
 	now := time.Now()
-	live := calls[:0:0]
-	for i := range calls {
-		id := partID(&calls[i])
-		cl := cn.calls[id]
-		if cl == nil || cl.ID != calls[i].ID { // cancelled while it waited
+	live := attempts[:0:0]
+	for i := range attempts {
+		id := partID(&attempts[i])
+		att := cn.attempts[id]
+		if att == nil || att.ID != attempts[i].ID { // cancelled while it waited
 			continue
 		}
-		if cl.Late(cn.node.latestStart, now) {
-			delete(cn.calls, id)
-			delete(cn.client.callsByAttempt, cl.ID)
-			cn.client.opts.Sink.Outcome(cl.ID, decide.NotSent, broker.Answer{})
+		if att.Late(cn.node.latestStart, now) {
+			delete(cn.attempts, id)
+			delete(cn.client.attempts, att.ID)
+			cn.client.opts.Sink.Outcome(att.ID, decide.NotSent, broker.Answer{})
 			continue
 		}
-		remaining := calls[i]
-		remaining.Wait -= now.Sub(cl.requestedAt) // the node gets the time that remains now, without the wait for the connection
+		remaining := attempts[i]
+		remaining.Wait -= now.Sub(att.requestedAt) // the node gets the time that remains now, without the wait for the connection
 		live = append(live, remaining)
 	}
 	if len(live) == 0 {
@@ -190,9 +192,9 @@
 	end, err := cn.sock.Write(frame)
 	written := end <= cn.sock.Written()
 	for i := range live {
-		if cl := cn.calls[partID(&live[i])]; cl != nil {
-			cl.frameStart, cl.frameEnd, cl.pendingBatch, cl.sentAt = end-int64(len(frame)), end, nil, cn.lastUsedAt
-			cn.markWritten(cl, cn.lastUsedAt)
+		if att := cn.attempts[partID(&live[i])]; att != nil {
+			att.frameStart, att.frameEnd, att.pendingCall, att.sentAt = end-int64(len(frame)), end, nil, cn.lastUsedAt
+			cn.markWritten(att, cn.lastUsedAt)
 		}
 	}
 	if cn.unansweredSince.IsZero() {
@@ -207,8 +209,8 @@
 		cn.sock.AfterFlush(func() {
 			cn.client.mu.Lock()
 			defer cn.client.mu.Unlock()
-			for _, cl := range cn.calls {
-				cn.markWritten(cl, time.Now())
+			for _, att := range cn.attempts {
+				cn.markWritten(att, time.Now())
 			}
 		})
 	}
@@ -217,10 +219,10 @@
 // limitFrameWrite closes the connection if a frame that waits for a full socket has not
 // been written whole within the frame timeout, or by the time after which one of its parts
 // may not begin.
-func (cn *conn) limitFrameWrite(end int64, calls []broker.Attempt) {
+func (cn *conn) limitFrameWrite(end int64, attempts []broker.Attempt) {
 	deadline := cn.lastUsedAt.Add(cn.client.frameTimeout)
-	for i := range calls {
-		if latest := calls[i].Latest; !latest.IsZero() && latest.Before(deadline) {
+	for i := range attempts {
+		if latest := attempts[i].Latest; !latest.IsZero() && latest.Before(deadline) {
 			deadline = latest
 		}
 	}
@@ -237,15 +239,15 @@
 }
 
 // markWritten counts an attempt once its frame has been written whole, and notifies the
-// observer; c.mu is held.
-func (cn *conn) markWritten(cl *call, now time.Time) {
-	if cl.written || cl.frameEnd == 0 || cl.frameEnd > cn.sock.Written() {
+// observer; the client's mu is held.
+func (cn *conn) markWritten(att *openAttempt, now time.Time) {
+	if att.written || att.frameEnd == 0 || att.frameEnd > cn.sock.Written() {
 		return
 	}
-	cl.written = true
+	att.written = true
 	cn.client.writtenAttempts.Add(1)
 	if cn.client.opts.Observer != nil {
-		cn.client.opts.Observer.Wire(cl.ID, broker.WireGone, cn.addr, now)
+		cn.client.opts.Observer.Wire(att.ID, broker.WireGone, cn.addr, now)
 	}
 }
 
@@ -253,21 +255,21 @@
 // socket and carries nothing else that is wanted: once written, the part would begin for
 // nobody. Closing the connection then costs little, as the other parts hang at a node that
 // reads nothing anyway.
-func (cn *conn) frameIsUnwanted(cl *call) bool {
-	if cl.frameEnd <= cn.sock.Written() {
+func (cn *conn) frameIsUnwanted(att *openAttempt) bool {
+	if att.frameEnd <= cn.sock.Written() {
 		return false
 	}
-	for _, other := range cn.calls {
-		if other.frameEnd == cl.frameEnd {
+	for _, other := range cn.attempts {
+		if other.frameEnd == att.frameEnd {
 			return false
 		}
 	}
 	return true
 }
 
-// isIdle reports whether the connection is open and carries no calls and no probes.
+// isIdle reports whether the connection is open and carries no attempts and no probes.
 func (cn *conn) isIdle() bool {
-	return cn.sock != nil && !cn.closed && len(cn.calls) == 0 && len(cn.probesSentAt) == 0
+	return cn.sock != nil && !cn.closed && len(cn.attempts) == 0 && len(cn.probesSentAt) == 0
 }
 
 // Data implements netio.Handler.
@@ -283,7 +285,7 @@
 		cn.client.multiDialer.ReportAnswer(cn.node.id, cn.addr, cn.lastUsedAt)
 	}
 	defer func() {
-		if len(cn.calls) > 0 {
+		if len(cn.attempts) > 0 {
 			cn.unansweredSince = cn.lastUsedAt
 		}
 	}()
@@ -311,10 +313,10 @@
 	}
 }
 
-// closeMalformed closes a connection whose stream cannot be parsed any further; c.mu is
-// held. None of the open calls will be answered, and any of them may have run: one attempt
-// is reported as failed by the node, the others as cancelled. If no call is open, the
-// malformed bytes followed a valid answer and nothing is reported.
+// closeMalformed closes a connection whose stream cannot be parsed any further; the
+// client's mu is held. None of the open attempts will be answered, and any of them may have
+// run: one is reported as failed by the node, the others as cancelled. If no attempt is
+// open, the malformed bytes followed a valid answer and nothing is reported.
 func (cn *conn) closeMalformed(err error) {
 	if cn.closed || cn.unusable {
 		return
@@ -322,26 +324,26 @@
 	cn.unusable = true
 	n, now := cn.node, time.Now()
 	if n.unloggedMalformed++; now.Sub(n.malformedLoggedAt) >= warnLogInterval { // a node that keeps sending malformed frames must not flood the log
-		cn.client.opts.Log.Warn().Str("event", "frame").Str("node", n.id).Int("waiting", len(cn.calls)).Int("times", n.unloggedMalformed).
+		cn.client.opts.Log.Warn().Str("event", "frame").Str("node", n.id).Int("waiting", len(cn.attempts)).Int("times", n.unloggedMalformed).
 			Err(err).Msg("malformed frame from a node; closing its connection")
 		n.malformedLoggedAt, n.unloggedMalformed = now, 0
 	}
 	cn.abortSent(decide.Failed)
 }
 
-// abortSent closes the connection and ends the calls that had been written whole, all of
+// abortSent closes the connection and ends the attempts that had been written whole, all of
 // which may have run: the first with the given outcome and the others as cancelled.
 func (cn *conn) abortSent(outcome decide.Outcome) {
 	written := cn.sock.Written()
 	cn.close()
-	for id, cl := range cn.calls {
-		if cl.frameEnd == 0 || cl.frameEnd > written {
+	for id, att := range cn.attempts {
+		if att.frameEnd == 0 || att.frameEnd > written {
 			continue // not received whole by the node: terminate reports it as such
 		}
-		cn.markWritten(cl, time.Now())
-		delete(cn.calls, id)
-		delete(cn.client.callsByAttempt, cl.ID)
-		cn.client.opts.Sink.Outcome(cl.ID, outcome, broker.Answer{})
+		cn.markWritten(att, time.Now())
+		delete(cn.attempts, id)
+		delete(cn.client.attempts, att.ID)
+		cn.client.opts.Sink.Outcome(att.ID, outcome, broker.Answer{})
 		outcome = decide.Cancelled
 	}
 }
@@ -355,27 +357,27 @@
 		if err != nil {
 			return err
 		}
-		cl := cn.calls[r.partID]
+		att := cn.attempts[r.partID]
 		attemptID, isCancelled := cn.cancelled[r.partID]
-		if cl == nil && !isCancelled && r.partID != cn.lastAnswerID {
+		if att == nil && !isCancelled && r.partID != cn.lastAnswerID {
 			return fmt.Errorf("%w: answer for part %.80q, which is not open", errMalformedFrame, r.partID)
 		}
 		delete(cn.cancelled, r.partID)
-		if cn.lastAnswerID = r.partID; cl == nil {
+		if cn.lastAnswerID = r.partID; att == nil {
 			if isCancelled && cn.client.opts.Observer != nil {
 				cn.client.opts.Observer.Late(attemptID, r.outcome, cn.lastReadAt)
 			}
 			return nil // it was cancelled, or repeats the latest answer
 		}
-		cn.markWritten(cl, cn.lastReadAt)
-		delete(cn.calls, r.partID)
-		delete(cn.client.callsByAttempt, cl.ID)
-		if took := cn.lastReadAt.Sub(cl.sentAt); cn.node.smoothedLatency == 0 {
+		cn.markWritten(att, cn.lastReadAt)
+		delete(cn.attempts, r.partID)
+		delete(cn.client.attempts, att.ID)
+		if took := cn.lastReadAt.Sub(att.sentAt); cn.node.smoothedLatency == 0 {
 			cn.node.smoothedLatency = took
 		} else {
 			cn.node.smoothedLatency += time.Duration(latencySmoothing * float64(took-cn.node.smoothedLatency))
 		}
-		cn.client.opts.Sink.Outcome(cl.ID, r.outcome, broker.Answer{Value: r.value, Began: cn.frameBeganAt})
+		cn.client.opts.Sink.Outcome(att.ID, r.outcome, broker.Answer{Value: r.value, Began: cn.frameBeganAt})
 	case 'H', 'M':
 		if cn.onProbation {
 			cn.endProbation(string(body) == "done")
@@ -401,7 +403,7 @@
 // Closed implements netio.Handler.
 func (cn *conn) Closed(error) { cn.terminate() }
 
-// terminate ends a connection and all calls open on it. A frame whose last byte the kernel
+// terminate ends a connection and all attempts open on it. A frame whose last byte the kernel
 // had not taken cannot have been received whole, so it never ran; any other may have.
 func (cn *conn) terminate() {
 	cn.client.mu.Lock()
@@ -423,34 +425,34 @@
 		written = cn.sock.Written()
 		cn.sock.Close()
 	}
-	if now := time.Now(); cn.sock != nil && !cn.closedLocally && (len(cn.calls) > 1 || now.Before(cn.node.exclusiveUntil)) {
+	if now := time.Now(); cn.sock != nil && !cn.closedLocally && (len(cn.attempts) > 1 || now.Before(cn.node.exclusiveUntil)) {
 		cn.node.exclusiveUntil = now.Add(exclusivePeriod)
 	}
 	if brokenByPeer && cn.node.multiAddr {
 		cn.client.multiDialer.ReportReset(cn.node.id, cn.addr, time.Now())
 	}
-	for _, cl := range cn.calls {
+	for _, att := range cn.attempts {
 		if cn.sock != nil {
-			cn.markWritten(cl, time.Now())
+			cn.markWritten(att, time.Now())
 		}
-		delete(cn.client.callsByAttempt, cl.ID)
-		ruling := reach.Rule(reach.Cut(cl.frameStart, cl.frameEnd, written))
-		if ruling.Elsewhere && cn.sock != nil && cn.resend(cl) {
+		delete(cn.client.attempts, att.ID)
+		ruling := reach.Rule(reach.Cut(att.frameStart, att.frameEnd, written))
+		if ruling.Elsewhere && cn.sock != nil && cn.resend(att) {
 			continue
 		}
 		if cn.localFailure { // says nothing about the node
 			ruling.Outcome = decide.NotSent
 		}
-		cn.client.opts.Sink.Outcome(cl.ID, ruling.Outcome, broker.Answer{})
+		cn.client.opts.Sink.Outcome(att.ID, ruling.Outcome, broker.Answer{})
 	}
 	for _, sent := range cn.probesSentAt {
 		cn.client.opts.Sink.Probed(cn.node.id, decide.Unreachable, time.Since(sent))
 	}
-	cn.calls, cn.probesSentAt = nil, nil
+	cn.attempts, cn.probesSentAt = nil, nil
 }
 
 // checkState is called at each sweep: it closes the connection if it is silent, stalled,
-// idle for too long or no longer needed; c.mu is held.
+// idle for too long or no longer needed; the client's mu is held.
 func (cn *conn) checkState(now time.Time) {
 	if cn.sock == nil || cn.closed || cn.unusable {
 		return
@@ -465,10 +467,10 @@
 		return
 	}
 	if silence := now.Sub(cn.unansweredSince); cn.isSilent(now) && silence > silentConnTimeout &&
-		(len(cn.calls) == 0 || cn.node.lastReadAt.Sub(cn.unansweredSince) > silentConnTimeout) {
+		(len(cn.attempts) == 0 || cn.node.lastReadAt.Sub(cn.unansweredSince) > silentConnTimeout) {
 		// The node answers, but not on this connection: a firewall or NAT on the path may
-		// have dropped its state. The calls need not wait for their time-outs.
-		cn.client.opts.Log.Info().Str("event", "silent").Str("node", cn.node.id).Int("waiting", len(cn.calls)).
+		// have dropped its state. The attempts need not wait for their time-outs.
+		cn.client.opts.Log.Info().Str("event", "silent").Str("node", cn.node.id).Int("waiting", len(cn.attempts)).
 			Dur("quiet", silence).Msg("closing a connection that has gone silent")
 		cn.unusable = true
 		cn.abortSent(decide.Cancelled)
--- a/nodeclient/delivery.go
+++ b/nodeclient/delivery.go
@@ -16,11 +16,11 @@
 
 // abortIfUndelivered resets the connection if the frame of a cancelled part is not
 // acknowledged in time. The local kernel would keep retransmitting it, and the part would
-// begin for nobody once the link is back or the node reads again. The other calls on the
+// begin for nobody once the link is back or the node reads again. The other attempts on the
 // connection are stuck as well, behind that frame or without an answer that could arrive.
-// c.mu is held.
-func (cn *conn) abortIfUndelivered(cl *call) {
-	end := cl.frameEnd
+// The client's mu is held.
+func (cn *conn) abortIfUndelivered(att *openAttempt) {
+	end := att.frameEnd
 	if cn.isDelivered(end) {
 		return
 	}
--- a/nodeclient/frame.go
+++ b/nodeclient/frame.go
@@ -92,11 +92,11 @@
 // partID returns the id of a part in frames.
 func partID(a *broker.Attempt) string { return a.Query + "." + strconv.Itoa(a.Shard) }
 
-// appendCall appends one S frame, which carries a batch of parts.
-func appendCall(dst []byte, calls []broker.Attempt) []byte {
+// appendCall appends one S frame, which carries the parts of one call.
+func appendCall(dst []byte, attempts []broker.Attempt) []byte {
 	dst, start := beginFrame(dst, 'S')
-	for i := range calls {
-		a := &calls[i]
+	for i := range attempts {
+		a := &attempts[i]
 		dst = append(dst, a.Query...)
 		dst = append(dst, '.')
 		dst = strconv.AppendInt(dst, int64(a.Shard), 10)
--- a/nodeclient/observe_test.go
+++ b/nodeclient/observe_test.go
@@ -109,7 +109,7 @@
 	testkit.Eventually(t, "the frame is queued", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.callsByAttempt[1] != nil && c.callsByAttempt[1].frameEnd > 0
+		return c.attempts[1] != nil && c.attempts[1].frameEnd > 0
 	})
 	if got := w.text(); strings.Contains(got, "gone") {
 		t.Errorf("got %q before the node read anything", got)
--- a/nodeclient/race.go
+++ b/nodeclient/race.go
@@ -27,8 +27,8 @@
 	return cn.node.multiAddr && cn.addr != "" && cn.client.multiDialer.Suspected(cn.node.id, cn.addr, now)
 }
 
-// reportSilence reports each silence on the connection to the address planner once; c.mu is
-// held.
+// reportSilence reports each silence on the connection to the address planner once; the
+// client's mu is held.
 func (cn *conn) reportSilence(now time.Time) {
 	if n := cn.node; n.multiAddr && !cn.silenceReported && cn.isSilent(now) {
 		cn.silenceReported = true
@@ -69,7 +69,7 @@
 
 // beginProbation begins to test the address over an open connection: by a probe if nodes
 // answer them, otherwise having connected is all the proof available. It reports whether
-// the connection is kept. c.mu is held.
+// the connection is kept. The client's mu is held.
 func (cn *conn) beginProbation() bool {
 	if !cn.client.opts.ProbesSupported {
 		return cn.endProbation(true)
@@ -82,7 +82,7 @@
 }
 
 // endProbation ends the test of an address, and reports whether the connection is kept, for
-// parts from now on; c.mu is held.
+// parts from now on; the client's mu is held.
 func (cn *conn) endProbation(ok bool) bool {
 	now := time.Now()
 	cn.onProbation = false
@@ -97,15 +97,15 @@
 }
 
 // resend sends a part of which nothing was written over another connection to its node,
-// within the same attempt; it reports whether it could. c.mu is held.
-func (cn *conn) resend(cl *call) bool {
+// within the same attempt; it reports whether it could. The client's mu is held.
+func (cn *conn) resend(att *openAttempt) bool {
 	n, c := cn.node, cn.client
-	a := cl.Attempt
-	a.Wait -= time.Since(cl.requestedAt)
-	if !n.multiAddr || !n.listed || c.closed || cl.resends >= c.multiDialer.AddrCount(n.id) || a.Wait <= 0 {
+	a := att.Attempt
+	a.Wait -= time.Since(att.requestedAt)
+	if !n.multiAddr || !n.listed || c.closed || att.resends >= c.multiDialer.AddrCount(n.id) || a.Wait <= 0 {
 		return false
 	}
-	c.sendTo(n.id, []broker.Attempt{a}, cl.resends+1)
+	c.sendTo(n.id, []broker.Attempt{a}, att.resends+1)
 	return true
 }
 
--- a/nodeclient/race_test.go
+++ b/nodeclient/race_test.go
@@ -171,7 +171,7 @@
 			t.Error("the part that may have run was sent again")
 		}
 	}
-	// The node answers elsewhere: the calls on the silent connection are cancelled.
+	// The node answers elsewhere: the attempts on the silent connection are cancelled.
 	testkit.Eventually(t, "the first part ends", func() bool {
 		c.send("n", attempt(100+int(time.Now().UnixNano()%1e6)))
 		s.mu.Lock()
--- a/nodeclient/wait_test.go
+++ b/nodeclient/wait_test.go
@@ -90,8 +90,8 @@
 	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
 	c.Send("n", []broker.Attempt{attempt(1), attempt(2)})
 	c.mu.Lock()
-	for _, cl := range c.callsByAttempt {
-		cl.requestedAt = cl.requestedAt.Add(-waited)
+	for _, att := range c.attempts {
+		att.requestedAt = att.requestedAt.Add(-waited)
 	}
 	c.mu.Unlock()
 	release()
@@ -105,7 +105,7 @@
 }
 
 // A part that is cancelled while its connection is being opened, and sent again by another
-// attempt to the same node, must be sent once: the batch of the first attempt must not
+// attempt to the same node, must be sent once: the call of the first attempt must not
 // include it again.
 func TestRepeatedPartIsSentOnceWhileConnecting(t *testing.T) {
 	for range 8 { // either of the two calls may be written first
