--- a/discovery/told_test.go
+++ b/discovery/told_test.go
@@ -193,8 +193,8 @@
 }
 
 // A request that hangs, one whose answer trickles in past its time-out, and one that is
-// refused must be followed by another soon enough, over real sockets as in the computed
-// pauses.
+// refused must be followed by another soon enough: the bounds computed in
+// TestPausesStayWithinPropagationLimit, over real sockets.
 func TestChangeIsKnownInTimeAfterFailedCalls(t *testing.T) {
 	for _, brokers := range []int{0, 3, 350} {
 		for name, fail := range map[string]func(net.Conn){
