--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -186,11 +186,11 @@
 	dialer := netio.NewDialer()
 	d.frameNodes = nodeclient.New(nodeclient.Options{
 		Loop: loop, Dialer: dialer, Sink: sink, StreamsPerConn: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
-		ConnIdle: cfg.ConnIdle, MaxConns: frameConns, Observer: wireObserver,
-		Probes: cfg.Settings.MayProbe, NoCancel: !cfg.Settings.MayCancel, Log: log,
+		ServerIdleTimeout: cfg.ConnIdle, MaxConns: frameConns, Observer: wireObserver,
+		ProbesSupported: cfg.Settings.MayProbe, DisableCancel: !cfg.Settings.MayCancel, Log: log,
 	})
 	d.flightNodes = flightnode.New(flightnode.Options{
-		Sink: sink, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wireObserver, Log: log,
+		Sink: sink, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ServerIdleTimeout: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wireObserver, Log: log,
 	})
 	d.core = broker.New(broker.Options{
 		Settings: cfg.Settings, Seed: cfg.Seed, Log: log,
@@ -298,8 +298,8 @@
 	}
 	onAnswer, deliver := d.roster.addSource(cancel)
 	client := discovery.New(discovery.Options{
-		Addr: addr, Zones: d.cfg.Zones, Kinds: d.cfg.Kinds, Log: d.log, Heard: onAnswer, Deliver: deliver,
-		Known: version, Brokers: brokers, Seed: d.cfg.Seed, Told: maxStaleness,
+		Addr: addr, Zones: d.cfg.Zones, Kinds: d.cfg.Kinds, Log: d.log, OnAnswer: onAnswer, Deliver: deliver,
+		KnownVersion: version, Brokers: brokers, Seed: d.cfg.Seed, PropagationLimit: maxStaleness,
 	})
 	d.wg.Add(1)
 	go func() {
