--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -432,7 +432,7 @@
 	d.core.EndBy(told.Add(within))
 	window := time.Duration(d.window.Load())
 	if d.succeeded() {
-		d.front.HandedOver(told.Add(within * restShare / 100))
+		d.front.SetHandedOver(told.Add(within * restShare / 100))
 	}
 	d.log.Info().Str("event", "draining").Dur("window", window).Msg("told to stop")
 	ctx, cancel := context.WithTimeout(ctx, window+drainWithin)
--- a/daemon/figures.go
+++ b/daemon/figures.go
@@ -18,7 +18,7 @@
 func (d *Daemon) Ready() bool { return d.front.Ready() }
 
 // SendAway implements admin.Broker.
-func (d *Daemon) SendAway(away bool) { d.front.SendAway(away) }
+func (d *Daemon) SendAway(away bool) { d.front.SetOperatorDrain(away) }
 
 // Figures implements admin.Broker.
 func (d *Daemon) Figures() []admin.Figure {
--- a/httpfront/classes.go
+++ b/httpfront/classes.go
@@ -6,30 +6,32 @@
 	"onyxsail/internal/query"
 )
 
-// classTable holds the classes by name as they are from a moment on.
-type classTable struct {
-	byName map[string]query.Class
-	since  time.Time
-	before *classTable // until when a request that began under it must have become whole
+// classVersion is one version of the configured classes, by name.
+type classVersion struct {
+	byName        map[string]query.Class
+	effectiveFrom time.Time
+	// previous is kept until every request that started under it must have been received.
+	previous *classVersion
 }
 
-// SetClasses puts other classes in the place of those in use. A request that has begun
-// keeps the ones that it began under. One caller at a time.
+// SetClasses replaces the configured classes. A request that is already being received
+// keeps the classes that were in effect when it started. SetClasses must not be called
+// concurrently.
 func (f *Front) SetClasses(byName map[string]query.Class) {
 	now := time.Now()
-	for t := f.classes.Load(); t != nil; t = t.before {
-		if now.Sub(t.since) > wholeWithin { // of those before it nothing can have begun that still comes
-			t.before = nil
+	for version := f.classes.Load(); version != nil; version = version.previous {
+		if now.Sub(version.effectiveFrom) > requestReadTimeout { // requests started under earlier versions have timed out
+			version.previous = nil
 		}
 	}
-	f.classes.Store(&classTable{byName: byName, since: now, before: f.classes.Load()})
+	f.classes.Store(&classVersion{byName: byName, effectiveFrom: now, previous: f.classes.Load()})
 }
 
-// classesAt returns the classes of a request that began at a moment.
-func (f *Front) classesAt(began time.Time) map[string]query.Class {
-	t := f.classes.Load()
-	for t.before != nil && began.Before(t.since) {
-		t = t.before
+// classesAt returns the classes that were in effect when a request started.
+func (f *Front) classesAt(startedAt time.Time) map[string]query.Class {
+	version := f.classes.Load()
+	for version.previous != nil && startedAt.Before(version.effectiveFrom) {
+		version = version.previous
 	}
-	return t.byName
+	return version.byName
 }
--- a/httpfront/codec.go
+++ b/httpfront/codec.go
@@ -16,23 +16,24 @@
 	"onyxsail/internal/query"
 )
 
-// MaxBody is the largest body of a request, and of an answer.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the maximum size of a request body and of a response body, in bytes.
+const MaxBodyBytes = 64 << 10
 
-// fault is a request that cannot be taken, with the status that says so.
-type fault struct {
-	status int
-	why    string
+// requestError is the rejection of a request, with the HTTP status of its response.
+type requestError struct {
+	status  int
+	message string
 }
 
-func (f *fault) Error() string { return f.why }
+func (e *requestError) Error() string { return e.message }
 
-func bad(format string, args ...any) error {
-	return &fault{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+// badRequest returns a requestError with status 400.
+func badRequest(format string, args ...any) error {
+	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// statusOf gives the status of a request whose framing could not be read.
-func statusOf(err error) int {
+// framingErrorStatus returns the HTTP status for a request that the parser could not read.
+func framingErrorStatus(err error) int {
 	switch {
 	case errors.Is(err, http1.ErrBodySize):
 		return http.StatusRequestEntityTooLarge
@@ -42,113 +43,118 @@
 	return http.StatusBadRequest
 }
 
-// decode turns a request into a query.
-func decode(m *http1.Message, classes map[string]query.Class, shards int, now time.Time) (*broker.Query, error) {
+// decodeQuery converts an HTTP request to a query. now is the time at which the request was
+// received completely.
+func decodeQuery(m *http1.Message, classes map[string]query.Class, shardCount int, now time.Time) (*broker.Query, error) {
 	path, _, _ := strings.Cut(m.Target, "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	class, ok := classes[name]
 	if !ok {
-		return nil, &fault{http.StatusNotFound, "no such class"}
+		return nil, &requestError{http.StatusNotFound, "no such class"}
 	}
 	if m.Method != http.MethodPost {
-		return nil, &fault{http.StatusMethodNotAllowed, "a query is a POST"}
+		return nil, &requestError{http.StatusMethodNotAllowed, "a query is a POST"}
 	}
-	for _, h := range []string{"x-class", "x-request-id", "x-deadline-ms", "idempotency-key"} {
-		if m.Count(h) > 1 { // which of them counts would be anybody's guess
-			return nil, bad("%s: stands %d times", h, m.Count(h))
+	for _, header := range []string{"x-class", "x-request-id", "x-deadline-ms", "idempotency-key"} {
+		if m.Count(header) > 1 { // it would be ambiguous which value applies
+			return nil, badRequest("%s: stands %d times", header, m.Count(header))
 		}
 	}
 	if m.Get("x-class") != name {
-		return nil, bad("X-Class and the path must name one class")
+		return nil, badRequest("X-Class and the path must name one class")
 	}
 	q := &broker.Query{Name: m.Get("x-request-id"), Class: class.Index, Retry: m.Get("x-retry") == "1", Came: now}
 	if err := query.CheckName("X-Request-Id", q.Name); err != nil {
-		return nil, bad("%v", err)
+		return nil, badRequest("%v", err)
 	}
-	ms, err := strconv.ParseUint(m.Get("x-deadline-ms"), 10, 31)
-	if err != nil || ms == 0 {
-		return nil, bad("X-Deadline-Ms: want whole milliseconds above 0")
+	deadlineMs, err := strconv.ParseUint(m.Get("x-deadline-ms"), 10, 31)
+	if err != nil || deadlineMs == 0 {
+		return nil, badRequest("X-Deadline-Ms: want whole milliseconds above 0")
 	}
-	// No client of the class waits longer: a larger figure would only hold the
-	// query's place, here and while the program is told to stop.
-	if q.Budget = time.Duration(ms) * time.Millisecond; class.DeadlineMs > 0 {
+	// No client of the class waits longer than the class's deadline. A larger value would
+	// only keep the query open for longer, here and during a shutdown.
+	if q.Budget = time.Duration(deadlineMs) * time.Millisecond; class.DeadlineMs > 0 {
 		q.Budget = min(q.Budget, time.Duration(class.DeadlineMs*float64(time.Millisecond)))
 	}
 	if class.Keyed {
 		q.Key = m.Get("idempotency-key")
 		if err := query.CheckName("Idempotency-Key", q.Key); err != nil {
-			return nil, bad("%v", err)
+			return nil, badRequest("%v", err)
 		}
 	}
-	if err := query.DecodeBody(q, m.Body, shards); err != nil {
-		return nil, bad("%v", err)
+	if err := query.DecodeBody(q, m.Body, shardCount); err != nil {
+		return nil, badRequest("%v", err)
 	}
 	return q, nil
 }
 
-type result struct {
+// partResult is the value of one partition in the response body.
+type partResult struct {
 	Partition int    `json:"partition"`
 	Value     string `json:"value"`
 }
 
-type answer struct {
-	Whole   bool     `json:"whole"`
-	Results []result `json:"results"`
+// queryResponse is the response body of a served query.
+type queryResponse struct {
+	Whole   bool         `json:"whole"`
+	Results []partResult `json:"results"`
 }
 
-// encodeReply renders the final answer of a query.
-func encodeReply(dst []byte, r broker.Reply, last bool) []byte {
-	switch r.Verdict {
+// encodeReply appends the HTTP response for the final reply to a query.
+func encodeReply(dst []byte, reply broker.Reply, closeAfter bool) []byte {
+	switch reply.Verdict {
 	case broker.Served:
-		a := answer{Whole: r.Whole, Results: make([]result, len(r.Values))}
-		for i, v := range r.Values {
-			if !utf8.Valid(v.Data) { // the encoder would replace what is not: no node made that value
-				return encode(dst, http.StatusBadGateway, "a value is no text", 0, last)
+		response := queryResponse{Whole: reply.Whole, Results: make([]partResult, len(reply.Values))}
+		for i, v := range reply.Values {
+			if !utf8.Valid(v.Data) { // the JSON encoder would replace invalid bytes and return a value that no node sent
+				return encodeText(dst, http.StatusBadGateway, "a value is no text", 0, closeAfter)
 			}
-			a.Results[i] = result{v.Shard, string(v.Data)}
+			response.Results[i] = partResult{v.Shard, string(v.Data)}
 		}
-		data, err := json.Marshal(a)
-		if err != nil { // strings and numbers only: cannot be
-			return encode(dst, http.StatusInternalServerError, "encoding failed", 0, last)
+		data, err := json.Marshal(response)
+		if err != nil { // cannot happen: the response has only strings and numbers
+			return encodeText(dst, http.StatusInternalServerError, "encoding failed", 0, closeAfter)
 		}
-		if len(data) > MaxBody {
-			return encode(dst, http.StatusBadGateway, "the answer is too large", 0, last)
+		if len(data) > MaxBodyBytes {
+			return encodeText(dst, http.StatusBadGateway, "the answer is too large", 0, closeAfter)
 		}
-		return frame(dst, http.StatusOK, "application/json", data, 0, last)
+		return encodeResponse(dst, http.StatusOK, "application/json", data, 0, closeAfter)
 	case broker.Refused:
-		return encode(dst, http.StatusServiceUnavailable, "refused", r.RetryAfter, last)
+		return encodeText(dst, http.StatusServiceUnavailable, "refused", reply.RetryAfter, closeAfter)
 	case broker.Expired:
-		return encode(dst, http.StatusGatewayTimeout, "out of time", 0, last)
+		return encodeText(dst, http.StatusGatewayTimeout, "out of time", 0, closeAfter)
 	case broker.Duplicate:
-		return encode(dst, http.StatusConflict, "a request of this id is open", 0, last)
+		return encodeText(dst, http.StatusConflict, "a request of this id is open", 0, closeAfter)
 	}
-	return encode(dst, http.StatusInternalServerError, "failed", 0, last)
+	return encodeText(dst, http.StatusInternalServerError, "failed", 0, closeAfter)
 }
 
-// encode renders a plain answer.
-func encode(dst []byte, status int, text string, retry time.Duration, last bool) []byte {
-	return frame(dst, status, "text/plain; charset=utf-8", []byte(text+"\n"), retry, last)
+// encodeText appends a plain-text HTTP response.
+func encodeText(dst []byte, status int, text string, retryAfter time.Duration, closeAfter bool) []byte {
+	return encodeResponse(dst, status, "text/plain; charset=utf-8", []byte(text+"\n"), retryAfter, closeAfter)
 }
 
-func frame(dst []byte, status int, kind string, data []byte, retry time.Duration, last bool) []byte {
+// encodeResponse appends an HTTP response. A positive retryAfter adds a Retry-After header in
+// seconds, rounded up to whole milliseconds; closeAfter adds Connection: close.
+func encodeResponse(dst []byte, status int, contentType string, body []byte, retryAfter time.Duration, closeAfter bool) []byte {
 	dst = append(dst, "HTTP/1.1 "...)
 	dst = strconv.AppendInt(dst, int64(status), 10)
 	dst = append(dst, ' ')
 	dst = append(dst, http.StatusText(status)...)
 	dst = append(dst, "\r\nContent-Type: "...)
-	dst = append(dst, kind...)
+	dst = append(dst, contentType...)
 	dst = append(dst, "\r\nContent-Length: "...)
-	dst = strconv.AppendInt(dst, int64(len(data)), 10)
+	dst = strconv.AppendInt(dst, int64(len(body)), 10)
 	if status == http.StatusMethodNotAllowed {
 		dst = append(dst, "\r\nAllow: POST"...)
 	}
-	if retry > 0 {
+	if retryAfter > 0 {
 		dst = append(dst, "\r\nRetry-After: "...)
-		dst = strconv.AppendFloat(dst, math.Ceil(retry.Seconds()*1000)/1000, 'f', -1, 64)
+		dst = strconv.AppendFloat(dst, math.Ceil(retryAfter.Seconds()*1000)/1000, 'f', -1, 64)
 	}
-	if last {
+	if closeAfter {
 		dst = append(dst, "\r\nConnection: close"...)
 	}
 	dst = append(dst, "\r\n\r\n"...)
-	return append(dst, data...)
+	return append(dst, body...)
 }
--- a/httpfront/conn.go
+++ b/httpfront/conn.go
@@ -14,75 +14,77 @@
 	"onyxsail/internal/tracecontext"
 )
 
-// conn is one connection. Answers leave in the order of their requests.
+// conn is one client connection. Responses are written in the order of their requests.
 type conn struct {
-	f    *Front
-	sock *netio.Conn
-	born time.Time // when it was accepted
+	front      *Front
+	sock       *netio.Conn
+	acceptedAt time.Time
 
-	mu     sync.Mutex
-	parser http1.Parser
-	slots  []*slot
-	since  time.Time // when it was last waited for anew
-	heard  time.Time // when the latest bytes came
-	spoke  bool      // a byte has come
-	whole  bool      // a request has
-	ahead  int       // bytes of the bodies that wait
-	inData bool      // Data is at work
-	ending bool      // nothing more is read from it
-	ended  bool      // our side of the stream is over
-	gone   bool      // a request's client had left when its turn came
-	closed bool
+	mu              sync.Mutex
+	parser          http1.Parser
+	exchanges       []*exchange // open ones, in the order of their requests
+	requestStart    time.Time   // when the current request, or the wait for it, started
+	lastDataAt      time.Time   // when the latest bytes arrived
+	dataReceived    bool        // at least one byte has been received
+	requestReceived bool        // at least one complete request has been received
+	queuedBodyBytes int         // total body size of the queued requests
+	inData          bool        // Data is running
+	inputIgnored    bool        // further input is read and discarded
+	writeClosed     bool        // our side of the stream is closed, or will be once all is written
+	clientLeft      bool        // the client had left before one of its requests was submitted
+	closed          bool
 
-	// The front's lock guards what follows.
-	in      *list.Element
-	queue   state
-	entered time.Time
-	asked   bool // a request has become whole
+	// The following fields are guarded by the front's lock.
+	queueElem  *list.Element // in the queue of queueState; nil: in none
+	queueState connState
+	queuedAt   time.Time // when the connection entered queueState
+	hadRequest bool      // copy of requestReceived
 }
 
-type slot struct {
-	id    broker.QueryID
-	began time.Time      // when its first bytes came
-	came  time.Time      // when it was whole: its time runs from then
-	waits *http1.Message // not begun yet
-	out   []byte
-	done  bool
-	last  bool // the connection ends after this answer
-	close bool // the request asked for that
+// exchange is one request and its response.
+type exchange struct {
+	queryID        broker.QueryID // 0: not submitted
+	startedAt      time.Time      // when the first bytes of the request arrived
+	receivedAt     time.Time      // when the request was complete; its deadline counts from here
+	queuedRequest  *http1.Message // not yet processed; nil: processing has started
+	response       []byte
+	done           bool // response is final
+	closeAfter     bool // the connection is closed after this response
+	closeRequested bool // the request has Connection: close
 }
 
 // Data implements netio.Handler.
-func (c *conn) Data(b []byte) {
+func (c *conn) Data(data []byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ending {
-		return // read all the same: a close now would reset what the peer has yet to read
+	if c.inputIgnored {
+		return // still read: closing with unread input would send a reset and destroy responses in transit
 	}
-	defer c.place()
+	defer c.updateQueue()
 	c.inData = true
 	defer func() { c.inData = false }()
-	c.heard = time.Now()
-	if !c.spoke { // it may have waited to be accepted, with its first request
-		if waited := c.sock.LastHeard(); waited < longestWait {
-			c.heard = c.heard.Add(-waited)
+	c.lastDataAt = time.Now()
+	if !c.dataReceived { // the first request may have arrived before the connection was accepted
+		if sinceReceived := c.sock.LastHeard(); sinceReceived < maxAcceptWait {
+			c.lastDataAt = c.lastDataAt.Add(-sinceReceived)
 		}
 	}
 	if !c.parser.Mid() {
-		c.since = c.heard
+		c.requestStart = c.lastDataAt
 	}
-	c.spoke = true
-	c.parser.Feed(b)
-	c.work()
-	if c.gone || len(c.slots) > 0 && c.parser.Mid() && c.sock.PeerGone() {
-		c.depart()
+	c.dataReceived = true
+	c.parser.Feed(data)
+	c.parseRequests()
+	if c.clientLeft || len(c.exchanges) > 0 && c.parser.Mid() && c.sock.PeerGone() {
+		c.handlePeerEnd()
 	}
-	c.invite()
+	c.sendContinue()
 }
 
-// invite answers a request that waits for 100 Continue, once its turn has come.
-func (c *conn) invite() {
-	if len(c.slots) == 0 && !c.ending && c.parser.WantsContinue() {
+// sendContinue sends 100 Continue if the client waits for it and all earlier requests have
+// been answered.
+func (c *conn) sendContinue() {
+	if len(c.exchanges) == 0 && !c.inputIgnored && c.parser.WantsContinue() {
 		c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
@@ -91,115 +93,115 @@
 func (c *conn) PeerEnded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.depart()
+	c.handlePeerEnd()
 }
 
-// depart answers what was read of a client that has ended its side. It counts as gone, as
-// nothing tells that from a close, and nothing begins for it; if it reads on, it is owed
-// the answers. Closed follows, and takes its queries back.
-func (c *conn) depart() {
-	if c.ended || c.closed {
+// handlePeerEnd answers all requests read from a client that has closed its side of the
+// stream. This cannot be told from a full close, so the client counts as gone and nothing is
+// started for it; but it may still be reading, so each request gets a final response. Closed
+// is called next and withdraws the open queries.
+func (c *conn) handlePeerEnd() {
+	if c.writeClosed || c.closed {
 		return
 	}
-	c.ending = true
-	for _, s := range c.slots {
-		if !s.done {
-			s.out = encode(nil, http.StatusInternalServerError, "the client ended its side", 0, true)
+	c.inputIgnored = true
+	for _, e := range c.exchanges {
+		if !e.done {
+			e.response = encodeText(nil, http.StatusInternalServerError, "the client ended its side", 0, true)
 		}
-		c.write(s.out)
+		c.write(e.response)
 	}
 	c.closed = true
 }
 
-// work takes the requests that are whole. Clients send one at a time; whoever
-// sends many ahead would have a connection hold any number of them.
-func (c *conn) work() {
-	for !c.ending {
+// parseRequests processes the requests that have been received completely. Clients normally
+// send one at a time; pipelining is bounded, as one connection could otherwise hold any
+// number of requests.
+func (c *conn) parseRequests() {
+	for !c.inputIgnored {
 		m, err := c.parser.Next()
 		switch {
 		case err != nil:
-			c.reject(statusOf(err), err.Error())
+			c.reject(framingErrorStatus(err), err.Error())
 		case m == nil:
 			return
-		case len(c.slots) >= maxAhead || c.ahead+len(m.Body) > maxAheadSize:
+		case len(c.exchanges) >= maxPipelined || c.queuedBodyBytes+len(m.Body) > maxQueuedBodyBytes:
 			c.reject(http.StatusTooManyRequests, "too many requests were sent ahead")
 		default:
-			s := &slot{close: m.Close, began: c.since, came: c.heard}
-			c.since, c.whole = time.Now(), true // what is buffered behind it begins anew
-			c.slots = append(c.slots, s)
-			c.ending = m.Close
-			if len(c.slots) > maxPipelined {
-				s.waits, c.ahead = m, c.ahead+len(m.Body)
+			e := &exchange{closeRequested: m.Close, startedAt: c.requestStart, receivedAt: c.lastDataAt}
+			c.requestStart, c.requestReceived = time.Now(), true // buffered data belongs to the next request
+			c.exchanges = append(c.exchanges, e)
+			c.inputIgnored = m.Close
+			if len(c.exchanges) > maxActivePerConn {
+				e.queuedRequest, c.queuedBodyBytes = m, c.queuedBodyBytes+len(m.Body)
 				continue
 			}
-			c.serve(s, m)
+			c.dispatch(e, m)
 		}
 	}
 }
 
-// next begins the requests that waited for others of the connection.
-func (c *conn) next() {
-	for i := 0; i < len(c.slots) && i < maxPipelined; i++ {
-		if s := c.slots[i]; s.waits != nil {
-			m := s.waits
-			s.waits, c.ahead = nil, c.ahead-len(m.Body)
-			c.serve(s, m)
+// startQueued processes queued requests, as far as the limit of active ones permits.
+func (c *conn) startQueued() {
+	for i := 0; i < len(c.exchanges) && i < maxActivePerConn; i++ {
+		if e := c.exchanges[i]; e.queuedRequest != nil {
+			m := e.queuedRequest
+			e.queuedRequest, c.queuedBodyBytes = nil, c.queuedBodyBytes-len(m.Body)
+			c.dispatch(e, m)
 		}
 	}
 }
 
-// state is what the connection is waited for; c.mu is held.
-func (c *conn) state() state {
+// currentState returns what the connection is waiting for; c.mu is held.
+func (c *conn) currentState() connState {
 	switch {
-	case c.ended:
-		return leaving
-	case len(c.slots) > 0:
-		return busy
+	case c.writeClosed:
+		return stateHalfClosed
+	case len(c.exchanges) > 0:
+		return stateActive
 	case c.parser.Mid():
-		return reading
-	case !c.spoke:
-		return silent
+		return stateReading
+	case !c.dataReceived:
+		return stateNew
 	}
-	return idle
+	return stateIdle
 }
 
-// place puts the connection where it belongs by what it is waited for; c.mu is
-// held.
-func (c *conn) place() {
-	f, now := c.f, c.state()
+// updateQueue moves the connection to the queue of its current state; c.mu is held.
+func (c *conn) updateQueue() {
+	f, current := c.front, c.currentState()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.in != nil {
-		if c.queue == now && !(now == reading && c.entered.Before(c.since)) {
+	if c.queueElem != nil {
+		if c.queueState == current && !(current == stateReading && c.queuedAt.Before(c.requestStart)) {
 			return
 		}
-		f.queues[c.queue].Remove(c.in)
-		c.in = nil
+		f.queues[c.queueState].Remove(c.queueElem)
+		c.queueElem = nil
 	}
-	c.asked = c.asked || c.whole
+	c.hadRequest = c.hadRequest || c.requestReceived
 	if _, open := f.conns[c]; open && !c.closed {
-		c.in, c.queue, c.entered = f.queues[now].PushBack(c), now, time.Now()
+		c.queueElem, c.queueState, c.queuedAt = f.queues[current].PushBack(c), current, time.Now()
 	}
 }
 
-// over ends the connection if it is still in the given state, and says whether it
-// did. A request may come at any moment: a connection that rests is ended in
-// order, one that is waited for after its end is closed, and a request that has begun
-// is answered.
-func (c *conn) over(s state) bool {
+// endIfInState ends the connection if it is still in the given state, and reports whether it
+// did. As a request may arrive at any moment, an idle connection is shut down gracefully and a
+// partly received request gets an error response; a half-closed connection is closed.
+func (c *conn) endIfInState(state connState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.place()
-	if c.state() != s || c.closed {
+	defer c.updateQueue()
+	if c.currentState() != state || c.closed {
 		return false
 	}
-	switch s {
-	case silent, idle:
-		return c.rest()
-	case reading:
+	switch state {
+	case stateNew, stateIdle:
+		return c.endIdle()
+	case stateReading:
 		c.reject(http.StatusRequestTimeout, "the request did not become whole")
-	case leaving:
-		if c.sock.Backlog() > 0 && time.Since(c.entered) < unreadFor {
+	case stateHalfClosed:
+		if c.sock.Backlog() > 0 && time.Since(c.queuedAt) < unreadResponseTimeout {
 			return false
 		}
 		c.closed = true
@@ -208,174 +210,181 @@
 	return true
 }
 
-// rest ends a connection that carries no request, unless one may have come. An answer
-// that the client does not read keeps it open for a while.
-func (c *conn) rest() bool {
+// endIdle shuts down a connection without open requests, unless one may have arrived, and
+// reports whether it did. A response that the client has not read keeps the connection open
+// for at most unreadResponseTimeout.
+func (c *conn) endIdle() bool {
 	if c.sock.EndIfQuiet() {
-		c.ending, c.ended = true, true
+		c.inputIgnored, c.writeClosed = true, true
 		return true
 	}
-	if c.sock.Backlog() > 0 && time.Since(c.entered) > unreadFor {
-		c.ending, c.closed = true, true
+	if c.sock.Backlog() > 0 && time.Since(c.queuedAt) > unreadResponseTimeout {
+		c.inputIgnored, c.closed = true, true
 		c.sock.Close()
 		return true
 	}
 	return false
 }
 
-// discard closes a connection that has been ended and never carried a byte: it has no
-// answer that its client could still read, and others want its place.
-func (c *conn) discard() {
+// closeIfUnused closes a half-closed connection on which no byte was ever received: there is
+// no response that the client could still read, and its slot is needed.
+func (c *conn) closeIfUnused() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended && !c.spoke && !c.closed {
+	if c.writeClosed && !c.dataReceived && !c.closed {
 		c.closed = true
 		c.sock.Close()
 	}
 }
 
-// reject answers what cannot be read, after the answers before it, and ends
-// the connection: where the next request begins is not known.
-func (c *conn) reject(status int, why string) {
-	c.ending = true
-	c.f.turnAway(status)
-	c.slots = append(c.slots, &slot{done: true, last: true, out: encode(nil, status, why, 0, true)})
-	c.advance()
+// reject sends an error response, after those to earlier requests, and ends the connection:
+// it is not known where the next request starts.
+func (c *conn) reject(status int, message string) {
+	c.inputIgnored = true
+	c.front.countRejection(status)
+	c.exchanges = append(c.exchanges, &exchange{done: true, closeAfter: true, response: encodeText(nil, status, message, 0, true)})
+	c.writeCompleted()
 }
 
-func (c *conn) serve(s *slot, m *http1.Message) {
+// dispatch answers a request or submits its query; c.mu is held.
+func (c *conn) dispatch(e *exchange, m *http1.Message) {
 	if path, _, _ := strings.Cut(m.Target, "?"); path == "/ready" {
 		status, text := http.StatusOK, "ready"
 		if m.Method != http.MethodGet {
 			status, text = http.StatusMethodNotAllowed, "want GET"
-		} else if !c.f.Ready() {
+		} else if !c.front.Ready() {
 			status, text = http.StatusServiceUnavailable, "not ready"
 		}
-		c.finish(s, func(last bool) []byte { return encode(nil, status, text, 0, last) })
+		c.complete(e, func(closeAfter bool) []byte { return encodeText(nil, status, text, 0, closeAfter) })
 		return
 	}
-	q, err := decode(m, c.f.classesAt(s.began), c.f.opts.Shards, s.came)
+	q, err := decodeQuery(m, c.front.classesAt(e.startedAt), c.front.opts.Shards, e.receivedAt)
 	if err != nil {
 		status := http.StatusBadRequest
-		if f := (*fault)(nil); errors.As(err, &f) {
-			status = f.status
+		if rejected := (*requestError)(nil); errors.As(err, &rejected) {
+			status = rejected.status
 		}
-		c.f.turnAway(status)
-		c.finish(s, func(last bool) []byte { return encode(nil, status, err.Error(), 0, last) })
+		c.front.countRejection(status)
+		c.complete(e, func(closeAfter bool) []byte { return encodeText(nil, status, err.Error(), 0, closeAfter) })
 		return
 	}
-	if c.f.opts.Trace && m.Get(tracecontext.ParentKey) != "" {
+	if c.front.opts.Trace && m.Get(tracecontext.ParentKey) != "" {
 		q.Trace = tracecontext.Parse(m.All(tracecontext.ParentKey), strings.Join(m.All(tracecontext.StateKey), ","))
 	}
-	// It may have waited for us, behind others of its connection too, and its client have
-	// left: Closed comes, and the slots go with it.
+	// The client may have left while the request waited, for the accept or behind other
+	// requests of the connection. Closed is called then and drops the exchanges.
 	if c.sock.PeerGone() {
-		c.gone = true
+		c.clientLeft = true
 		return
 	}
-	id, ok := c.f.opts.Core.Submit(q, c)
+	id, ok := c.front.opts.Core.Submit(q, c)
 	if !ok {
-		c.finish(s, func(last bool) []byte { return encodeReply(nil, broker.Reply{Verdict: broker.Refused}, last) })
+		c.complete(e, func(closeAfter bool) []byte {
+			return encodeReply(nil, broker.Reply{Verdict: broker.Refused}, closeAfter)
+		})
 		return
 	}
-	s.id = id
+	e.queryID = id
 }
 
 // Gone implements broker.Departure.
 func (c *conn) Gone() bool { return c.sock.PeerGone() }
 
 // Reply implements broker.Replier.
-func (c *conn) Reply(id broker.QueryID, r broker.Reply) {
+func (c *conn) Reply(id broker.QueryID, reply broker.Reply) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.place()
-	for _, s := range c.slots {
-		if s.id == id && !s.done {
-			c.finish(s, func(last bool) []byte { return encodeReply(nil, r, last) })
-			c.next()
-			c.invite()
+	defer c.updateQueue()
+	for _, e := range c.exchanges {
+		if e.queryID == id && !e.done {
+			c.complete(e, func(closeAfter bool) []byte { return encodeReply(nil, reply, closeAfter) })
+			c.startQueued()
+			c.sendContinue()
 			return
 		}
 	}
 }
 
-func (c *conn) finish(s *slot, render func(last bool) []byte) {
-	ends := c.f.sheds() || c.f.crowded()
-	ends = ends && s == c.slots[len(c.slots)-1] && c.parser.Buffered() == 0 && !c.sock.Unread(c.inData)
-	s.last = s.close || ends
-	s.done, s.out = true, render(s.last)
-	c.advance()
+// complete sets the response of an exchange. While the front drains or connections are scarce,
+// the connection is closed after it if no further request has been sent.
+func (c *conn) complete(e *exchange, render func(closeAfter bool) []byte) {
+	closing := c.front.drainRequested() || c.front.nearConnLimit()
+	closing = closing && e == c.exchanges[len(c.exchanges)-1] && c.parser.Buffered() == 0 && !c.sock.Unread(c.inData)
+	e.closeAfter = e.closeRequested || closing
+	e.done, e.response = true, render(e.closeAfter)
+	c.writeCompleted()
 }
 
-// advance writes the answers whose turn has come.
-func (c *conn) advance() {
-	for len(c.slots) > 0 && c.slots[0].done && !c.closed {
-		s := c.slots[0]
-		c.slots = c.slots[1:]
-		c.write(s.out)
-		if s.last {
-			c.ending = true
-			c.end()
+// writeCompleted writes the responses of the completed exchanges up to the first open one.
+func (c *conn) writeCompleted() {
+	for len(c.exchanges) > 0 && c.exchanges[0].done && !c.closed {
+		e := c.exchanges[0]
+		c.exchanges = c.exchanges[1:]
+		c.write(e.response)
+		if e.closeAfter {
+			c.inputIgnored = true
+			c.closeWriteAfterFlush()
 			return
 		}
 	}
 }
 
-func (c *conn) write(b []byte) {
+// write sends data unless the connection is closed.
+func (c *conn) write(data []byte) {
 	if c.closed {
 		return
 	}
-	if _, err := c.sock.Write(b); err != nil {
-		c.closed = true // Closed follows
+	if _, err := c.sock.Write(data); err != nil {
+		c.closed = true // Closed is called next
 	}
 }
 
-// end closes our side once all has left, and the whole when the client has
-// closed its own or has had time to: a plain close could destroy an answer
-// that the client has not read yet.
-func (c *conn) end() {
-	c.ended = true
+// closeWriteAfterFlush closes our side of the stream once all data has been written. The
+// connection itself is closed when the client has closed its side, or on a timeout: closing
+// it at once could destroy a response that the client has not read yet.
+func (c *conn) closeWriteAfterFlush() {
+	c.writeClosed = true
 	c.sock.AfterFlush(func() {
-		_ = c.sock.CloseWrite() // fails only where the socket is gone already
+		_ = c.sock.CloseWrite() // fails only if the socket is closed already
 	})
 }
 
-// endIfIdle ends a connection that carries no request, while draining. A
-// request that has begun may still become whole for a while; one that never
-// does must not keep the program from its end.
-func (c *conn) endIfIdle() {
+// endForDrain ends a connection without open requests during a drain. A partly received
+// request has drainReadTimeout to arrive completely; one that never does must not block the
+// shutdown.
+func (c *conn) endForDrain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer c.place()
+	defer c.updateQueue()
 	switch {
-	case len(c.slots) > 0 || c.ending || c.closed:
+	case len(c.exchanges) > 0 || c.inputIgnored || c.closed:
 	case !c.parser.Mid():
-		if c.spoke || time.Since(c.since) > youngest { // else its first request is on its way
-			c.rest()
+		if c.dataReceived || time.Since(c.requestStart) > minEvictionAge { // otherwise the first request may be in transit
+			c.endIdle()
 		}
-	case time.Since(c.since) > drainMid:
+	case time.Since(c.requestStart) > drainReadTimeout:
 		c.reject(http.StatusRequestTimeout, "the request did not become whole")
 	}
 }
 
-// Closed implements netio.Handler: the client has gone.
+// Closed implements netio.Handler: it withdraws the open queries and releases the slot.
 func (c *conn) Closed(error) {
 	c.mu.Lock()
-	c.closed, c.ending = true, true
-	slots := c.slots
-	c.slots = nil
+	c.closed, c.inputIgnored = true, true
+	exchanges := c.exchanges
+	c.exchanges = nil
 	c.mu.Unlock()
-	for _, s := range slots {
-		if !s.done && s.id != 0 {
-			c.f.opts.Core.Leave(s.id)
+	for _, e := range exchanges {
+		if !e.done && e.queryID != 0 {
+			c.front.opts.Core.Leave(e.queryID)
 		}
 	}
-	c.f.mu.Lock()
-	delete(c.f.conns, c)
-	if c.in != nil {
-		c.f.queues[c.queue].Remove(c.in)
-		c.in = nil
+	c.front.mu.Lock()
+	delete(c.front.conns, c)
+	if c.queueElem != nil {
+		c.front.queues[c.queueState].Remove(c.queueElem)
+		c.queueElem = nil
 	}
-	c.f.mu.Unlock()
-	c.f.places.release()
+	c.front.mu.Unlock()
+	c.front.connSlots.release()
 }
--- a/httpfront/crossing_test.go
+++ b/httpfront/crossing_test.go
@@ -16,50 +16,51 @@
 	"onyxsail/internal/testkit"
 )
 
-// The tests here force what may come between two lines of the front: a stand-in holds
-// the accepts, or the goroutine that reads, until the rest has happened.
+// The tests in this file force race conditions between clients and the front: a test double
+// blocks Accept, or the goroutine that reads, until the competing event has happened.
 
-// heldListener keeps what it has accepted until it is let go.
-type heldListener struct {
+// blockingListener holds back accepted connections until release is closed.
+type blockingListener struct {
 	listener
-	accepted chan struct{} // one for each connection that is kept
-	gate     chan struct{}
+	accepted chan struct{} // receives once per connection held back
+	release  chan struct{}
 }
 
 // Accept implements net.Listener.
-func (h *heldListener) Accept() (net.Conn, error) {
+func (h *blockingListener) Accept() (net.Conn, error) {
 	c, err := h.listener.Accept()
 	if err == nil {
 		h.accepted <- struct{}{}
-		<-h.gate
+		<-h.release
 	}
 	return c, err
 }
 
-func startHeld(t *testing.T) (*Front, *fakeCore, *heldListener) {
+// startWithBlockedAccept starts a front whose accepted connections are held back.
+func startWithBlockedAccept(t *testing.T) (*Front, *fakeCore, *blockingListener) {
 	t.Helper()
-	h := &heldListener{accepted: make(chan struct{}, 8), gate: make(chan struct{})}
-	f, core, _ := startAt(t, func(l listener) listener {
+	h := &blockingListener{accepted: make(chan struct{}, 8), release: make(chan struct{})}
+	f, core, _ := startWithListener(t, func(l listener) listener {
 		h.listener = l
 		return h
 	})
 	return f, core, h
 }
 
-// holder is a handler that keeps the reading goroutine.
-type holder struct{ entered, gate chan struct{} }
+// blockingHandler blocks the loop's reading goroutine until release is closed.
+type blockingHandler struct{ entered, release chan struct{} }
 
 // Data implements netio.Handler.
-func (h *holder) Data([]byte) {
+func (h *blockingHandler) Data([]byte) {
 	close(h.entered)
-	<-h.gate
+	<-h.release
 }
 
 // Closed implements netio.Handler.
-func (h *holder) Closed(error) {}
+func (h *blockingHandler) Closed(error) {}
 
-// holdReads keeps all connections of a loop from being read until it is called back.
-func holdReads(t *testing.T, loop *netio.Loop) (letGo func()) {
+// blockReads stops a loop from reading any connection until resume is called.
+func blockReads(t *testing.T, loop *netio.Loop) (resume func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -71,12 +72,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { peer.Close() })
-	own, err := l.Accept()
+	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &holder{make(chan struct{}), make(chan struct{})}
-	if _, err := loop.Attach(own, h, nil); err != nil {
+	h := &blockingHandler{make(chan struct{}), make(chan struct{})}
+	if _, err := loop.Attach(accepted, h, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := io.WriteString(peer, "x"); err != nil {
@@ -84,200 +85,203 @@
 	}
 	<-h.entered
 	var once sync.Once
-	letGo = func() { once.Do(func() { close(h.gate) }) }
-	t.Cleanup(letGo)
-	return letGo
+	resume = func() { once.Do(func() { close(h.release) }) }
+	t.Cleanup(resume)
+	return resume
 }
 
-func say(t *testing.T, c net.Conn, text string) {
+func send(t *testing.T, c net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// only returns the front's one connection, once it is in the given state.
-func only(t *testing.T, f *Front, s state) *conn {
+// soleConn returns the front's only connection, once it is in the given state.
+func soleConn(t *testing.T, f *Front, s connState) *conn {
 	t.Helper()
 	var c *conn
-	testkit.Eventually(t, "the connection rests", func() bool {
-		all := f.list()
+	testkit.Eventually(t, "the connection is in the expected state", func() bool {
+		all := f.openConns()
 		if len(all) != 1 {
 			return false
 		}
 		c = all[0]
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.state() == s
+		return c.currentState() == s
 	})
 	return c
 }
 
-// named is a request under an id of its own.
-func named(id string) string {
-	return post("/screen", strings.Replace(heads, "q1", id, 1), good)
+// queryWithID returns a query request with the given id.
+func queryWithID(id string) string {
+	return postRequest("/screen", strings.Replace(queryHeaders, "q1", id, 1), validBody)
 }
 
-// A request that has come to a resting connection, and is not read yet, is answered,
-// whoever wants the connection's end just then: the sweep, want of room, or a stop.
-func TestRequestAtTheMomentOfAnEnd(t *testing.T) {
+// A request that has arrived on an idle connection but has not been read yet must be answered,
+// even if the connection is to be closed at that moment by the idle timeout, an eviction or a
+// drain.
+func TestRequestArrivingDuringConnectionCloseIsAnswered(t *testing.T) {
 	for name, end := range map[string]func(*Front, *conn){
-		"idle for long": func(_ *Front, c *conn) { c.over(idle) },
-		"want of room": func(f *Front, c *conn) {
+		"idle timeout": func(_ *Front, c *conn) { c.endIfInState(stateIdle) },
+		"eviction": func(f *Front, c *conn) {
 			f.mu.Lock()
-			c.entered = c.entered.Add(-time.Hour)
+			c.queuedAt = c.queuedAt.Add(-time.Hour)
 			f.mu.Unlock()
-			f.evict()
+			f.evictOne()
 		},
-		"a stop": func(_ *Front, c *conn) { c.endIfIdle() },
+		"drain": func(_ *Front, c *conn) { c.endForDrain() },
 	} {
-		for _, first := range []bool{true, false} { // a resting connection, and one whose first request it is
-			f, core, loop := startAt(t, func(l listener) listener { return l })
+		for _, first := range []bool{true, false} { // a new connection, and one that is idle after a request
+			f, core, loop := startWithListener(t, func(l listener) listener { return l })
 			client, in := dial(t, f)
-			at := silent
+			state := stateNew
 			if !first {
-				say(t, client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-				read(t, in)
-				at = idle
+				send(t, client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+				readResponse(t, in)
+				state = stateIdle
 			}
-			c := only(t, f, at)
-			letGo := holdReads(t, loop)
-			say(t, client, named("a"))
-			if first && name == "idle for long" {
-				c.over(silent)
+			c := soleConn(t, f, state)
+			resumeReads := blockReads(t, loop)
+			send(t, client, queryWithID("a"))
+			if first && name == "idle timeout" {
+				c.endIfInState(stateNew)
 			} else {
 				end(f, c)
 			}
-			letGo()
-			testkit.Eventually(t, name+": the query is taken", func() bool { return core.taken() == 1 })
-			core.answer(1, broker.Reply{Verdict: broker.Served})
-			if res, _ := read(t, in); res.StatusCode != http.StatusOK {
+			resumeReads()
+			testkit.Eventually(t, name+": the query is submitted", func() bool { return core.submitted() == 1 })
+			core.reply(1, broker.Reply{Verdict: broker.Served})
+			if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK {
 				t.Errorf("%s: status %d", name, res.StatusCode)
 			}
 		}
 	}
 }
 
-// A request that the client has sent ahead, and that is not read yet, is answered before a
-// connection is ended behind an answer, by a stop or as places are scarce.
-func TestRequestSentAheadAtAStop(t *testing.T) {
-	f, core, loop := startAt(t, func(l listener) listener { return l })
+// During a drain or near the connection limit, a connection is closed with its next response.
+// A pipelined request that has arrived but not been read yet must be answered first.
+func TestPipelinedRequestDuringDrainIsAnswered(t *testing.T) {
+	f, core, loop := startWithListener(t, func(l listener) listener { return l })
 	client, in := dial(t, f)
-	say(t, client, named("a"))
-	testkit.Eventually(t, "the query is taken", func() bool { return core.taken() == 1 })
+	send(t, client, queryWithID("a"))
+	testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == 1 })
 	f.draining.Store(true)
-	letGo := holdReads(t, loop)
-	say(t, client, named("b"))
-	core.answer(1, broker.Reply{Verdict: broker.Served})
-	if res, _ := read(t, in); res.StatusCode != http.StatusOK || res.Close {
-		t.Errorf("the first: status %d close %v", res.StatusCode, res.Close)
+	resumeReads := blockReads(t, loop)
+	send(t, client, queryWithID("b"))
+	core.reply(1, broker.Reply{Verdict: broker.Served})
+	if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK || res.Close {
+		t.Errorf("first response: status %d close %v", res.StatusCode, res.Close)
 	}
-	letGo()
-	testkit.Eventually(t, "the next query is taken", func() bool { return core.taken() == 2 })
-	core.answer(2, broker.Reply{Verdict: broker.Served})
-	if res, _ := read(t, in); res.StatusCode != http.StatusOK {
-		t.Errorf("the second: status %d", res.StatusCode)
+	resumeReads()
+	testkit.Eventually(t, "the next query is submitted", func() bool { return core.submitted() == 2 })
+	core.reply(2, broker.Reply{Verdict: broker.Served})
+	if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK {
+		t.Errorf("second response: status %d", res.StatusCode)
 	}
-	testkit.Eventually(t, "the connection is ended", func() bool { return f.list()[0].over(idle) || f.list()[0].over(leaving) })
+	testkit.Eventually(t, "the connection is shut down", func() bool {
+		return f.openConns()[0].endIfInState(stateIdle) || f.openConns()[0].endIfInState(stateHalfClosed)
+	})
 }
 
-// A request that comes after the connection's end is not sent on, and the client sees
-// an end, no reset.
-func TestRequestAfterAnEnd(t *testing.T) {
+// A request that arrives after the connection was shut down must not be submitted, and the
+// client must see the end of the stream rather than a reset.
+func TestRequestAfterConnectionCloseIsNotSubmitted(t *testing.T) {
 	f, core := start(t)
 	client, in := dial(t, f)
-	say(t, client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-	read(t, in)
-	// It waits for its next request from within the turn that answered the last one, and is
-	// not ended before that turn is over: until then more may have been read.
-	c := only(t, f, idle)
-	testkit.Eventually(t, "a connection that rests is ended", func() bool { return c.over(idle) })
-	say(t, client, named("a"))
+	send(t, client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+	readResponse(t, in)
+	// The connection becomes idle while Data, which answered the last request, is still
+	// running. It is not shut down before Data returns, as more may have been read until then.
+	c := soleConn(t, f, stateIdle)
+	testkit.Eventually(t, "the idle connection is shut down", func() bool { return c.endIfInState(stateIdle) })
+	send(t, client, queryWithID("a"))
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("got %v, want the end", err)
+		t.Errorf("got %v, want EOF", err)
 	}
 	client.Close()
-	testkit.Eventually(t, "it is closed", func() bool { return len(f.list()) == 0 })
-	if core.taken() != 0 {
-		t.Errorf("%d queries reached the core", core.taken())
+	testkit.Eventually(t, "the connection is closed", func() bool { return len(f.openConns()) == 0 })
+	if core.submitted() != 0 {
+		t.Errorf("%d queries were submitted", core.submitted())
 	}
 }
 
-// A stop does not end a connection that has only just come: its first request is on its
-// way, and a new connection that ends without an answer counts as a refusal.
-func TestStopWaitsForTheFirstRequest(t *testing.T) {
+// A drain must not close a connection that was opened only just before: its first request may
+// be in transit, and clients count a new connection closed without a response as a refusal.
+func TestDrainDoesNotCloseNewConnection(t *testing.T) {
 	f, core := start(t)
 	client, in := dial(t, f)
-	c := only(t, f, silent)
+	c := soleConn(t, f, stateNew)
 	c.mu.Lock()
-	c.since = time.Now().Add(time.Hour) // as young as can be
+	c.requestStart = time.Now().Add(time.Hour) // the connection counts as new
 	c.mu.Unlock()
-	c.endIfIdle()
-	say(t, client, named("a"))
-	testkit.Eventually(t, "the query is taken", func() bool { return core.taken() == 1 })
-	core.answer(1, broker.Reply{Verdict: broker.Served})
-	if res, _ := read(t, in); res.StatusCode != http.StatusOK {
+	c.endForDrain()
+	send(t, client, queryWithID("a"))
+	testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == 1 })
+	core.reply(1, broker.Reply{Verdict: broker.Served})
+	if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
 
-// An answer that its client has not read yet outlives the time for which a connection
-// is waited for after its end.
-func TestUnreadAnswerOutlivesTheLinger(t *testing.T) {
+// The linger timeout of a half-closed connection must not discard a response that the client
+// has not read yet.
+func TestLingerTimeoutKeepsUnreadResponse(t *testing.T) {
 	f, core := start(t)
 	client, in := dial(t, f)
-	value := strings.Repeat("v", 60<<10) // an answer of the largest size, or nearly
-	asked := 0
-	ask := func(request string) {
-		say(t, client, request)
-		asked++
-		testkit.Eventually(t, "the query is taken", func() bool { return core.taken() == asked })
-		core.answer(broker.QueryID(asked), broker.Reply{Verdict: broker.Served, Values: []broker.Value{{Shard: 3, Data: []byte(value)}}})
+	value := strings.Repeat("v", 60<<10) // close to the maximum response size
+	requests := 0
+	submit := func(request string) {
+		send(t, client, request)
+		requests++
+		testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == requests })
+		core.reply(broker.QueryID(requests), broker.Reply{Verdict: broker.Served, Values: []broker.Value{{Shard: 3, Data: []byte(value)}}})
 	}
-	ask(named("a"))
-	c := f.list()[0]
-	for c.sock.Backlog() == 0 && asked < 1000 { // until the sockets hold no more
-		ask(named(fmt.Sprint("a", asked)))
+	submit(queryWithID("a"))
+	c := f.openConns()[0]
+	for c.sock.Backlog() == 0 && requests < 1000 { // until the socket buffers are full
+		submit(queryWithID(fmt.Sprint("a", requests)))
 	}
-	ask(strings.Replace(named("last"), "Host: a", "Host: a\r\nConnection: close", 1))
-	c = only(t, f, leaving)
+	submit(strings.Replace(queryWithID("last"), "Host: a", "Host: a\r\nConnection: close", 1))
+	c = soleConn(t, f, stateHalfClosed)
 	if c.sock.Backlog() == 0 {
-		t.Fatal("the answers left whole")
+		t.Fatal("all responses were written; want some still buffered")
 	}
-	if c.over(leaving) {
-		t.Error("the connection was closed over its answer")
+	if c.endIfInState(stateHalfClosed) {
+		t.Error("the connection was closed before its response was written")
 	}
-	for i := range asked {
-		if res, body := read(t, in); len(body) < len(value) || res.Close != (i == asked-1) {
-			t.Errorf("answer %d of %d: %d bytes, want %d and more; close %v", i, asked, len(body), len(value), res.Close)
+	for i := range requests {
+		if res, body := readResponse(t, in); len(body) < len(value) || res.Close != (i == requests-1) {
+			t.Errorf("response %d of %d: %d bytes, want at least %d; close %v", i, requests, len(body), len(value), res.Close)
 		}
 	}
 }
 
-// A half request that has to make room is told so.
-func TestHalfRequestThatMakesRoom(t *testing.T) {
+// A connection that is evicted while it sends a request must get a 408 response.
+func TestEvictedPartialRequestGetsTimeoutResponse(t *testing.T) {
 	f, _ := start(t)
 	client, in := dial(t, f)
-	say(t, client, "POST /screen HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf")
-	c := only(t, f, reading)
+	send(t, client, "POST /screen HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf")
+	c := soleConn(t, f, stateReading)
 	f.mu.Lock()
-	c.entered = c.entered.Add(-wholeWithin)
+	c.queuedAt = c.queuedAt.Add(-requestReadTimeout)
 	f.mu.Unlock()
-	f.evict()
-	if res, _ := read(t, in); res.StatusCode != http.StatusRequestTimeout || !res.Close {
+	f.evictOne()
+	if res, _ := readResponse(t, in); res.StatusCode != http.StatusRequestTimeout || !res.Close {
 		t.Errorf("status %d close %v", res.StatusCode, res.Close)
 	}
 }
 
-// What the system has accepted for the front, and the front not yet, counts as taken: a
-// stop answers it, also where there was no room for it before.
-func TestStopTakesWhatTheSystemHasAccepted(t *testing.T) {
-	const more = 6
+// Connections in the accept queue would be reset when the socket is closed. A drain must
+// serve them, even if the connection limit kept the front from accepting them before.
+func TestDrainServesConnectionsInAcceptQueue(t *testing.T) {
+	const queued = 6
 	f, core := start(t)
 	var clients sync.WaitGroup
-	ask := func(id string) {
+	connectAndSend := func(id string) {
 		client, in := dial(t, f)
-		say(t, client, named(id))
+		send(t, client, queryWithID(id))
 		clients.Go(func() {
 			res, err := http.ReadResponse(in, nil)
 			if err != nil {
@@ -290,115 +294,115 @@
 			client.Close()
 		})
 	}
-	for i := range f.places.limit {
-		ask(fmt.Sprint("a", i))
+	for i := range f.connSlots.limit {
+		connectAndSend(fmt.Sprint("a", i))
 	}
-	testkit.Eventually(t, "all places are taken by queries", func() bool { return core.taken() == f.places.limit })
-	for i := range more {
-		ask(fmt.Sprint("b", i))
+	testkit.Eventually(t, "a query is open on every allowed connection", func() bool { return core.submitted() == f.connSlots.limit })
+	for i := range queued {
+		connectAndSend(fmt.Sprint("b", i))
 	}
 	ended := make(chan struct{})
 	go func() {
 		f.Drain(context.Background(), 0)
 		close(ended)
 	}()
-	testkit.Eventually(t, "the last connections are taken", f.closing.Load)
-	for i := range f.places.limit + more {
-		testkit.Eventually(t, "the query is taken", func() bool { return core.taken() > i })
-		core.answer(broker.QueryID(i+1), broker.Reply{Verdict: broker.Served})
+	testkit.Eventually(t, "the front accepts only queued connections", f.acceptingLast.Load)
+	for i := range f.connSlots.limit + queued {
+		testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() > i })
+		core.reply(broker.QueryID(i+1), broker.Reply{Verdict: broker.Served})
 	}
 	clients.Wait()
 	<-ended
 }
 
-// A connection that is between the system's accept and the front's list while the front
-// looks whether any is left is one of them.
-func TestStopWaitsForWhatIsBeingTaken(t *testing.T) {
-	f, core, h := startHeld(t)
+// A connection that has been accepted but not registered yet while the drain checks for open
+// connections must count as open.
+func TestDrainWaitsForConnectionBeingAccepted(t *testing.T) {
+	f, core, h := startWithBlockedAccept(t)
 	client, in := dial(t, f)
-	say(t, client, named("a"))
+	send(t, client, queryWithID("a"))
 	<-h.accepted
 	ended := make(chan struct{})
 	go func() {
 		f.Drain(context.Background(), 0)
 		close(ended)
 	}()
-	testkit.Eventually(t, "the last connections are taken", f.closing.Load)
+	testkit.Eventually(t, "the front accepts only queued connections", f.acceptingLast.Load)
 	select {
 	case <-ended:
-		t.Fatal("ended with a connection in hand")
-	case <-time.After(100 * time.Millisecond): // its looks find none
+		t.Fatal("Drain returned while a connection was being accepted")
+	case <-time.After(100 * time.Millisecond): // time for several checks
 	}
-	close(h.gate)
-	testkit.Eventually(t, "the query is taken", func() bool { return core.taken() == 1 })
-	core.answer(1, broker.Reply{Verdict: broker.Served})
-	if res, _ := read(t, in); res.StatusCode != http.StatusOK {
+	close(h.release)
+	testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == 1 })
+	core.reply(1, broker.Reply{Verdict: broker.Served})
+	if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK {
 		t.Errorf("status %d", res.StatusCode)
 	}
 	client.Close()
 	<-ended
 }
 
-// A client that has left while its request waited, for the accept, behind unread bytes
-// or behind other requests of its connection, has nothing done for it.
-func TestClientLeavesWhileItsRequestWaits(t *testing.T) {
-	t.Run("for the accept", func(t *testing.T) {
+// A request whose client left while it waited, for the accept, behind unread data or behind
+// other requests of its connection, must not be submitted.
+func TestQueuedRequestOfDepartedClientIsNotSubmitted(t *testing.T) {
+	t.Run("before the accept", func(t *testing.T) {
 		for _, ahead := range []int{1, 40} {
-			f, core, h := startHeld(t)
+			f, core, h := startWithBlockedAccept(t)
 			client, _ := dial(t, f)
 			for i := range ahead {
-				say(t, client, named(fmt.Sprint("a", i)))
+				send(t, client, queryWithID(fmt.Sprint("a", i)))
 			}
 			<-h.accepted
 			client.Close()
-			close(h.gate)
-			other, in := dial(t, f) // taken behind it
-			say(t, other, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-			read(t, in)
-			testkit.Eventually(t, "the connection is closed", func() bool { return len(f.list()) == 1 })
-			if core.taken() != 0 {
-				t.Errorf("%d requests ahead: %d queries reached the core", ahead, core.taken())
+			close(h.release)
+			other, in := dial(t, f) // accepted after it
+			send(t, other, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+			readResponse(t, in)
+			testkit.Eventually(t, "the connection is closed", func() bool { return len(f.openConns()) == 1 })
+			if core.submitted() != 0 {
+				t.Errorf("%d pipelined requests: %d queries were submitted", ahead, core.submitted())
 			}
 		}
 	})
-	t.Run("behind others", func(t *testing.T) {
-		f, core, loop := startAt(t, func(l listener) listener { return l })
+	t.Run("behind other requests", func(t *testing.T) {
+		f, core, loop := startWithListener(t, func(l listener) listener { return l })
 		client, _ := dial(t, f)
-		for i := range maxPipelined + 4 {
-			say(t, client, named(fmt.Sprint("a", i)))
+		for i := range maxActivePerConn + 4 {
+			send(t, client, queryWithID(fmt.Sprint("a", i)))
 		}
-		testkit.Eventually(t, "the first are taken, the others wait", func() bool {
-			all := f.list()
-			if len(all) != 1 || core.taken() != maxPipelined {
+		testkit.Eventually(t, "the first queries are submitted and the others queued", func() bool {
+			all := f.openConns()
+			if len(all) != 1 || core.submitted() != maxActivePerConn {
 				return false
 			}
 			all[0].mu.Lock()
 			defer all[0].mu.Unlock()
-			return len(all[0].slots) == maxPipelined+4
+			return len(all[0].exchanges) == maxActivePerConn+4
 		})
-		letGo := holdReads(t, loop)
+		resumeReads := blockReads(t, loop)
 		client.Close()
-		core.answer(1, broker.Reply{Verdict: broker.Served})
-		letGo()
-		testkit.Eventually(t, "the core hears that the client left", func() bool {
+		core.reply(1, broker.Reply{Verdict: broker.Served})
+		resumeReads()
+		testkit.Eventually(t, "the open queries are abandoned", func() bool {
 			core.mu.Lock()
 			defer core.mu.Unlock()
-			return len(core.left) == maxPipelined-1
+			return len(core.abandoned) == maxActivePerConn-1
 		})
-		if core.taken() != maxPipelined {
-			t.Errorf("%d queries reached the core, want %d", core.taken(), maxPipelined)
+		if core.submitted() != maxActivePerConn {
+			t.Errorf("%d queries were submitted, want %d", core.submitted(), maxActivePerConn)
 		}
 	})
-	t.Run("on a connection that ends after it", func(t *testing.T) {
+	t.Run("on a connection that closes after the response", func(t *testing.T) {
 		f, core := start(t)
 		client, _ := dial(t, f)
-		say(t, client, strings.Replace(named("a"), "Host: a", "Host: a\r\nConnection: close", 1)+"and more that is not read any further")
-		testkit.Eventually(t, "the query is taken", func() bool { return core.taken() == 1 })
+		send(t, client, strings.Replace(queryWithID("a"), "Host: a", "Host: a\r\nConnection: close", 1)+"and more that is not read any further")
+		testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == 1 })
 		client.Close()
-		testkit.Eventually(t, "the core hears that the client left", func() bool {
+		testkit.Eventually(t, "the open queries are abandoned", func() bool {
 			core.mu.Lock()
 			defer core.mu.Unlock()
-			return len(core.left) == 1
+			return len(core.abandoned) == 1
 		})
 	})
 }
--- a/httpfront/front.go
+++ b/httpfront/front.go
@@ -1,5 +1,5 @@
-// Package httpfront is the platform's front: HTTP/1.1 over TCP, one POST a
-// query, and GET /ready.
+// Package httpfront serves the platform's queries over HTTP/1.1 on TCP: each query is one
+// POST request, and GET /ready reports readiness.
 package httpfront
 
 import (
@@ -23,90 +23,92 @@
 	"onyxsail/internal/query"
 )
 
-// Each connection must come to something in time, or hundreds that never do
-// would hold all descriptors.
+// Limits and timeouts of connections. Without timeouts, hundreds of connections that never
+// complete a request would hold all file descriptors.
 const (
-	maxPipelined = 16                      // requests of one connection in work at once
-	maxAhead     = 64                      // and those sent ahead in all; more is a flood
-	maxAheadSize = 128 << 10               // bytes of the bodies that wait
-	tellEvery    = 10 * time.Second        // between log lines on requests turned away
-	silentFor    = 1500 * time.Millisecond // without a first byte
-	wholeWithin  = 2500 * time.Millisecond // for a request that has begun: some clients take 2 s
-	firstWithin  = 2750 * time.Millisecond // for the first one, from the connection's beginning
-	halfForRoom  = time.Second             // and where others want the place
-	idleLeast    = 2 * time.Second         // between requests, while connections are scarce
-	idleMost     = time.Minute             // and while they are not
-	lingerFor    = time.Second             // for the other side's end, after ours
-	unreadFor    = 5 * time.Second         // for the other side to read an answer
-	drainMid     = time.Second             // for a request that has begun, once draining
-	// awayRest is how long a connection rests before it is ended while clients are sent away:
-	// one in use is ended behind its next answer, which no request can cross.
-	awayRest    = time.Second
-	sweepEvery  = 100 * time.Millisecond
-	longestWait = time.Minute // that is believed of a connection before its accept
-	// youngest is how old a connection must be at least to make room for
-	// another: its first request may wait to be read.
-	youngest  = 100 * time.Millisecond
-	roomEvery = 5 * time.Millisecond // between looks for room, when there is none
-	// maxLeaving connections at most are ended to make room before the first of them has
-	// closed.
-	maxLeaving = 16
+	maxActivePerConn      = 16                      // requests of one connection that are processed at once
+	maxPipelined          = 64                      // unanswered requests of one connection; further ones are rejected
+	maxQueuedBodyBytes    = 128 << 10               // bytes of the bodies of pipelined requests that are not yet processed
+	summaryInterval       = 10 * time.Second        // between log lines about rejected requests and evicted connections
+	firstByteTimeout      = 1500 * time.Millisecond // from the accept to the first byte
+	requestReadTimeout    = 2500 * time.Millisecond // to receive a request that has started; some clients take 2 s
+	firstRequestTimeout   = 2750 * time.Millisecond // to receive the first request, from the accept
+	minReadingEvictionAge = time.Second             // before a connection is evicted while it sends a request
+	crowdedIdleTimeout    = 2 * time.Second         // between requests, while more than half of the connections are in use
+	idleTimeout           = time.Minute             // between requests, otherwise
+	lingerTimeout         = time.Second             // for the client to close its side after ours was closed
+	unreadResponseTimeout = 5 * time.Second         // for the client to read a response
+	drainReadTimeout      = time.Second             // to receive a request that has started, during a drain
+	// operatorDrainIdleTimeout closes idle connections during an operator's drain. A connection
+	// in use is closed with its next response instead, which no new request can cross.
+	operatorDrainIdleTimeout = time.Second
+	sweepInterval            = 100 * time.Millisecond
+	// maxAcceptWait bounds how long a connection's first bytes are assumed to have waited for
+	// the accept.
+	maxAcceptWait = time.Minute
+	// minEvictionAge is the age below which a connection is not evicted: its first request
+	// may have arrived without having been read yet.
+	minEvictionAge        = 100 * time.Millisecond
+	evictionRetryInterval = 5 * time.Millisecond // between attempts to evict a connection
+	// maxHalfClosed is the number of half-closed connections at which no more are evicted
+	// until one of them has closed.
+	maxHalfClosed = 16
 )
 
-// state says what a connection is waited for.
-type state uint8
+// connState says what a connection is waiting for.
+type connState uint8
 
 const (
-	busy    state = iota // its answers
-	silent               // its first byte
-	reading              // the rest of a request
-	idle                 // its next request
-	leaving              // the other side's end, after ours
-	states  = iota
+	stateActive     connState = iota // responses to its requests
+	stateNew                         // the first byte
+	stateReading                     // the rest of a request
+	stateIdle                        // the next request
+	stateHalfClosed                  // the client to close its side; ours is closed
+	stateCount      = iota           // number of states
 )
 
-// Core is what the front needs of the broker.
+// Core is the part of the broker that the front uses.
 type Core interface {
 	Submit(*broker.Query, broker.Replier) (broker.QueryID, bool)
 	Leave(broker.QueryID)
 }
 
-// Options make a Front.
+// Options configure a Front.
 type Options struct {
 	Core     Core
 	Loop     *netio.Loop
-	Classes  map[string]query.Class // at the start
-	Shards   int                    // 0: unknown
-	MaxConns int
-	Listener *net.TCPListener // another process's; nil: the front opens its own
-	Trace    bool             // read the clients' trace contexts
+	Classes  map[string]query.Class // initial classes, by name; see SetClasses
+	Shards   int                    // number of shards; 0: unknown
+	MaxConns int                    // limit of open connections; see SetMaxConns
+	Listener *net.TCPListener       // socket taken over from another process; nil: the front opens its own
+	Trace    bool                   // read trace contexts from request headers
 	Log      zerolog.Logger
 }
 
 // Front accepts connections and serves them.
 type Front struct {
-	opts     Options
-	listener listener
-	places   *places // one for each connection that may be open
-	classes  atomic.Pointer[classTable]
-	ready    atomic.Bool
-	away     atomic.Bool   // an operator sends the clients away
-	draining atomic.Bool   // the front ends
-	closing  atomic.Bool   // the last connections are taken
-	handed   atomic.Bool   // another process has the socket too
-	until    time.Time     // with handed, once it is set: how long connections that rest are kept
-	taken    chan struct{} // closed once no more are
-	sweeping sync.WaitGroup
-	stop     chan struct{}
-
-	mu     sync.Mutex
-	conns  map[*conn]struct{}
-	queues [states]list.List // connections by state, the longest in it first
-	turned map[int]int       // requests turned away since the last log line, by status
-	ousted [states]int       // connections closed to make room since then, by state
+	opts          Options
+	listener      listener
+	connSlots     *connLimiter
+	classes       atomic.Pointer[classVersion]
+	ready         atomic.Bool
+	operatorDrain atomic.Bool   // an operator has requested a drain
+	draining      atomic.Bool   // Drain was called
+	acceptingLast atomic.Bool   // only connections already in the accept queue are accepted
+	handedOver    atomic.Bool   // another process accepts from the same socket
+	keepIdleUntil time.Time     // if handedOver: when a drain begins to close idle connections; set before it
+	acceptDone    chan struct{} // closed when acceptLoop has returned
+	sweeperDone   sync.WaitGroup
+	stop          chan struct{}
+
+	mu               sync.Mutex
+	conns            map[*conn]struct{}
+	queues           [stateCount]list.List // connections by state, in the order in which they entered it
+	rejectedByStatus map[int]int           // requests rejected since the last summary, by HTTP status
+	evictedByState   [stateCount]int       // connections evicted since the last summary, by state
 }
 
-// Listen opens the front's socket and begins to serve.
+// Listen opens a socket at addr, unless the options have one, and starts to serve.
 func Listen(addr string, o Options) (*Front, error) {
 	if o.Listener == nil {
 		l, err := netio.ListenShared(addr)
@@ -118,77 +120,80 @@
 	return serve(o.Listener, o), nil
 }
 
-// listener is a socket whose accepts may be given a deadline.
+// listener is a listening socket whose Accept can be given a deadline.
 type listener interface {
 	net.Listener
 	syscall.Conn
 	SetDeadline(time.Time) error
 }
 
+// serve starts a front on a listening socket.
 func serve(l listener, o Options) *Front {
 	f := &Front{
-		opts: o, listener: l, places: newPlaces(o.MaxConns),
-		conns: map[*conn]struct{}{}, turned: map[int]int{}, stop: make(chan struct{}), taken: make(chan struct{}),
+		opts: o, listener: l, connSlots: newConnLimiter(o.MaxConns),
+		conns: map[*conn]struct{}{}, rejectedByStatus: map[int]int{}, stop: make(chan struct{}), acceptDone: make(chan struct{}),
 	}
-	f.classes.Store(&classTable{byName: o.Classes})
-	f.sweeping.Add(1)
-	go f.accept()
-	go f.sweep()
+	f.classes.Store(&classVersion{byName: o.Classes})
+	f.sweeperDone.Add(1)
+	go f.acceptLoop()
+	go f.sweepLoop()
 	return f
 }
 
-// Listener is the front's socket, for a process that takes this one's place; nil where it
-// is none of TCP.
+// Listener returns the front's socket, to be handed over to a successor process; nil if it
+// is not a TCP socket.
 func (f *Front) Listener() *net.TCPListener {
 	l, _ := f.listener.(*net.TCPListener)
 	return l
 }
 
-// Addr is where the front listens.
+// Addr returns the address on which the front listens.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// SetReady makes GET /ready answer 200, until the front drains.
+// SetReady sets whether GET /ready answers 200 while the front is not draining.
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
-// Ready says whether GET /ready answers 200. Once another process has the socket, the
-// broker takes clients there though this front ends.
+// Ready reports whether GET /ready answers 200. After a handover of the socket it does so
+// even while this front drains, as the successor accepts new connections.
 func (f *Front) Ready() bool {
-	return f.ready.Load() && !f.away.Load() && (f.handed.Load() || !f.draining.Load())
+	return f.ready.Load() && !f.operatorDrain.Load() && (f.handedOver.Load() || !f.draining.Load())
 }
 
-// SendAway begins an operator's drain, or ends it: meanwhile /ready says no, answers ask
-// for the connection's end, and connections that rest are ended. New ones are taken.
-func (f *Front) SendAway(away bool) { f.away.Store(away) }
+// SetOperatorDrain starts or ends a drain requested by an operator. During it /ready answers
+// 503, responses close their connections and idle connections are closed. New connections
+// are still accepted.
+func (f *Front) SetOperatorDrain(draining bool) { f.operatorDrain.Store(draining) }
 
-// sheds says whether clients are to go elsewhere.
-func (f *Front) sheds() bool { return f.away.Load() || f.draining.Load() }
+// drainRequested reports whether clients should move to another broker.
+func (f *Front) drainRequested() bool { return f.operatorDrain.Load() || f.draining.Load() }
 
-func (f *Front) accept() {
-	defer close(f.taken)
+// acceptLoop accepts connections until the front has drained or its socket is closed.
+func (f *Front) acceptLoop() {
+	defer close(f.acceptDone)
 	for {
-		if !f.room() {
+		if !f.acquireSlot() {
 			return
 		}
-		// Those that the system has taken for us would be reset with the socket.
-		if f.closing.Load() && (f.handed.Load() || !netio.Waiting(f.listener)) {
+		// Connections in the accept queue would be reset when the socket is closed.
+		if f.acceptingLast.Load() && (f.handedOver.Load() || !netio.Waiting(f.listener)) {
 			return
 		}
 		nc, err := f.listener.Accept()
 		if err != nil {
-			f.places.release()
+			f.connSlots.release()
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if errors.Is(err, os.ErrDeadlineExceeded) { // woken: the front is closing
-				_ = f.listener.SetDeadline(time.Time{}) // fails where it is closed: so will the accept
+			if errors.Is(err, os.ErrDeadlineExceeded) { // woken up by Drain
+				_ = f.listener.SetDeadline(time.Time{}) // fails if the socket is closed; then Accept fails as well
 				continue
 			}
-			f.opts.Log.Warn().Str("event", "accept").Err(err).Msg("a connection could not be accepted")
-			time.Sleep(10 * time.Millisecond) // out of descriptors: let some close
+			f.opts.Log.Warn().Str("event", "accept").Err(err).Msg("could not accept a connection")
+			time.Sleep(10 * time.Millisecond) // out of file descriptors: wait for some to be closed
 			continue
 		}
-		c := &conn{f: f, parser: http1.Parser{MaxBody: MaxBody}, born: time.Now()}
-		c.since = c.born
+		c := &conn{front: f, parser: http1.Parser{MaxBody: MaxBodyBytes}, acceptedAt: time.Now()}
+		c.requestStart = c.acceptedAt
 		_, err = f.opts.Loop.Attach(nc, c, func(s *netio.Conn) {
 			c.mu.Lock()
 			defer c.mu.Unlock()
@@ -196,53 +201,54 @@
 			f.mu.Lock()
 			f.conns[c] = struct{}{}
 			f.mu.Unlock()
-			c.place()
+			c.updateQueue()
 		})
 		if err != nil {
-			if c.sock == nil { // else Closed gives the place back
-				f.places.release()
+			if c.sock == nil { // otherwise Closed releases the slot
+				f.connSlots.release()
 			}
-			f.opts.Log.Warn().Str("event", "accept").Err(err).Msg("a connection could not be accepted")
+			f.opts.Log.Warn().Str("event", "accept").Err(err).Msg("could not accept a connection")
 		}
 	}
 }
 
-// room takes a place for one more connection; false says that the front ends. Where all are taken, one that is
-// of least use is closed: clients that ask once and keep their connection, or
-// say nothing, would otherwise shut out all others. Where none may be closed,
-// what is not accepted yet is not ours and waits.
-func (f *Front) room() bool {
+// acquireSlot waits for a slot for one more connection; it returns false once the front has
+// stopped. If all slots are in use it evicts the least useful connection: clients that send one request and
+// keep the connection open, or never send anything, would otherwise lock out all others.
+// While no connection can be evicted, new ones wait in the accept queue.
+func (f *Front) acquireSlot() bool {
 	for {
-		if f.places.take() {
+		if f.connSlots.tryAcquire() {
 			return true
 		}
-		f.evict()
+		f.evictOne()
 		select {
 		case <-f.stop:
 			return false
-		case <-f.places.back:
-		case <-time.After(roomEvery):
+		case <-f.connSlots.freed:
+		case <-time.After(evictionRetryInterval):
 		}
 	}
 }
 
-// evict ends one connection that carries no request, if there is one. Its place is
-// free when the client has closed it too, or has had time to. It says whether there was one.
-func (f *Front) evict() bool {
-	for _, v := range []struct {
-		state state
-		age   time.Duration
-	}{{leaving, youngest}, {silent, youngest}, {idle, idleLeast}, {reading, halfForRoom}, {idle, youngest}} {
-		if v.state != leaving && f.leave() >= maxLeaving {
+// evictOne closes one connection that has no complete request, if there is one, and reports
+// whether it did. The connection's slot becomes free when the client has closed its side as
+// well, or on a timeout.
+func (f *Front) evictOne() bool {
+	for _, candidate := range []struct {
+		state  connState
+		minAge time.Duration
+	}{{stateHalfClosed, minEvictionAge}, {stateNew, minEvictionAge}, {stateIdle, crowdedIdleTimeout}, {stateReading, minReadingEvictionAge}, {stateIdle, minEvictionAge}} {
+		if candidate.state != stateHalfClosed && f.halfClosedCount() >= maxHalfClosed {
 			return false
 		}
-		for _, c := range f.longest(v.state, v.age) {
-			if c.over(v.state) {
-				if v.state == silent {
-					c.discard()
+		for _, c := range f.connsInState(candidate.state, candidate.minAge) {
+			if c.endIfInState(candidate.state) {
+				if candidate.state == stateNew {
+					c.closeIfUnused()
 				}
 				f.mu.Lock()
-				f.ousted[v.state]++
+				f.evictedByState[candidate.state]++
 				f.mu.Unlock()
 				return true
 			}
@@ -251,22 +257,23 @@
 	return false
 }
 
-// leave counts the connections that have been ended and are not closed yet.
-func (f *Front) leave() int {
+// halfClosedCount returns the number of connections whose sending side is closed but which the
+// client has not closed yet.
+func (f *Front) halfClosedCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.queues[leaving].Len()
+	return f.queues[stateHalfClosed].Len()
 }
 
-// longest returns the connections that have been in a state for some time, the
+// connsInState returns the connections that have been in a state for at least minAge, the
 // longest first.
-func (f *Front) longest(s state, atLeast time.Duration) (all []*conn) {
+func (f *Front) connsInState(s connState, minAge time.Duration) (all []*conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	for e := f.queues[s].Front(); e != nil; e = e.Next() {
 		c := e.Value.(*conn)
-		if now.Sub(c.entered) < atLeast {
+		if now.Sub(c.queuedAt) < minAge {
 			break
 		}
 		all = append(all, c)
@@ -274,108 +281,112 @@
 	return all
 }
 
-// sweep closes connections that have been waited for too long.
-func (f *Front) sweep() {
-	defer f.sweeping.Done()
-	tick := time.NewTicker(sweepEvery)
+// sweepLoop periodically closes connections whose timeout has passed, and logs summaries.
+func (f *Front) sweepLoop() {
+	defer f.sweeperDone.Done()
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
-	told := time.Now()
+	lastSummary := time.Now()
 	for {
 		select {
 		case <-f.stop:
 			return
 		case now := <-tick.C:
-			if now.Sub(told) >= tellEvery {
-				told = now
-				f.tell()
+			if now.Sub(lastSummary) >= summaryInterval {
+				lastSummary = now
+				f.logSummary()
 			}
 		}
 		f.sweepOnce()
 	}
 }
 
-// crowded says that connections are scarce: answers then ask for their end at
-// once. Clients that ask once and keep the connection would otherwise hold all
-// that they may have, and the next would find none.
-func (f *Front) crowded() bool { return f.places.scarcer(5) }
+// nearConnLimit reports whether connections are scarce; responses then close their
+// connections. Otherwise clients that send one request and keep the connection open would
+// use up the limit, and the next client would find no free slot.
+func (f *Front) nearConnLimit() bool { return f.connSlots.usageAbove(5) }
 
-// turnAway counts a request that cannot be taken.
-func (f *Front) turnAway(status int) {
+// countRejection counts a rejected request for the next summary.
+func (f *Front) countRejection(status int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.turned[status]++
+	f.rejectedByStatus[status]++
 }
 
-// tell logs what was turned away: one line for all, as a noisy client must not
-// flood the log.
-func (f *Front) tell() {
+// logSummary logs how many requests were rejected and connections evicted since the last
+// summary. Single events are not logged, as one faulty client could flood the log.
+func (f *Front) logSummary() {
 	f.mu.Lock()
-	turned := f.turned
-	ousted := f.ousted
-	f.turned, f.ousted = map[int]int{}, [states]int{}
-	open := len(f.conns)
+	rejected := f.rejectedByStatus
+	evicted := f.evictedByState
+	f.rejectedByStatus, f.evictedByState = map[int]int{}, [stateCount]int{}
+	openCount := len(f.conns)
 	f.mu.Unlock()
-	if ousted != [states]int{} {
-		f.opts.Log.Warn().Str("event", "crowded").Int("conns", open).Int("silent", ousted[silent]).Int("idle", ousted[idle]).
-			Int("reading", ousted[reading]).Int("leaving", ousted[leaving]).Msg("connections were closed to make room")
+	if evicted != [stateCount]int{} {
+		f.opts.Log.Warn().Str("event", "crowded").Int("conns", openCount).Int("silent", evicted[stateNew]).Int("idle", evicted[stateIdle]).
+			Int("reading", evicted[stateReading]).Int("leaving", evicted[stateHalfClosed]).Msg("evicted connections to free slots for new ones")
 	}
-	if len(turned) == 0 {
+	if len(rejected) == 0 {
 		return
 	}
-	by := zerolog.Dict()
-	for status, n := range turned {
-		by.Int(strconv.Itoa(status), n)
+	byStatus := zerolog.Dict()
+	for status, n := range rejected {
+		byStatus.Int(strconv.Itoa(status), n)
 	}
-	f.opts.Log.Info().Str("event", "turned-away").Dict("by_status", by).Int("conns", open).
-		Msg("requests could not be taken")
+	f.opts.Log.Info().Str("event", "turned-away").Dict("by_status", byStatus).Int("conns", openCount).
+		Msg("rejected requests")
 }
 
+// sweepOnce closes connections whose timeout has passed, and evicts connections while the
+// limit is exceeded.
 func (f *Front) sweepOnce() {
-	spare := idleMost
-	if f.places.scarcer(4) {
-		spare = idleLeast
+	idleLimit := idleTimeout
+	if f.connSlots.usageAbove(4) {
+		idleLimit = crowdedIdleTimeout
 	}
-	for s, most := range map[state]time.Duration{silent: silentFor, idle: spare, leaving: lingerFor} {
-		for _, c := range f.longest(s, most) {
-			c.over(s)
+	for s, limit := range map[connState]time.Duration{stateNew: firstByteTimeout, stateIdle: idleLimit, stateHalfClosed: lingerTimeout} {
+		for _, c := range f.connsInState(s, limit) {
+			c.endIfInState(s)
 		}
 	}
-	for _, c := range f.overdue() {
-		c.over(reading)
+	for _, c := range f.overdueRequests() {
+		c.endIfInState(stateReading)
 	}
-	for range f.places.excess() {
-		if !f.evict() {
+	for range f.connSlots.excess() {
+		if !f.evictOne() {
 			break
 		}
 	}
-	if f.away.Load() {
-		for _, s := range []state{silent, idle} {
-			for _, c := range f.longest(s, awayRest) {
-				c.over(s)
+	if f.operatorDrain.Load() {
+		for _, s := range []connState{stateNew, stateIdle} {
+			for _, c := range f.connsInState(s, operatorDrainIdleTimeout) {
+				c.endIfInState(s)
 			}
 		}
 	}
 }
 
-// overdue returns the connections whose request should have become whole by now.
-func (f *Front) overdue() (all []*conn) {
+// overdueRequests returns the connections whose current request has not been received within
+// its timeout.
+func (f *Front) overdueRequests() (all []*conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	for e := f.queues[reading].Front(); e != nil; e = e.Next() {
+	for e := f.queues[stateReading].Front(); e != nil; e = e.Next() {
 		c := e.Value.(*conn)
-		by := c.entered.Add(wholeWithin)
-		if first := c.born.Add(firstWithin); !c.asked && first.Before(by) {
-			by = first
+		readDeadline := c.queuedAt.Add(requestReadTimeout)
+		if firstDeadline := c.acceptedAt.Add(firstRequestTimeout); !c.hadRequest && firstDeadline.Before(readDeadline) {
+			readDeadline = firstDeadline
 		}
-		if !now.Before(by) {
+		if !now.Before(readDeadline) {
 			all = append(all, c)
 		}
 	}
 	return all
 }
 
-func (f *Front) list() []*conn {
+// openConns returns the open connections.
+func (f *Front) openConns() []*conn {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := make([]*conn, 0, len(f.conns))
@@ -385,67 +396,70 @@
 	return all
 }
 
-// SetMaxConns changes how many connections may be open. Where more are, those that carry no
-// request make room first.
-func (f *Front) SetMaxConns(limit int) { f.places.setLimit(limit) }
-
-// HandedOver says, before a drain, that another process accepts from the same socket. The
-// drain then takes no new connections, and its end resets none. It ends connections behind
-// an answer alone, which no request can cross, and those that rest only at the given time.
-func (f *Front) HandedOver(until time.Time) {
-	f.until = until
-	f.handed.Store(true)
+// SetMaxConns changes the limit of open connections. While it is exceeded, connections
+// without a complete request are evicted.
+func (f *Front) SetMaxConns(limit int) { f.connSlots.setLimit(limit) }
+
+// SetHandedOver tells the front, before a drain, that another process accepts from the same
+// socket. The drain then accepts no new connections, and closing the socket resets none.
+// Until keepIdleUntil, connections are closed only with a response, which no new request can
+// cross; after that, idle connections are closed as well.
+func (f *Front) SetHandedOver(keepIdleUntil time.Time) {
+	f.keepIdleUntil = keepIdleUntil
+	f.handedOver.Store(true)
 }
 
-// Drain ends the front without cutting off a request: /ready says no, answers
-// ask for the connection's end, and new connections are taken for window. Then
-// those that the system has taken for the front come in, the socket closes, and Drain
-// returns when no request is left and the connections are closed, or when ctx ends.
-func (f *Front) Drain(ctx context.Context, window time.Duration) {
+// Drain stops the front without interrupting a request. /ready answers 503, responses close
+// their connections, and new connections are accepted for acceptWindow. Then the connections
+// in the accept queue are accepted and the socket is closed. Drain returns when no request is
+// open and all connections are closed, or when ctx ends.
+func (f *Front) Drain(ctx context.Context, acceptWindow time.Duration) {
 	f.draining.Store(true)
-	if !f.handed.Load() {
-		sleep(ctx, window)
+	if !f.handedOver.Load() {
+		sleepContext(ctx, acceptWindow)
 	}
-	f.closing.Store(true)
-	_ = f.listener.SetDeadline(time.Now()) // wakes the accept; fails where it is closed
-	taken := f.taken
+	f.acceptingLast.Store(true)
+	_ = f.listener.SetDeadline(time.Now()) // wakes up Accept; fails if the socket is closed
+	acceptDone := f.acceptDone
 	for ctx.Err() == nil {
 		select {
-		case <-taken:
-			taken = nil
-			f.close()
+		case <-acceptDone:
+			acceptDone = nil
+			f.closeListener()
 		default:
 		}
-		open := f.list()
-		if taken == nil && len(open) == 0 {
+		open := f.openConns()
+		if acceptDone == nil && len(open) == 0 {
 			break
 		}
-		if !f.handed.Load() || !time.Now().Before(f.until) {
+		if !f.handedOver.Load() || !time.Now().Before(f.keepIdleUntil) {
 			for _, c := range open {
-				c.endIfIdle()
+				c.endForDrain()
 			}
 		}
 		f.sweepOnce()
-		sleep(ctx, 10*time.Millisecond)
+		sleepContext(ctx, 10*time.Millisecond)
 	}
 	close(f.stop)
-	if taken != nil {
-		f.close()
-		<-f.taken
+	if acceptDone != nil {
+		f.closeListener()
+		<-f.acceptDone
 	}
-	for _, c := range f.list() {
+	for _, c := range f.openConns() {
 		c.sock.Close()
 	}
-	f.sweeping.Wait()
+	f.sweeperDone.Wait()
 }
 
-func (f *Front) close() {
+// closeListener closes the listening socket.
+func (f *Front) closeListener() {
 	if err := f.listener.Close(); err != nil {
-		f.opts.Log.Warn().Str("event", "drain").Err(err).Msg("closing the listener")
+		f.opts.Log.Warn().Str("event", "drain").Err(err).Msg("could not close the listening socket")
 	}
 }
 
-func sleep(ctx context.Context, d time.Duration) {
+// sleepContext waits for d or until ctx ends.
+func sleepContext(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/httpfront/front_test.go
+++ b/httpfront/front_test.go
@@ -19,54 +19,54 @@
 	"onyxsail/internal/testkit"
 )
 
-// fakeCore takes queries and answers when it is told to.
+// fakeCore records submitted queries and replies to them when the test calls reply.
 type fakeCore struct {
-	mu      sync.Mutex
-	next    broker.QueryID
-	queries map[broker.QueryID]*broker.Query
-	who     map[broker.QueryID]broker.Replier
-	left    []broker.QueryID
-	full    bool
+	mu        sync.Mutex
+	lastID    broker.QueryID
+	queries   map[broker.QueryID]*broker.Query
+	repliers  map[broker.QueryID]broker.Replier
+	abandoned []broker.QueryID
+	queueFull bool
 }
 
 func (c *fakeCore) Submit(q *broker.Query, r broker.Replier) (broker.QueryID, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.full {
+	if c.queueFull {
 		return 0, false
 	}
-	c.next++
-	c.queries[c.next], c.who[c.next] = q, r
-	return c.next, true
+	c.lastID++
+	c.queries[c.lastID], c.repliers[c.lastID] = q, r
+	return c.lastID, true
 }
 
 func (c *fakeCore) Leave(id broker.QueryID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left = append(c.left, id)
+	c.abandoned = append(c.abandoned, id)
 }
 
-func (c *fakeCore) taken() int {
+func (c *fakeCore) submitted() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queries)
 }
 
-func (c *fakeCore) answer(id broker.QueryID, r broker.Reply) {
+func (c *fakeCore) reply(id broker.QueryID, r broker.Reply) {
 	c.mu.Lock()
-	who := c.who[id]
+	replier := c.repliers[id]
 	c.mu.Unlock()
-	who.Reply(id, r)
+	replier.Reply(id, r)
 }
 
 func start(t *testing.T) (*Front, *fakeCore) {
 	t.Helper()
-	f, core, _ := startAt(t, func(l listener) listener { return l })
+	f, core, _ := startWithListener(t, func(l listener) listener { return l })
 	return f, core
 }
 
-// startAt starts a front at a listener that the test has its hands on.
-func startAt(t *testing.T, wrap func(listener) listener) (*Front, *fakeCore, *netio.Loop) {
+// startWithListener starts a front on a listener that the test may wrap.
+func startWithListener(t *testing.T, wrap func(listener) listener) (*Front, *fakeCore, *netio.Loop) {
 	t.Helper()
 	loop, err := netio.New(64 << 20)
 	if err != nil {
@@ -76,17 +76,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	core := &fakeCore{queries: map[broker.QueryID]*broker.Query{}, who: map[broker.QueryID]broker.Replier{}}
+	core := &fakeCore{queries: map[broker.QueryID]*broker.Query{}, repliers: map[broker.QueryID]broker.Replier{}}
 	f := serve(wrap(l.(*net.TCPListener)), Options{
 		Core: core, Loop: loop, MaxConns: 8, Shards: 18, Log: zerolog.New(io.Discard),
 		Classes: map[string]query.Class{"screen": {Name: "screen"}, "edit": {Name: "edit", Index: 1, Keyed: true}},
 	})
 	f.SetReady(true)
 	t.Cleanup(func() {
-		over, cancel := context.WithCancel(context.Background())
+		cancelled, cancel := context.WithCancel(context.Background())
 		cancel()
 		if !f.draining.Load() {
-			f.Drain(over, 0)
+			f.Drain(cancelled, 0)
 		}
 		loop.Stop()
 	})
@@ -106,7 +106,8 @@
 	return c, bufio.NewReader(c)
 }
 
-func read(t *testing.T, in *bufio.Reader) (*http.Response, string) {
+// readResponse reads one response and its body.
+func readResponse(t *testing.T, in *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 	res, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -120,15 +121,17 @@
 }
 
 const (
-	good  = `{"targets":[{"partition":3,"share":0.5,"est_us":9000,"route":"00ff00ff00ff00ff"},{"partition":9,"share":0.5}],"query":"c41e77d0"}`
-	heads = "X-Request-Id: q1\r\nX-Deadline-Ms: 480\r\nIdempotency-Key: k1\r\n"
+	validBody    = `{"targets":[{"partition":3,"share":0.5,"est_us":9000,"route":"00ff00ff00ff00ff"},{"partition":9,"share":0.5}],"query":"c41e77d0"}`
+	queryHeaders = "X-Request-Id: q1\r\nX-Deadline-Ms: 480\r\nIdempotency-Key: k1\r\n"
 )
 
-func post(path, headers, body string) string {
-	return "POST " + path + " HTTP/1.1\r\nHost: a\r\nX-Class: " + path[1:] + "\r\n" + headers + "Transfer-Encoding: chunked\r\n\r\n" + chunks(body)
+// postRequest returns a chunked POST request for a class, whose name is the path without its slash.
+func postRequest(path, headers, body string) string {
+	return "POST " + path + " HTTP/1.1\r\nHost: a\r\nX-Class: " + path[1:] + "\r\n" + headers + "Transfer-Encoding: chunked\r\n\r\n" + chunkedBody(body)
 }
 
-func chunks(body string) string {
+// chunkedBody returns body in chunked transfer encoding, 15 bytes per chunk.
+func chunkedBody(body string) string {
 	var b strings.Builder
 	for ; len(body) > 0; body = body[min(15, len(body)):] {
 		n := min(15, len(body))
@@ -137,7 +140,7 @@
 	return b.String() + "0\r\n\r\n"
 }
 
-func TestRequestsThatCannotBeTaken(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	f, core := start(t)
 	for _, c := range []struct {
 		name, in string
@@ -145,41 +148,41 @@
 		close    bool
 	}{
 		{"ready", "GET /ready HTTP/1.1\r\n\r\n", 200, false},
-		{"ready posted", "POST /ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405, false},
-		{"no class", post("/nothing", heads, good), 404, false},
-		{"not posted", "GET /screen HTTP/1.1\r\n\r\n", 405, false},
-		{"two classes", post("/screen", heads+"X-Class: screen\r\n", good), 400, false},
-		{"a class and a path that differ", strings.Replace(post("/screen", heads, good), "X-Class: screen", "X-Class: edit", 1), 400, false},
-		{"no class beside the path", strings.Replace(post("/screen", heads, good), "X-Class: screen\r\n", "", 1), 400, false},
-		{"two ids", post("/screen", heads+"X-Request-Id: q2\r\n", good), 400, false},
-		{"no deadline in words", post("/screen", "X-Request-Id: a\r\nX-Deadline-Ms: soon\r\n", good), 400, false},
-		{"a deadline before now", post("/screen", "X-Request-Id: a\r\nX-Deadline-Ms: -5\r\n", good), 400, false},
-		{"shares over one in all", post("/screen", heads, `{"targets":[{"partition":1,"share":0.9},{"partition":2,"share":0.9}],"query":"x"}`), 400, false},
-		{"shares under one in all", post("/screen", heads, `{"targets":[{"partition":1,"share":0.2},{"partition":2,"share":0.2}],"query":"x"}`), 400, false},
-		{"a share below zero", post("/screen", heads, `{"targets":[{"partition":1,"share":-0.5},{"partition":2,"share":1}],"query":"x"}`), 400, false},
-		{"a text that is no UTF-8", post("/screen", heads, "{\"targets\":[{\"partition\":1,\"share\":1}],\"query\":\"\xff\"}"), 400, false},
-		{"a length and chunks", "POST /screen HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + post("/screen", heads, good), 400, true},
-		{"no id", post("/screen", "X-Deadline-Ms: 480\r\n", good), 400, false},
-		{"no deadline", post("/screen", "X-Request-Id: a\r\n", good), 400, false},
-		{"deadline no number", post("/screen", "X-Request-Id: a\r\nX-Deadline-Ms: 1e3\r\n", good), 400, false},
-		{"no key", post("/edit", "X-Request-Id: a\r\nX-Deadline-Ms: 480\r\n", good), 400, false},
-		{"key with a comma", post("/edit", "X-Request-Id: a\r\nX-Deadline-Ms: 480\r\nIdempotency-Key: a,d=1\r\n", good), 400, false},
-		{"no JSON", post("/screen", heads, "{"), 400, false},
-		{"no targets", post("/screen", heads, `{"targets":[],"query":"x"}`), 400, false},
-		{"no query", post("/screen", heads, `{"targets":[{"partition":3,"share":1}]}`), 400, false},
-		{"shard out of range", post("/screen", heads, `{"targets":[{"partition":18,"share":1}],"query":"x"}`), 400, false},
-		{"shard twice", post("/screen", heads, `{"targets":[{"partition":1,"share":1},{"partition":1,"share":1}],"query":"x"}`), 400, false},
-		{"share over one", post("/screen", heads, `{"targets":[{"partition":1,"share":1.5}],"query":"x"}`), 400, false},
-		{"route too short", post("/screen", heads, `{"targets":[{"partition":1,"share":1,"route":"ff"}],"query":"x"}`), 400, false},
+		{"POST to ready", "POST /ready HTTP/1.1\r\nContent-Length: 0\r\n\r\n", 405, false},
+		{"unknown class", postRequest("/nothing", queryHeaders, validBody), 404, false},
+		{"GET of a query", "GET /screen HTTP/1.1\r\n\r\n", 405, false},
+		{"repeated X-Class", postRequest("/screen", queryHeaders+"X-Class: screen\r\n", validBody), 400, false},
+		{"X-Class differs from the path", strings.Replace(postRequest("/screen", queryHeaders, validBody), "X-Class: screen", "X-Class: edit", 1), 400, false},
+		{"missing X-Class", strings.Replace(postRequest("/screen", queryHeaders, validBody), "X-Class: screen\r\n", "", 1), 400, false},
+		{"repeated id", postRequest("/screen", queryHeaders+"X-Request-Id: q2\r\n", validBody), 400, false},
+		{"deadline is a word", postRequest("/screen", "X-Request-Id: a\r\nX-Deadline-Ms: soon\r\n", validBody), 400, false},
+		{"negative deadline", postRequest("/screen", "X-Request-Id: a\r\nX-Deadline-Ms: -5\r\n", validBody), 400, false},
+		{"sum of shares above 1", postRequest("/screen", queryHeaders, `{"targets":[{"partition":1,"share":0.9},{"partition":2,"share":0.9}],"query":"x"}`), 400, false},
+		{"sum of shares below 1", postRequest("/screen", queryHeaders, `{"targets":[{"partition":1,"share":0.2},{"partition":2,"share":0.2}],"query":"x"}`), 400, false},
+		{"negative share", postRequest("/screen", queryHeaders, `{"targets":[{"partition":1,"share":-0.5},{"partition":2,"share":1}],"query":"x"}`), 400, false},
+		{"body is not valid UTF-8", postRequest("/screen", queryHeaders, "{\"targets\":[{\"partition\":1,\"share\":1}],\"query\":\"\xff\"}"), 400, false},
+		{"Content-Length with chunked encoding", "POST /screen HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + postRequest("/screen", queryHeaders, validBody), 400, true},
+		{"missing id", postRequest("/screen", "X-Deadline-Ms: 480\r\n", validBody), 400, false},
+		{"missing deadline", postRequest("/screen", "X-Request-Id: a\r\n", validBody), 400, false},
+		{"deadline in exponent notation", postRequest("/screen", "X-Request-Id: a\r\nX-Deadline-Ms: 1e3\r\n", validBody), 400, false},
+		{"missing key", postRequest("/edit", "X-Request-Id: a\r\nX-Deadline-Ms: 480\r\n", validBody), 400, false},
+		{"key with a comma", postRequest("/edit", "X-Request-Id: a\r\nX-Deadline-Ms: 480\r\nIdempotency-Key: a,d=1\r\n", validBody), 400, false},
+		{"malformed JSON", postRequest("/screen", queryHeaders, "{"), 400, false},
+		{"no targets", postRequest("/screen", queryHeaders, `{"targets":[],"query":"x"}`), 400, false},
+		{"missing query", postRequest("/screen", queryHeaders, `{"targets":[{"partition":3,"share":1}]}`), 400, false},
+		{"shard out of range", postRequest("/screen", queryHeaders, `{"targets":[{"partition":18,"share":1}],"query":"x"}`), 400, false},
+		{"repeated shard", postRequest("/screen", queryHeaders, `{"targets":[{"partition":1,"share":1},{"partition":1,"share":1}],"query":"x"}`), 400, false},
+		{"share above 1", postRequest("/screen", queryHeaders, `{"targets":[{"partition":1,"share":1.5}],"query":"x"}`), 400, false},
+		{"route too short", postRequest("/screen", queryHeaders, `{"targets":[{"partition":1,"share":1,"route":"ff"}],"query":"x"}`), 400, false},
 		{"body too large", "POST /screen HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", 413, true},
 		{"head too large", "GET /" + strings.Repeat("x", 17<<10) + " HTTP/1.1\r\n\r\n", 431, true},
-		{"framing lost", "POST /screen HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400, true},
+		{"malformed Content-Length", "POST /screen HTTP/1.1\r\nContent-Length: x\r\n\r\n", 400, true},
 	} {
 		conn, in := dial(t, f)
 		if _, err := io.WriteString(conn, c.in); err != nil {
 			t.Fatal(err)
 		}
-		res, _ := read(t, in)
+		res, _ := readResponse(t, in)
 		if res.StatusCode != c.status || res.Close != c.close {
 			t.Errorf("%s: status %d close %v, want %d %v", c.name, res.StatusCode, res.Close, c.status, c.close)
 		}
@@ -189,16 +192,16 @@
 			}
 		}
 		conn.Close()
-		for f.places.held() > 1 { // one is taken for the next: a crowded front ends connections
+		for f.connSlots.inUse() > 1 { // one slot is reserved for the next accept; near the limit responses would close connections
 			time.Sleep(time.Millisecond)
 		}
 	}
-	if core.taken() != 0 {
-		t.Errorf("%d queries reached the core", core.taken())
+	if core.submitted() != 0 {
+		t.Errorf("%d queries were submitted", core.submitted())
 	}
 }
 
-func TestAnswers(t *testing.T) {
+func TestReplyResponsesAndDecodedQuery(t *testing.T) {
 	f, core := start(t)
 	conn, in := dial(t, f)
 	for i, c := range []struct {
@@ -216,114 +219,114 @@
 		{broker.Reply{Verdict: broker.Duplicate}, 409, "a request of this id is open\n", ""},
 		{broker.Reply{Verdict: broker.Served, Values: []broker.Value{{Shard: 3, Data: []byte("\xff")}}}, 502, "a value is no text\n", ""},
 	} {
-		if _, err := io.WriteString(conn, post("/edit", heads, good)); err != nil {
+		if _, err := io.WriteString(conn, postRequest("/edit", queryHeaders, validBody)); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Eventually(t, "the query is taken", func() bool { return core.taken() == i+1 })
-		core.answer(broker.QueryID(i+1), c.reply)
-		res, body := read(t, in)
+		testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == i+1 })
+		core.reply(broker.QueryID(i+1), c.reply)
+		res, body := readResponse(t, in)
 		if res.StatusCode != c.status || body != c.body || res.Header.Get("Retry-After") != c.retry {
-			t.Errorf("%+v: got %d %q %q", c.reply, res.StatusCode, body, res.Header.Get("Retry-After"))
+			t.Errorf("%+v: got status %d, body %q, Retry-After %q", c.reply, res.StatusCode, body, res.Header.Get("Retry-After"))
 		}
 	}
 	q := core.queries[1]
 	if q.Name != "q1" || q.Key != "k1" || q.Class != 1 || q.Budget != 480*time.Millisecond || string(q.Text) != "c41e77d0" ||
 		len(q.Parts) != 2 || q.Parts[0] != (broker.Part{Shard: 3, Share: 0.5, WorkMs: 9, Hinted: true, Route: 0xff00ff00ff00ff}) {
-		t.Errorf("decoded %+v", q)
+		t.Errorf("decoded query: %+v", q)
 	}
 }
 
-// Requests sent ahead are answered in their order, whichever ends first.
-func TestPipelining(t *testing.T) {
+// Pipelined requests must be answered in their order, whichever query completes first.
+func TestPipelinedResponsesKeepRequestOrder(t *testing.T) {
 	f, core := start(t)
 	conn, in := dial(t, f)
-	one := post("/screen", heads, good)
+	one := postRequest("/screen", queryHeaders, validBody)
 	if _, err := io.WriteString(conn, one+one+"GET /ready HTTP/1.1\r\n\r\n"+one[:20]); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "both queries are taken", func() bool { return core.taken() == 2 })
-	core.answer(2, broker.Reply{Verdict: broker.Failed})
-	core.answer(1, broker.Reply{Verdict: broker.Refused})
+	testkit.Eventually(t, "both queries are submitted", func() bool { return core.submitted() == 2 })
+	core.reply(2, broker.Reply{Verdict: broker.Failed})
+	core.reply(1, broker.Reply{Verdict: broker.Refused})
 	for _, want := range []int{503, 500, 200} {
-		if res, _ := read(t, in); res.StatusCode != want {
+		if res, _ := readResponse(t, in); res.StatusCode != want {
 			t.Errorf("status %d, want %d", res.StatusCode, want)
 		}
 	}
 	if _, err := io.WriteString(conn, one[20:]); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "the third query is taken", func() bool { return core.taken() == 3 })
+	testkit.Eventually(t, "the third query is submitted", func() bool { return core.submitted() == 3 })
 	conn.Close()
-	testkit.Eventually(t, "the core hears that the client left", func() bool {
+	testkit.Eventually(t, "the open queries are abandoned", func() bool {
 		core.mu.Lock()
 		defer core.mu.Unlock()
-		return len(core.left) == 1 && core.left[0] == 3
+		return len(core.abandoned) == 1 && core.abandoned[0] == 3
 	})
 }
 
-// An overfull queue refuses; nothing is dropped.
-func TestOverfullQueueRefuses(t *testing.T) {
+// A query that the broker's full queue does not take must be refused, not dropped.
+func TestFullBrokerQueueAnswers503(t *testing.T) {
 	f, core := start(t)
-	core.full = true
+	core.queueFull = true
 	conn, in := dial(t, f)
-	if _, err := io.WriteString(conn, post("/screen", heads, good)); err != nil {
+	if _, err := io.WriteString(conn, postRequest("/screen", queryHeaders, validBody)); err != nil {
 		t.Fatal(err)
 	}
-	if res, _ := read(t, in); res.StatusCode != 503 {
+	if res, _ := readResponse(t, in); res.StatusCode != 503 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
 
-// Draining takes new connections through the window, answers what was taken,
-// and only then ends.
-func TestDrainCutsNothingOff(t *testing.T) {
+// A drain must accept new connections during its window and return only after all open queries
+// are answered.
+func TestDrainServesOpenAndNewConnections(t *testing.T) {
 	f, core := start(t)
 	idle, idleIn := dial(t, f)
 	busy, busyIn := dial(t, f)
-	if _, err := io.WriteString(busy, post("/screen", heads, good)); err != nil {
+	if _, err := io.WriteString(busy, postRequest("/screen", queryHeaders, validBody)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "the query is taken", func() bool { return core.taken() == 1 })
+	testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == 1 })
 	ended := make(chan struct{})
 	go func() {
 		f.Drain(context.Background(), 300*time.Millisecond)
 		close(ended)
 	}()
-	testkit.Eventually(t, "it drains", f.draining.Load)
+	testkit.Eventually(t, "the front drains", f.draining.Load)
 	late, lateIn := dial(t, f)
 	if _, err := io.WriteString(late, "GET /ready HTTP/1.1\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if res, _ := read(t, lateIn); res.StatusCode != 503 || !res.Close {
-		t.Errorf("ready while draining: %d close %v", res.StatusCode, res.Close)
+	if res, _ := readResponse(t, lateIn); res.StatusCode != 503 || !res.Close {
+		t.Errorf("GET /ready while draining: status %d close %v", res.StatusCode, res.Close)
 	}
 	if _, err := idleIn.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v", err)
+		t.Errorf("idle connection: got %v, want EOF", err)
 	}
 	idle.Close()
 	late.Close()
 	select {
 	case <-ended:
-		t.Fatal("ended with a query open")
+		t.Fatal("Drain returned while a query was open")
 	default:
 	}
-	core.answer(1, broker.Reply{Verdict: broker.Served})
-	if res, _ := read(t, busyIn); res.StatusCode != 200 || !res.Close {
+	core.reply(1, broker.Reply{Verdict: broker.Served})
+	if res, _ := readResponse(t, busyIn); res.StatusCode != 200 || !res.Close {
 		t.Errorf("status %d close %v", res.StatusCode, res.Close)
 	}
 	busy.Close()
 	<-ended
 }
 
-// A request that never becomes whole does not keep the program from its end.
-func TestDrainEndsHalfRequests(t *testing.T) {
+// A request that is never received completely must not block a drain.
+func TestDrainTimesOutPartialRequest(t *testing.T) {
 	f, _ := start(t)
 	conn, in := dial(t, f)
 	if _, err := io.WriteString(conn, "POST /screen HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "the half is read", func() bool {
-		for _, c := range f.list() {
+	testkit.Eventually(t, "the partial request is read", func() bool {
+		for _, c := range f.openConns() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.parser.Mid()
@@ -337,113 +340,116 @@
 		f.Drain(ctx, 0)
 		close(ended)
 	}()
-	if res, _ := read(t, in); res.StatusCode != http.StatusRequestTimeout || !res.Close {
+	if res, _ := readResponse(t, in); res.StatusCode != http.StatusRequestTimeout || !res.Close {
 		t.Errorf("status %d close %v", res.StatusCode, res.Close)
 	}
 	conn.Close()
 	<-ended
 }
 
-// What comes to nothing is ended in time, with a word where a request had begun.
-func TestConnectionsThatComeToNothing(t *testing.T) {
+// A connection without a complete request must be closed after its timeout, with a 408
+// response if a request had started.
+func TestConnectionsWithoutCompleteRequestTimeOut(t *testing.T) {
 	f, core := start(t)
 	for _, c := range []struct {
 		name, in string
-		status   int // 0: a close without a word
+		status   int // 0: closed without a response
 	}{
 		{"silent", "", 0},
-		{"half a head", "POST /screen HTTP/1.1\r\nX-Requ", 408},
-		{"half a body", "POST /screen HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf", 408},
-		{"half a request after a whole one", "GET /ready HTTP/1.1\r\nHost: a\r\n\r\nPOST /scr", 408},
+		{"partial head", "POST /screen HTTP/1.1\r\nX-Requ", 408},
+		{"partial body", "POST /screen HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n\r\nhalf", 408},
+		{"partial request after a complete one", "GET /ready HTTP/1.1\r\nHost: a\r\n\r\nPOST /scr", 408},
 	} {
 		conn, in := dial(t, f)
 		if _, err := io.WriteString(conn, c.in); err != nil {
 			t.Fatal(err)
 		}
 		if strings.HasPrefix(c.in, "GET") {
-			read(t, in)
+			readResponse(t, in)
 		}
 		if c.status != 0 {
-			if res, _ := read(t, in); res.StatusCode != c.status || !res.Close {
+			if res, _ := readResponse(t, in); res.StatusCode != c.status || !res.Close {
 				t.Errorf("%s: status %d close %v", c.name, res.StatusCode, res.Close)
 			}
 		}
 		if _, err := in.ReadByte(); err != io.EOF {
-			t.Errorf("%s: %v, want the end", c.name, err)
+			t.Errorf("%s: %v, want EOF", c.name, err)
 		}
 	}
-	if core.taken() != 0 {
-		t.Errorf("%d queries reached the core", core.taken())
+	if core.submitted() != 0 {
+		t.Errorf("%d queries were submitted", core.submitted())
 	}
 }
 
-// Clients that asked once and keep their connections make room for others.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+// Connections that are kept open after a request must not lock out new clients.
+func TestIdleConnectionsAreEvictedForNewOnes(t *testing.T) {
 	f, _ := start(t)
-	for range 3 * f.places.limit {
+	for range 3 * f.connSlots.limit {
 		conn, in := dial(t, f)
 		if _, err := io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		if res, _ := read(t, in); res.StatusCode != 200 {
+		if res, _ := readResponse(t, in); res.StatusCode != 200 {
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
 }
 
-// Of the requests sent ahead a few are in work at once; a flood is cut after
-// the first of them, whose answers still come first.
-func TestFloodOfOneConnection(t *testing.T) {
+// Only some of a connection's pipelined requests may be processed at once. When there are too
+// many, the first ones must still be answered before the connection is ended with a 429.
+func TestPipelinedRequestsAreLimited(t *testing.T) {
 	f, core := start(t)
 	conn, in := dial(t, f)
-	if _, err := io.WriteString(conn, strings.Repeat(post("/screen", heads, good), 3*maxAhead)); err != nil {
+	if _, err := io.WriteString(conn, strings.Repeat(postRequest("/screen", queryHeaders, validBody), 3*maxPipelined)); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "the first are taken", func() bool { return core.taken() == maxPipelined })
-	for i := range maxAhead {
-		testkit.Eventually(t, "it is taken", func() bool { return core.taken() > i })
-		core.answer(broker.QueryID(i+1), broker.Reply{Verdict: broker.Served})
-		if res, _ := read(t, in); res.StatusCode != 200 {
-			t.Errorf("answer %d: status %d", i, res.StatusCode)
+	testkit.Eventually(t, "the first queries are submitted", func() bool { return core.submitted() == maxActivePerConn })
+	for i := range maxPipelined {
+		testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() > i })
+		core.reply(broker.QueryID(i+1), broker.Reply{Verdict: broker.Served})
+		if res, _ := readResponse(t, in); res.StatusCode != 200 {
+			t.Errorf("response %d: status %d", i, res.StatusCode)
 		}
 	}
-	if res, _ := read(t, in); res.StatusCode != 429 || !res.Close {
+	if res, _ := readResponse(t, in); res.StatusCode != 429 || !res.Close {
 		t.Errorf("status %d close %v", res.StatusCode, res.Close)
 	}
-	if core.taken() != maxAhead {
-		t.Errorf("%d queries reached the core", core.taken())
+	if core.submitted() != maxPipelined {
+		t.Errorf("%d queries were submitted", core.submitted())
 	}
 }
 
-// An early error reaches a peer that goes on sending: no reset eats it.
-func TestEarlyErrorReachesSender(t *testing.T) {
+// An error response to an unfinished request must reach a client that is still sending; closing
+// the connection with unread input would send a reset that destroys the response.
+func TestEarlyErrorReachesSendingClient(t *testing.T) {
 	f, _ := start(t)
 	conn, in := dial(t, f)
 	if _, err := io.WriteString(conn, "POST /screen HTTP/1.1\r\nHost: a\r\nContent-Length: 60000000\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	for range 64 { // all of this is written before a byte is read
+	for range 64 { // the client reads only after writing all of this
 		if _, err := conn.Write(make([]byte, 64<<10)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if res, _ := read(t, in); res.StatusCode != 413 || !res.Close {
+	if res, _ := readResponse(t, in); res.StatusCode != 413 || !res.Close {
 		t.Errorf("status %d close %v", res.StatusCode, res.Close)
 	}
 }
 
-// Where connections are scarce, answers ask for their end.
-func TestCrowdedFrontEndsConnections(t *testing.T) {
+// Near the connection limit, responses must close their connections.
+func TestResponsesCloseConnectionsNearLimit(t *testing.T) {
 	f, _ := start(t)
-	few := f.places.limit * 5 / 8
-	for i := range few + 2 {
+	threshold := f.connSlots.limit * 5 / 8
+	for i := range threshold + 2 {
 		conn, in := dial(t, f)
 		if _, err := io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n"); err != nil {
 			t.Fatal(err)
 		}
-		res, _ := read(t, in)
-		// At few itself it depends on whether the next slot is taken yet.
-		if want := i >= few; res.StatusCode != 200 || res.Close != want && i != few-1 {
+		res, _ := readResponse(t, in)
+		// For connection threshold-1 the result depends on whether the slot for the next accept
+		// is in use yet.
+		if want := i >= threshold; res.StatusCode != 200 || res.Close != want && i != threshold-1 {
 			t.Errorf("connection %d: status %d close %v, want %v", i, res.StatusCode, res.Close, want)
 		}
 	}
--- a/httpfront/places.go
+++ b/httpfront/places.go
@@ -2,70 +2,72 @@
 
 import "sync"
 
-// places bounds the connections that may be open. The bound may change: where it falls
-// below those that are taken, none is given until enough are back.
-type places struct {
-	mu    sync.Mutex
-	taken int
-	limit int
-	back  chan struct{} // holds one: a place has come back, or the bound has risen
+// connLimiter bounds the number of open connections. The limit may change at run time: if
+// it falls below the number in use, no slot is granted until enough have been released.
+type connLimiter struct {
+	mu       sync.Mutex
+	acquired int
+	limit    int
+	freed    chan struct{} // capacity 1; signals that a slot was released or the limit changed
 }
 
-func newPlaces(limit int) *places {
-	return &places{limit: max(1, limit), back: make(chan struct{}, 1)}
+// newConnLimiter returns a limiter with all slots free; the minimum limit is 1.
+func newConnLimiter(limit int) *connLimiter {
+	return &connLimiter{limit: max(1, limit), freed: make(chan struct{}, 1)}
 }
 
-// take takes a place if there is one.
-func (p *places) take() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.taken >= p.limit {
+// tryAcquire takes a slot if one is free and reports whether it did.
+func (l *connLimiter) tryAcquire() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.acquired >= l.limit {
 		return false
 	}
-	p.taken++
+	l.acquired++
 	return true
 }
 
-// release gives a place back.
-func (p *places) release() {
-	p.mu.Lock()
-	p.taken--
-	p.mu.Unlock()
-	p.wake()
+// release returns a slot.
+func (l *connLimiter) release() {
+	l.mu.Lock()
+	l.acquired--
+	l.mu.Unlock()
+	l.notify()
 }
 
-// setLimit changes the bound.
-func (p *places) setLimit(limit int) {
-	p.mu.Lock()
-	p.limit = max(1, limit)
-	p.mu.Unlock()
-	p.wake()
+// setLimit changes the limit; the minimum is 1.
+func (l *connLimiter) setLimit(limit int) {
+	l.mu.Lock()
+	l.limit = max(1, limit)
+	l.mu.Unlock()
+	l.notify()
 }
 
-func (p *places) wake() {
+// notify wakes a goroutine that waits for a slot; a pending signal is enough.
+func (l *connLimiter) notify() {
 	select {
-	case p.back <- struct{}{}:
+	case l.freed <- struct{}{}:
 	default:
 	}
 }
 
-// scarcer says whether more than a share of the places is taken, in eighths.
-func (p *places) scarcer(eighths int) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.taken > p.limit*eighths/8
+// usageAbove reports whether more than the given number of eighths of the limit is in use.
+func (l *connLimiter) usageAbove(eighths int) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.acquired > l.limit*eighths/8
 }
 
-// held is how many are taken.
-func (p *places) held() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.taken
+// inUse returns the number of slots in use.
+func (l *connLimiter) inUse() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.acquired
 }
 
-// excess is how many more are taken than there may be.
-func (p *places) excess() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return max(0, p.taken-p.limit)
+// excess returns by how many slots the limit is exceeded.
+func (l *connLimiter) excess() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return max(0, l.acquired-l.limit)
 }
