--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -206,7 +206,7 @@
 
 func (d *Daemon) actions() []flightfront.Action {
 	all := []flightfront.Action{{
-		Name: ActionStatus, About: "counts of this broker and its view of the store's group",
+		Name: ActionStatus, Description: "counts of this broker and its view of the store's group",
 		Run: func(context.Context, []byte) ([]byte, error) { return json.Marshal(d.Status()) },
 	}}
 	if d.tracer != nil {
@@ -217,11 +217,11 @@
 	}
 	return append(all,
 		flightfront.Action{
-			Name: ActionConfigGet, About: "the configuration as this instance has it",
+			Name: ActionConfigGet, Description: "the configuration as this instance has it",
 			Run: func(context.Context, []byte) ([]byte, error) { return json.Marshal(d.store.State().Config) },
 		},
 		flightfront.Action{
-			Name: ActionConfigSet, About: "change fields of the configuration; goes to the leader",
+			Name: ActionConfigSet, Description: "change fields of the configuration; goes to the leader",
 			Run: func(_ context.Context, body []byte) ([]byte, error) { return d.setConfig(body) },
 		})
 }
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -48,7 +48,7 @@
 		return send(data)
 	}
 	return []flightfront.Action{{
-		Name: ActionTraceRead, About: "the traces that are kept, by a filter",
+		Name: ActionTraceRead, Description: "the traces that are kept, by a filter",
 		Stream: func(_ context.Context, body []byte, send func([]byte) error) error {
 			f, err := ParseFilter(body)
 			if err != nil {
@@ -71,7 +71,7 @@
 			return nil
 		},
 	}, {
-		Name: ActionTraceTail, About: "traces as they are kept, by a filter, until the call ends",
+		Name: ActionTraceTail, Description: "traces as they are kept, by a filter, until the call ends",
 		Stream: func(ctx context.Context, body []byte, send func([]byte) error) error {
 			f, err := ParseFilter(body)
 			if err != nil {
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -214,7 +214,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("reaching discovery: %w", err)
 		}
-		c.conn, c.parser = conn, http1.Parser{MaxBody: maxList, Answers: true}
+		c.conn, c.parser = conn, http1.Parser{MaxBodyBytes: maxList, Responses: true}
 	}
 	conn := c.conn
 	if err := conn.SetDeadline(start.Add(within)); err != nil {
@@ -232,7 +232,7 @@
 		c.parser.Feed(buf[:n])
 		m, bad := c.parser.Next()
 		if bad == nil && m == nil && errors.Is(err, io.EOF) { // a reset, or our patience, ends no answer
-			m, bad = c.parser.End()
+			m, bad = c.parser.EndOfStream()
 		}
 		switch {
 		case bad != nil:
@@ -242,7 +242,7 @@
 				c.hangUp()
 			}
 			return m, nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && c.whole && !c.parser.Mid():
+		case errors.Is(err, os.ErrDeadlineExceeded) && c.whole && !c.parser.InMessage():
 			return nil, errSilent
 		case err != nil:
 			return nil, fmt.Errorf("reading discovery's answer: %w", err)
--- a/flightfront/front.go
+++ b/flightfront/front.go
@@ -1,6 +1,6 @@
-// Package flightfront is the Arrow Flight front: DoGet with a query's ticket
-// answers in record batches, DoAction carries the operator's commands. gRPC
-// brings its own transport, so these sockets are not on the nbio engine.
+// Package flightfront serves queries and operator commands over Arrow Flight: DoGet with a
+// query's ticket returns the result as record batches, DoAction runs an operator's command.
+// gRPC has its own transport, so these sockets are not on the nbio event loop.
 package flightfront
 
 import (
@@ -35,51 +35,51 @@
 )
 
 const (
-	maxTicket  = 64 << 10
-	maxStreams = 256 // queries of one connection at once
-	idleAfter  = time.Minute
-	greetIn    = 2 * time.Second // for a new connection's first words
-	maxHeaders = 16 << 10
+	maxTicketBytes    = 64 << 10
+	maxStreamsPerConn = 256 // concurrent calls of one connection
+	idleTimeout       = time.Minute
+	handshakeTimeout  = 2 * time.Second // for the HTTP/2 handshake of a new connection
+	maxHeaderBytes    = 16 << 10
 )
 
-// Core is what the front needs of the broker.
+// Core is the part of the broker that the front uses.
 type Core interface {
 	Submit(*broker.Query, broker.Replier) (broker.QueryID, bool)
 	Leave(broker.QueryID)
 }
 
-// Action is one of the operator's commands.
+// Action is an operator's command.
 type Action struct {
-	Name, About string
-	// Run answers the command, with one result. Errors reach the client with the status that they
-	// carry, else as INTERNAL.
+	Name, Description string
+	// Run executes the command and returns its single result. An error that carries a gRPC status
+	// reaches the client with it, any other as UNKNOWN.
 	Run func(ctx context.Context, body []byte) ([]byte, error)
-	// Stream, in place of Run, answers with any number of results.
+	// Stream is used instead of Run, if set; it sends any number of results.
 	Stream func(ctx context.Context, body []byte, send func([]byte) error) error
 }
 
-// Options make a Front.
+// Options configure a Front.
 type Options struct {
 	Core     Core
-	Classes  map[string]query.Class // at the start
-	Shards   int
-	MaxConns int
+	Classes  map[string]query.Class // initial classes, by name; see SetClasses
+	Shards   int                    // number of shards; 0: unknown
+	MaxConns int                    // limit of open connections
 	Actions  []Action
-	Trace    bool // read the callers' trace contexts
+	Trace    bool // read trace contexts from call metadata
 	Log      zerolog.Logger
 }
 
-// Front serves Arrow Flight.
+// Front is an Arrow Flight server.
 type Front struct {
 	flight.BaseFlightServer
-	opts     Options
-	classes  atomic.Pointer[map[string]query.Class]
-	server   *grpc.Server
-	listener net.Listener
-	done     sync.WaitGroup
+	opts      Options
+	classes   atomic.Pointer[map[string]query.Class]
+	server    *grpc.Server
+	listener  net.Listener
+	serveDone sync.WaitGroup
 }
 
-// Listen opens the front's socket and begins to serve.
+// Listen opens a socket at addr and starts to serve.
 func Listen(addr string, o Options) (*Front, error) {
 	l, err := netio.ListenShared(addr)
 	if err != nil {
@@ -88,75 +88,74 @@
 	f := &Front{opts: o, listener: l}
 	f.SetClasses(o.Classes)
 	f.server = grpc.NewServer(
-		grpc.ConnectionTimeout(greetIn), grpc.MaxHeaderListSize(maxHeaders),
-		grpc.MaxRecvMsgSize(maxTicket+(4<<10)), grpc.MaxConcurrentStreams(maxStreams),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleAfter}),
+		grpc.ConnectionTimeout(handshakeTimeout), grpc.MaxHeaderListSize(maxHeaderBytes),
+		grpc.MaxRecvMsgSize(maxTicketBytes+(4<<10)), grpc.MaxConcurrentStreams(maxStreamsPerConn),
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}),
 	)
 	flight.RegisterFlightServiceServer(f.server, f)
-	f.done.Add(1)
+	f.serveDone.Add(1)
 	go func() {
-		defer f.done.Done()
+		defer f.serveDone.Done()
 		if err := f.server.Serve(netutil.LimitListener(l, max(1, o.MaxConns))); err != nil && !errors.Is(err, grpc.ErrServerStopped) {
-			o.Log.Error().Str("event", "flight-serve").Err(err).Msg("the Flight front has ended")
+			o.Log.Error().Str("event", "flight-serve").Err(err).Msg("Flight server stopped unexpectedly")
 		}
 	}()
 	return f, nil
 }
 
-// Addr is where the front listens.
+// Addr returns the address on which the front listens.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// Drain takes no new queries, lets those in hand end, and closes.
+// Drain rejects new queries, waits for the open ones until ctx ends, and closes all connections.
 func (f *Front) Drain(ctx context.Context) {
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		f.server.GracefulStop()
-		close(ended)
+		close(stopped)
 	}()
 	select {
-	case <-ended:
+	case <-stopped:
 	case <-ctx.Done():
 		f.server.Stop()
-		<-ended
+		<-stopped
 	}
-	f.done.Wait()
+	f.serveDone.Wait()
 }
 
-// SetClasses puts other classes in the place of those in use, for queries that come from
-// now on.
+// SetClasses replaces the configured classes for all queries that arrive from now on.
 func (f *Front) SetClasses(byName map[string]query.Class) { f.classes.Store(&byName) }
 
-// waiter takes the answer of one query. The channel has room for it, so the
-// core never waits for a client.
-type waiter chan broker.Reply
+// replyChan receives the reply to one query. It is buffered, so the core never blocks on a
+// client.
+type replyChan chan broker.Reply
 
 // Reply implements broker.Replier.
-func (w waiter) Reply(_ broker.QueryID, r broker.Reply) { w <- r }
+func (c replyChan) Reply(_ broker.QueryID, reply broker.Reply) { c <- reply }
 
-// decode turns a ticket into a query.
-func (f *Front) decode(ctx context.Context, ticket []byte) (*broker.Query, error) {
+// decodeTicket converts a ticket to a query.
+func (f *Front) decodeTicket(ctx context.Context, ticket []byte) (*broker.Query, error) {
 	now := time.Now()
-	if len(ticket) > maxTicket {
-		return nil, status.Errorf(codes.InvalidArgument, "ticket: %d bytes, want %d at most", len(ticket), maxTicket)
+	if len(ticket) > maxTicketBytes {
+		return nil, status.Errorf(codes.InvalidArgument, "ticket: %d bytes, want %d at most", len(ticket), maxTicketBytes)
 	}
-	var t flightwire.QueryTicket
-	if err := json.Unmarshal(ticket, &t); err != nil {
+	var request flightwire.QueryTicket
+	if err := json.Unmarshal(ticket, &request); err != nil {
 		return nil, status.Errorf(codes.InvalidArgument, "ticket: %v", err)
 	}
-	class, ok := (*f.classes.Load())[t.Class]
+	class, ok := (*f.classes.Load())[request.Class]
 	if !ok {
-		return nil, status.Errorf(codes.NotFound, "class: no class %q", t.Class)
+		return nil, status.Errorf(codes.NotFound, "class: no class %q", request.Class)
 	}
-	q := &broker.Query{Name: t.ID, Class: class.Index, Retry: t.Retry, Came: now}
+	q := &broker.Query{Name: request.ID, Class: class.Index, Retry: request.Retry, Came: now}
 	if f.opts.Trace {
-		if md, ok := metadata.FromIncomingContext(ctx); ok {
-			q.Trace = tracecontext.Parse(md.Get(tracecontext.ParentKey), strings.Join(md.Get(tracecontext.StateKey), ","))
+		if headers, ok := metadata.FromIncomingContext(ctx); ok {
+			q.Trace = tracecontext.Parse(headers.Get(tracecontext.TraceparentHeader), strings.Join(headers.Get(tracecontext.TracestateHeader), ","))
 		}
 	}
-	err := query.CheckName("id", t.ID)
+	err := query.ValidateName("id", request.ID)
 	if err == nil && class.Keyed {
-		q.Key = t.Key
-		err = query.CheckName("key", t.Key)
+		q.Key = request.Key
+		err = query.ValidateName("key", request.Key)
 	}
 	if err == nil {
 		err = query.DecodeBody(q, ticket, f.opts.Shards)
@@ -164,46 +163,47 @@
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	q.Budget = time.Duration(class.DeadlineMs * float64(time.Millisecond)) // where the call has no deadline
-	if at, ok := ctx.Deadline(); ok {
-		if q.Budget = min(q.Budget, at.Sub(now)); q.Budget <= 0 {
+	q.Budget = time.Duration(class.DeadlineMs * float64(time.Millisecond)) // unless the call has an earlier deadline
+	if deadline, ok := ctx.Deadline(); ok {
+		if q.Budget = min(q.Budget, deadline.Sub(now)); q.Budget <= 0 {
 			return nil, status.Error(codes.DeadlineExceeded, "the query's time was up when it came")
 		}
 	}
 	return q, nil
 }
 
-// DoGet answers a query.
+// DoGet runs a query and streams its result.
 func (f *Front) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
 	ctx := stream.Context()
-	q, err := f.decode(ctx, ticket.GetTicket())
+	q, err := f.decodeTicket(ctx, ticket.GetTicket())
 	if err != nil {
 		return err
 	}
-	if ctx.Err() != nil { // it has waited for us, and its client has left
+	if ctx.Err() != nil { // the client left while the call waited to be handled
 		return status.FromContextError(ctx.Err()).Err()
 	}
-	w := make(waiter, 1)
-	id, ok := f.opts.Core.Submit(q, w)
+	replies := make(replyChan, 1)
+	id, ok := f.opts.Core.Submit(q, replies)
 	if !ok {
-		return refusal(0)
+		return refusedError(0)
 	}
 	select {
-	case r := <-w:
-		return f.answer(stream, r)
+	case reply := <-replies:
+		return f.sendReply(stream, reply)
 	case <-ctx.Done():
-		// The client left, or its time is up: its answer could not reach it.
+		// The client left or the deadline passed: a reply could not reach it any more.
 		f.opts.Core.Leave(id)
 		return status.FromContextError(ctx.Err()).Err()
 	}
 }
 
-func (f *Front) answer(stream flight.FlightService_DoGetServer, r broker.Reply) error {
-	switch r.Verdict {
+// sendReply sends the result of a query, or returns the gRPC status of one that was not served.
+func (f *Front) sendReply(stream flight.FlightService_DoGetServer, reply broker.Reply) error {
+	switch reply.Verdict {
 	case broker.Served:
-		return flightwire.WriteValues(stream, r.Whole, r.Values)
+		return flightwire.WriteValues(stream, reply.Whole, reply.Values)
 	case broker.Refused:
-		return refusal(r.RetryAfter)
+		return refusedError(reply.RetryAfter)
 	case broker.Duplicate:
 		return status.Error(codes.AlreadyExists, "a query of this id is open")
 	case broker.Expired:
@@ -212,66 +212,67 @@
 	return status.Error(codes.Aborted, "failed; the query may have taken effect")
 }
 
-func refusal(after time.Duration) error {
-	s := status.New(codes.Unavailable, "refused; trying again is harmless")
+// refusedError returns the status of a refused query, with a RetryInfo that carries retryAfter
+// if it is positive.
+func refusedError(retryAfter time.Duration) error {
+	refused := status.New(codes.Unavailable, "refused; trying again is harmless")
 	info := &errdetails.RetryInfo{}
-	if after > 0 {
-		info.RetryDelay = durationpb.New(after)
+	if retryAfter > 0 {
+		info.RetryDelay = durationpb.New(retryAfter)
 	}
-	if with, err := s.WithDetails(info); err == nil {
-		s = with
+	if detailed, err := refused.WithDetails(info); err == nil {
+		refused = detailed
 	}
-	return s.Err()
+	return refused.Err()
 }
 
-// GetFlightInfo names the one endpoint of a query, whose ticket is the
-// descriptor's command.
-func (f *Front) GetFlightInfo(ctx context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
-	if d.GetType() != flight.DescriptorCMD {
+// GetFlightInfo returns the only endpoint of a query; its ticket is the descriptor's command.
+func (f *Front) GetFlightInfo(ctx context.Context, descriptor *flight.FlightDescriptor) (*flight.FlightInfo, error) {
+	if descriptor.GetType() != flight.DescriptorCMD {
 		return nil, status.Error(codes.InvalidArgument, "descriptor: want a command that is a query's ticket")
 	}
-	if _, err := f.decode(ctx, d.GetCmd()); err != nil {
+	if _, err := f.decodeTicket(ctx, descriptor.GetCmd()); err != nil {
 		return nil, err
 	}
 	return &flight.FlightInfo{
-		Schema: flight.SerializeSchema(flightwire.Schema(false), memory.DefaultAllocator), FlightDescriptor: d,
-		Endpoint:     []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: d.GetCmd()}}},
+		Schema: flight.SerializeSchema(flightwire.Schema(false), memory.DefaultAllocator), FlightDescriptor: descriptor,
+		Endpoint:     []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: descriptor.GetCmd()}}},
 		TotalRecords: -1, TotalBytes: -1,
 	}, nil
 }
 
-// ListActions names the commands.
+// ListActions lists the operator commands.
 func (f *Front) ListActions(_ *flight.Empty, stream flight.FlightService_ListActionsServer) error {
 	for _, a := range f.opts.Actions {
-		if err := stream.Send(&flight.ActionType{Type: a.Name, Description: a.About}); err != nil {
+		if err := stream.Send(&flight.ActionType{Type: a.Name, Description: a.Description}); err != nil {
 			return fmt.Errorf("listing the actions: %w", err)
 		}
 	}
 	return nil
 }
 
-// DoAction runs a command.
-func (f *Front) DoAction(a *flight.Action, stream flight.FlightService_DoActionServer) error {
-	i := slices.IndexFunc(f.opts.Actions, func(x Action) bool { return x.Name == a.GetType() })
+// DoAction runs an operator's command.
+func (f *Front) DoAction(request *flight.Action, stream flight.FlightService_DoActionServer) error {
+	i := slices.IndexFunc(f.opts.Actions, func(action Action) bool { return action.Name == request.GetType() })
 	if i < 0 {
 		names := make([]string, len(f.opts.Actions))
-		for i, x := range f.opts.Actions {
-			names[i] = x.Name
+		for i, action := range f.opts.Actions {
+			names[i] = action.Name
 		}
-		return status.Errorf(codes.Unimplemented, "no action %q, want one of %s", a.GetType(), strings.Join(names, ", "))
+		return status.Errorf(codes.Unimplemented, "no action %q, want one of %s", request.GetType(), strings.Join(names, ", "))
 	}
 	ctx, send := stream.Context(), func(body []byte) error { return stream.Send(&flight.Result{Body: body}) }
 	var err error
-	if act := f.opts.Actions[i]; act.Stream != nil {
-		err = act.Stream(ctx, a.GetBody(), send)
+	if action := f.opts.Actions[i]; action.Stream != nil {
+		err = action.Stream(ctx, request.GetBody(), send)
 	} else {
 		var body []byte
-		if body, err = act.Run(ctx, a.GetBody()); err == nil {
+		if body, err = action.Run(ctx, request.GetBody()); err == nil {
 			return send(body)
 		}
 	}
 	if err != nil && ctx.Err() == nil {
-		f.opts.Log.Warn().Str("event", "action").Str("action", a.GetType()).Err(err).Msg("a command failed")
+		f.opts.Log.Warn().Str("event", "action").Str("action", request.GetType()).Err(err).Msg("operator command failed")
 	}
 	return err
 }
--- a/flightfront/front_test.go
+++ b/flightfront/front_test.go
@@ -22,32 +22,34 @@
 	"onyxsail/internal/testkit"
 )
 
-// fakeCore gives every query the same reply, or none.
+// fakeCore gives every query the same reply, or none if reply is nil.
 type fakeCore struct {
-	mu    sync.Mutex
-	reply *broker.Reply
-	full  bool
-	got   []*broker.Query
-	left  int
+	mu        sync.Mutex
+	reply     *broker.Reply
+	queueFull bool
+	submitted []*broker.Query
+	abandoned int
 }
 
+// Submit implements Core.
 func (c *fakeCore) Submit(q *broker.Query, r broker.Replier) (broker.QueryID, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.full {
+	if c.queueFull {
 		return 0, false
 	}
-	c.got = append(c.got, q)
+	c.submitted = append(c.submitted, q)
 	if c.reply != nil {
 		r.Reply(1, *c.reply)
 	}
 	return 1, true
 }
 
+// Leave implements Core.
 func (c *fakeCore) Leave(broker.QueryID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left++
+	c.abandoned++
 }
 
 func start(t *testing.T) (*fakeCore, flight.Client) {
@@ -56,9 +58,9 @@
 	f, err := Listen("127.0.0.1:0", Options{
 		Core: core, MaxConns: 4, Shards: 18, Log: zerolog.New(io.Discard),
 		Classes: map[string]query.Class{"screen": {Name: "screen", DeadlineMs: 4000}, "edit": {Name: "edit", Index: 1, Keyed: true}},
-		Actions: []Action{{Name: "echo", About: "says it back", Run: func(_ context.Context, b []byte) ([]byte, error) {
+		Actions: []Action{{Name: "echo", Description: "returns its argument", Run: func(_ context.Context, b []byte) ([]byte, error) {
 			if len(b) == 0 {
-				return nil, status.Error(codes.InvalidArgument, "nothing to say")
+				return nil, status.Error(codes.InvalidArgument, "empty argument")
 			}
 			return b, nil
 		}}},
@@ -77,9 +79,10 @@
 	return core, flight.NewClientFromConn(conn, nil)
 }
 
-const good = `{"id":"a","class":"screen","targets":[{"partition":3,"share":1,"est_us":9000}],"query":"x"}`
+const validTicket = `{"id":"a","class":"screen","targets":[{"partition":3,"share":1,"est_us":9000}],"query":"x"}`
 
-func get(ctx context.Context, c flight.Client, ticket string) (bool, []broker.Value, error) {
+// runQuery sends a ticket with DoGet and reads the result.
+func runQuery(ctx context.Context, c flight.Client, ticket string) (bool, []broker.Value, error) {
 	stream, err := c.DoGet(ctx, &flight.Ticket{Ticket: []byte(ticket)})
 	if err != nil {
 		return false, nil, err
@@ -87,7 +90,8 @@
 	return flightwire.ReadValues(stream)
 }
 
-func TestEndsAndTheirCodes(t *testing.T) {
+// Each outcome of a query must map to the right gRPC status, and only refusals carry RetryInfo.
+func TestReplyStatusCodes(t *testing.T) {
 	core, client := start(t)
 	for _, c := range []struct {
 		name, ticket string
@@ -96,22 +100,22 @@
 		code         codes.Code
 		retry        time.Duration
 	}{
-		{name: "served", ticket: good, reply: broker.Reply{Whole: true, Values: []broker.Value{{Shard: 3, Data: []byte("v\x00")}}}},
-		{name: "refused", ticket: good, reply: broker.Reply{Verdict: broker.Refused, RetryAfter: 70 * time.Millisecond},
+		{name: "served", ticket: validTicket, reply: broker.Reply{Whole: true, Values: []broker.Value{{Shard: 3, Data: []byte("v\x00")}}}},
+		{name: "refused", ticket: validTicket, reply: broker.Reply{Verdict: broker.Refused, RetryAfter: 70 * time.Millisecond},
 			code: codes.Unavailable, retry: 70 * time.Millisecond},
-		{name: "refused without a hint", ticket: good, reply: broker.Reply{Verdict: broker.Refused}, code: codes.Unavailable},
-		{name: "overfull", ticket: good, full: true, code: codes.Unavailable},
-		{name: "failed", ticket: good, reply: broker.Reply{Verdict: broker.Failed}, code: codes.Aborted},
-		{name: "expired", ticket: good, reply: broker.Reply{Verdict: broker.Expired}, code: codes.DeadlineExceeded},
-		{name: "no JSON", ticket: "{", code: codes.InvalidArgument},
-		{name: "no class", ticket: `{"id":"a","class":"x"}`, code: codes.NotFound},
-		{name: "no key", ticket: `{"id":"a","class":"edit","targets":[{"partition":3,"share":1}],"query":"x"}`, code: codes.InvalidArgument},
-		{name: "no parts", ticket: `{"id":"a","class":"screen","query":"x"}`, code: codes.InvalidArgument},
+		{name: "refused without a hint", ticket: validTicket, reply: broker.Reply{Verdict: broker.Refused}, code: codes.Unavailable},
+		{name: "broker queue full", ticket: validTicket, full: true, code: codes.Unavailable},
+		{name: "failed", ticket: validTicket, reply: broker.Reply{Verdict: broker.Failed}, code: codes.Aborted},
+		{name: "expired", ticket: validTicket, reply: broker.Reply{Verdict: broker.Expired}, code: codes.DeadlineExceeded},
+		{name: "malformed JSON", ticket: "{", code: codes.InvalidArgument},
+		{name: "unknown class", ticket: `{"id":"a","class":"x"}`, code: codes.NotFound},
+		{name: "missing key", ticket: `{"id":"a","class":"edit","targets":[{"partition":3,"share":1}],"query":"x"}`, code: codes.InvalidArgument},
+		{name: "missing targets", ticket: `{"id":"a","class":"screen","query":"x"}`, code: codes.InvalidArgument},
 	} {
 		core.mu.Lock()
-		core.reply, core.full = &c.reply, c.full
+		core.reply, core.queueFull = &c.reply, c.full
 		core.mu.Unlock()
-		whole, values, err := get(context.Background(), client, c.ticket)
+		whole, values, err := runQuery(context.Background(), client, c.ticket)
 		var s interface{ GRPCStatus() *status.Status }
 		if c.code == codes.OK {
 			if err != nil || whole != c.reply.Whole || len(values) != 1 || values[0].Shard != 3 || string(values[0].Data) != "v\x00" {
@@ -133,12 +137,12 @@
 	}
 }
 
-// The call's deadline is the query's time, the class's where there is none or a longer one; a
-// client that cancels has left.
-func TestDeadlineAndCancel(t *testing.T) {
+// The query's time budget must be the call's deadline, or the class's deadline if the call has
+// none or a later one. A cancelled call must abandon its query.
+func TestBudgetFollowsCallDeadlineAndCancelAbandonsQuery(t *testing.T) {
 	core, client := start(t)
 	core.reply = &broker.Reply{}
-	if _, _, err := get(context.Background(), client, good); err != nil {
+	if _, _, err := runQuery(context.Background(), client, validTicket); err != nil {
 		t.Fatal(err)
 	}
 	core.mu.Lock()
@@ -147,37 +151,38 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	done := make(chan error, 1)
 	go func() {
-		_, _, err := get(ctx, client, good)
+		_, _, err := runQuery(ctx, client, validTicket)
 		done <- err
 	}()
-	testkit.Eventually(t, "the query is taken", func() bool {
+	testkit.Eventually(t, "the query is submitted", func() bool {
 		core.mu.Lock()
 		defer core.mu.Unlock()
-		return len(core.got) == 2
+		return len(core.submitted) == 2
 	})
 	cancel()
 	if err := <-done; err == nil {
-		t.Error("a cancelled call was answered")
+		t.Error("a cancelled call returned a result")
 	}
-	testkit.Eventually(t, "the core hears that the client left", func() bool {
+	testkit.Eventually(t, "the query is abandoned", func() bool {
 		core.mu.Lock()
 		defer core.mu.Unlock()
-		return core.left == 1
+		return core.abandoned == 1
 	})
-	if first, second := core.got[0].Budget, core.got[1].Budget; first != 4*time.Second || second > 3*time.Second || second <= 0 {
-		t.Errorf("budgets %v and %v", first, second)
+	if classBudget, callBudget := core.submitted[0].Budget, core.submitted[1].Budget; classBudget != 4*time.Second || callBudget > 3*time.Second || callBudget <= 0 {
+		t.Errorf("budgets %v and %v", classBudget, callBudget)
 	}
 }
 
-func TestInfoAndActions(t *testing.T) {
+// GetFlightInfo must accept only a query ticket, and actions must be listed and run by name.
+func TestFlightInfoAndActions(t *testing.T) {
 	_, client := start(t)
 	ctx := context.Background()
-	info, err := client.GetFlightInfo(ctx, &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: []byte(good)})
-	if err != nil || len(info.Endpoint) != 1 || string(info.Endpoint[0].Ticket.Ticket) != good {
+	info, err := client.GetFlightInfo(ctx, &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: []byte(validTicket)})
+	if err != nil || len(info.Endpoint) != 1 || string(info.Endpoint[0].Ticket.Ticket) != validTicket {
 		t.Errorf("info %v %v", info, err)
 	}
 	if _, err := client.GetFlightInfo(ctx, &flight.FlightDescriptor{Type: flight.DescriptorPATH}); status.Code(err) != codes.InvalidArgument {
-		t.Errorf("info of a path: %v", err)
+		t.Errorf("info for a path descriptor: got %v, want InvalidArgument", err)
 	}
 	list, err := client.ListActions(ctx, &flight.Empty{})
 	if err != nil {
@@ -189,7 +194,7 @@
 	for _, c := range []struct {
 		name, body string
 		code       codes.Code
-	}{{"echo", "hi", codes.OK}, {"echo", "", codes.InvalidArgument}, {"dance", "x", codes.Unimplemented}} {
+	}{{"echo", "hi", codes.OK}, {"echo", "", codes.InvalidArgument}, {"unknown", "x", codes.Unimplemented}} {
 		stream, err := client.DoAction(ctx, &flight.Action{Type: c.name, Body: []byte(c.body)})
 		if err != nil {
 			t.Fatal(err)
@@ -201,27 +206,30 @@
 	}
 }
 
-// goneStream is a stream whose client has left.
-type goneStream struct {
+// disconnectedStream is a stream whose client has left.
+type disconnectedStream struct {
 	grpc.ServerStream
 	ctx context.Context
 }
 
-func (g *goneStream) Context() context.Context      { return g.ctx }
-func (g *goneStream) Send(*flight.FlightData) error { return errors.New("nobody is there") }
+// Context implements grpc.ServerStream.
+func (s *disconnectedStream) Context() context.Context { return s.ctx }
 
-// A client that cancels while its call waits for us has nothing done for it.
-func TestClientLeavesBeforeItsQueryIsTaken(t *testing.T) {
+// Send implements flight.FlightService_DoGetServer.
+func (s *disconnectedStream) Send(*flight.FlightData) error { return errors.New("client disconnected") }
+
+// A call that is cancelled before the front handles it must not submit its query.
+func TestCancelledCallIsNotSubmitted(t *testing.T) {
 	core := &fakeCore{}
 	f := &Front{opts: Options{Core: core, Shards: 18}}
 	f.SetClasses(map[string]query.Class{"screen": {Name: "screen", DeadlineMs: 4000}})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	ticket := []byte(`{"id":"q","class":"screen","targets":[{"partition":1,"share":1}],"query":"x"}`)
-	if err := f.DoGet(&flight.Ticket{Ticket: ticket}, &goneStream{ctx: ctx}); status.Code(err) != codes.Canceled {
+	if err := f.DoGet(&flight.Ticket{Ticket: ticket}, &disconnectedStream{ctx: ctx}); status.Code(err) != codes.Canceled {
 		t.Errorf("got %v", err)
 	}
-	if len(core.got) != 0 {
-		t.Errorf("%d queries reached the core", len(core.got))
+	if len(core.submitted) != 0 {
+		t.Errorf("%d queries were submitted", len(core.submitted))
 	}
 }
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -393,9 +393,9 @@
 	tell(broker.WireUp, time.Now())
 	if c.opts.Observer != nil {
 		if parent, state := c.opts.Observer.Carry(a.ID); parent != "" {
-			ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.ParentKey, parent)
+			ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.TraceparentHeader, parent)
 			if state != "" {
-				ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.StateKey, state)
+				ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.TracestateHeader, state)
 			}
 		}
 	}
@@ -413,7 +413,7 @@
 	if end, ok := ctx.Deadline(); ok {
 		left = time.Until(end)
 	}
-	ticket, err := flightwire.Encode(flightwire.PartTicket{
+	ticket, err := flightwire.EncodeTicket(flightwire.PartTicket{
 		ID: fmt.Sprintf("%s.%d", a.Query, a.Shard), Partition: a.Shard, WaitMs: max(1, left.Milliseconds()),
 		Key: a.Key, Query: a.Text,
 	})
@@ -476,7 +476,7 @@
 
 // outcome classifies what ended a stream that had been opened.
 func outcome(err error, trailer metadata.MD) decide.Outcome {
-	if ends := trailer.Get(flightwire.EndKey); len(ends) == 1 && ends[0] == flightwire.EndFull {
+	if ends := trailer.Get(flightwire.PartEndKey); len(ends) == 1 && ends[0] == flightwire.PartEndQueueFull {
 		return decide.Rejected
 	}
 	switch code(err) {
--- a/flightnode/client_test.go
+++ b/flightnode/client_test.go
@@ -23,7 +23,7 @@
 // Only the node's own trailer proves that an opened stream never ran: the
 // transport makes up the same codes itself.
 func TestClassification(t *testing.T) {
-	full := metadata.Pairs(flightwire.EndKey, flightwire.EndFull)
+	full := metadata.Pairs(flightwire.PartEndKey, flightwire.PartEndQueueFull)
 	for _, c := range []struct {
 		err     error
 		trailer metadata.MD
@@ -37,7 +37,7 @@
 		{status.Error(codes.DeadlineExceeded, ""), nil, decide.TimedOut},
 		{status.Error(codes.Canceled, ""), nil, decide.Cancelled},
 		{status.Error(codes.Internal, "failed"), nil, decide.Failed},
-		{status.Error(codes.Internal, "failed"), metadata.Pairs(flightwire.EndKey, "other"), decide.Failed},
+		{status.Error(codes.Internal, "failed"), metadata.Pairs(flightwire.PartEndKey, "other"), decide.Failed},
 		{errors.New("schema"), nil, decide.Broken},
 	} {
 		if got := outcome(c.err, c.trailer); got != c.want {
--- a/httpfront/codec.go
+++ b/httpfront/codec.go
@@ -35,9 +35,9 @@
 // framingErrorStatus returns the HTTP status for a request that the parser could not read.
 func framingErrorStatus(err error) int {
 	switch {
-	case errors.Is(err, http1.ErrBodySize):
+	case errors.Is(err, http1.ErrBodyTooLarge):
 		return http.StatusRequestEntityTooLarge
-	case errors.Is(err, http1.ErrHeadSize):
+	case errors.Is(err, http1.ErrHeadTooLarge):
 		return http.StatusRequestHeaderFieldsTooLarge
 	}
 	return http.StatusBadRequest
@@ -64,7 +64,7 @@
 		return nil, badRequest("X-Class and the path must name one class")
 	}
 	q := &broker.Query{Name: m.Get("x-request-id"), Class: class.Index, Retry: m.Get("x-retry") == "1", Came: now}
-	if err := query.CheckName("X-Request-Id", q.Name); err != nil {
+	if err := query.ValidateName("X-Request-Id", q.Name); err != nil {
 		return nil, badRequest("%v", err)
 	}
 	deadlineMs, err := strconv.ParseUint(m.Get("x-deadline-ms"), 10, 31)
@@ -78,7 +78,7 @@
 	}
 	if class.Keyed {
 		q.Key = m.Get("idempotency-key")
-		if err := query.CheckName("Idempotency-Key", q.Key); err != nil {
+		if err := query.ValidateName("Idempotency-Key", q.Key); err != nil {
 			return nil, badRequest("%v", err)
 		}
 	}
--- a/httpfront/conn.go
+++ b/httpfront/conn.go
@@ -69,13 +69,13 @@
 			c.lastDataAt = c.lastDataAt.Add(-sinceReceived)
 		}
 	}
-	if !c.parser.Mid() {
+	if !c.parser.InMessage() {
 		c.requestStart = c.lastDataAt
 	}
 	c.dataReceived = true
 	c.parser.Feed(data)
 	c.parseRequests()
-	if c.clientLeft || len(c.exchanges) > 0 && c.parser.Mid() && c.sock.PeerGone() {
+	if c.clientLeft || len(c.exchanges) > 0 && c.parser.InMessage() && c.sock.PeerGone() {
 		c.handlePeerEnd()
 	}
 	c.sendContinue()
@@ -159,7 +159,7 @@
 		return stateHalfClosed
 	case len(c.exchanges) > 0:
 		return stateActive
-	case c.parser.Mid():
+	case c.parser.InMessage():
 		return stateReading
 	case !c.dataReceived:
 		return stateNew
@@ -268,8 +268,8 @@
 		c.complete(e, func(closeAfter bool) []byte { return encodeText(nil, status, err.Error(), 0, closeAfter) })
 		return
 	}
-	if c.front.opts.Trace && m.Get(tracecontext.ParentKey) != "" {
-		q.Trace = tracecontext.Parse(m.All(tracecontext.ParentKey), strings.Join(m.All(tracecontext.StateKey), ","))
+	if c.front.opts.Trace && m.Get(tracecontext.TraceparentHeader) != "" {
+		q.Trace = tracecontext.Parse(m.All(tracecontext.TraceparentHeader), strings.Join(m.All(tracecontext.TracestateHeader), ","))
 	}
 	// The client may have left while the request waited, for the accept or behind other
 	// requests of the connection. Closed is called then and drops the exchanges.
@@ -358,7 +358,7 @@
 	defer c.updateQueue()
 	switch {
 	case len(c.exchanges) > 0 || c.inputIgnored || c.closed:
-	case !c.parser.Mid():
+	case !c.parser.InMessage():
 		if c.dataReceived || time.Since(c.requestStart) > minEvictionAge { // otherwise the first request may be in transit
 			c.endIdle()
 		}
--- a/httpfront/front.go
+++ b/httpfront/front.go
@@ -192,7 +192,7 @@
 			time.Sleep(10 * time.Millisecond) // out of file descriptors: wait for some to be closed
 			continue
 		}
-		c := &conn{front: f, parser: http1.Parser{MaxBody: MaxBodyBytes}, acceptedAt: time.Now()}
+		c := &conn{front: f, parser: http1.Parser{MaxBodyBytes: MaxBodyBytes}, acceptedAt: time.Now()}
 		c.requestStart = c.acceptedAt
 		_, err = f.opts.Loop.Attach(nc, c, func(s *netio.Conn) {
 			c.mu.Lock()
--- a/httpfront/front_test.go
+++ b/httpfront/front_test.go
@@ -29,6 +29,7 @@
 	queueFull bool
 }
 
+// Submit implements Core.
 func (c *fakeCore) Submit(q *broker.Query, r broker.Replier) (broker.QueryID, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,6 +41,7 @@
 	return c.lastID, true
 }
 
+// Leave implements Core.
 func (c *fakeCore) Leave(id broker.QueryID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -329,7 +331,7 @@
 		for _, c := range f.openConns() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return c.parser.Mid()
+			return c.parser.InMessage()
 		}
 		return false
 	})
--- a/httpfront/terms_test.go
+++ b/httpfront/terms_test.go
@@ -60,7 +60,7 @@
 		c := f.openConns()[0]
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.parser.Mid()
+		return c.parser.InMessage()
 	})
 	core.reply(1, broker.Reply{Verdict: broker.Refused})
 	readResponse(t, in)
--- a/internal/flightwire/flightwire.go
+++ b/internal/flightwire/flightwire.go
@@ -1,5 +1,5 @@
-// Package flightwire is the form of queries, parts and answers on Arrow Flight,
-// shared by the front, the node client and their stand-ins in tests.
+// Package flightwire defines how queries, parts and results are encoded on Arrow Flight. It is
+// shared by the front, the node client and the test doubles of their peers.
 package flightwire
 
 import (
@@ -18,25 +18,26 @@
 	"onyxsail/broker"
 )
 
-// WholeKey is the schema's metadata key that says whether an answer is whole.
-const WholeKey = "whole"
+// CompleteKey is the schema metadata key that says whether a result covers all parts.
+const CompleteKey = "whole"
 
-// EndKey is the trailer in which a node says how a part ended: EndFull proves
-// that it never ran. A bare status proves nothing, as the transport makes such
-// statuses up itself.
+// PartEndKey is the trailer in which a node reports how a part ended. The value
+// PartEndQueueFull proves that the part never ran. A status alone proves nothing, as the
+// transport generates such statuses itself.
 const (
-	EndKey  = "part-end"
-	EndFull = "full"
+	PartEndKey       = "part-end"
+	PartEndQueueFull = "full"
 )
 
-// Bounds of one answer that is read: a node that goes on sending must not fill
-// the memory.
+// Limits of one result that is read, so that a node that never stops sending cannot use up the
+// memory.
 const (
-	maxRows  = 1024
-	maxBytes = 1 << 20
+	maxRows       = 1024    // rows of all batches
+	maxValueBytes = 1 << 20 // of all values
 )
 
-// QueryTicket is a query; targets and query are as in the platform's body.
+// QueryTicket is the ticket of a query, without its targets and text, which are encoded as in
+// the body of a platform request.
 type QueryTicket struct {
 	ID    string `json:"id"`
 	Class string `json:"class"`
@@ -44,17 +45,17 @@
 	Retry bool   `json:"retry,omitempty"`
 }
 
-// PartTicket is one part on its way to a node.
+// PartTicket is the ticket of one part that is sent to a node.
 type PartTicket struct {
 	ID        string `json:"id"`
 	Partition int    `json:"partition"`
 	WaitMs    int64  `json:"wait_ms"`
 	Key       string `json:"key,omitempty"`
-	Query     []byte `json:"query"` // base64, as JSON has bytes
+	Query     []byte `json:"query"` // base64 in JSON
 }
 
-// Encode renders a ticket.
-func Encode(ticket any) (*flight.Ticket, error) {
+// EncodeTicket encodes a QueryTicket or PartTicket as JSON.
+func EncodeTicket(ticket any) (*flight.Ticket, error) {
 	data, err := json.Marshal(ticket)
 	if err != nil {
 		return nil, fmt.Errorf("encoding a ticket: %w", err)
@@ -62,73 +63,73 @@
 	return &flight.Ticket{Ticket: data}, nil
 }
 
-// Schema is that of every answer.
-func Schema(whole bool) *arrow.Schema {
-	md := arrow.NewMetadata([]string{WholeKey}, []string{strconv.FormatBool(whole)})
+// Schema returns the schema of a result.
+func Schema(complete bool) *arrow.Schema {
+	md := arrow.NewMetadata([]string{CompleteKey}, []string{strconv.FormatBool(complete)})
 	return arrow.NewSchema([]arrow.Field{
 		{Name: "partition", Type: arrow.PrimitiveTypes.Int32},
 		{Name: "value", Type: arrow.BinaryTypes.Binary},
 	}, &md)
 }
 
-// WriteValues sends an answer as one record batch.
-func WriteValues(to flight.DataStreamWriter, whole bool, values []broker.Value) (err error) {
-	schema := Schema(whole)
-	w := flight.NewRecordWriter(to, ipc.WithSchema(schema))
+// WriteValues sends a result as one record batch.
+func WriteValues(stream flight.DataStreamWriter, complete bool, values []broker.Value) (err error) {
+	schema := Schema(complete)
+	writer := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
 	defer func() {
-		if cerr := w.Close(); err == nil && cerr != nil {
-			err = fmt.Errorf("ending the answer: %w", cerr)
+		if closeErr := writer.Close(); err == nil && closeErr != nil {
+			err = fmt.Errorf("ending the answer: %w", closeErr)
 		}
 	}()
-	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
-	defer b.Release()
-	parts, data := b.Field(0).(*array.Int32Builder), b.Field(1).(*array.BinaryBuilder)
+	builder := array.NewRecordBuilder(memory.DefaultAllocator, schema)
+	defer builder.Release()
+	shardBuilder, valueBuilder := builder.Field(0).(*array.Int32Builder), builder.Field(1).(*array.BinaryBuilder)
 	for _, v := range values {
-		parts.Append(int32(v.Shard))
-		data.Append(v.Data)
+		shardBuilder.Append(int32(v.Shard))
+		valueBuilder.Append(v.Data)
 	}
-	rec := b.NewRecordBatch()
-	defer rec.Release()
-	if err := w.Write(rec); err != nil {
+	batch := builder.NewRecordBatch()
+	defer batch.Release()
+	if err := writer.Write(batch); err != nil {
 		return fmt.Errorf("sending the answer: %w", err)
 	}
 	return nil
 }
 
-// ReadValues reads a whole answer. An answer whose stream did not end in order
-// is an error and never a value.
-func ReadValues(from flight.DataStreamReader) (whole bool, values []broker.Value, err error) {
-	r, err := flight.NewRecordReader(from)
+// ReadValues reads a result. If the stream does not end properly it returns an error and no
+// values.
+func ReadValues(stream flight.DataStreamReader) (complete bool, values []broker.Value, err error) {
+	reader, err := flight.NewRecordReader(stream)
 	if err != nil {
-		return false, nil, fmt.Errorf("reading the answer's schema: %w", err)
+		return false, nil, fmt.Errorf("reading the schema of a result: %w", err)
 	}
-	defer r.Release()
-	if !r.Schema().Equal(Schema(true)) {
-		return false, nil, fmt.Errorf("reading the answer: schema %v", r.Schema())
+	defer reader.Release()
+	if !reader.Schema().Equal(Schema(true)) {
+		return false, nil, fmt.Errorf("reading a result: unexpected schema %v", reader.Schema())
 	}
-	if v, ok := r.Schema().Metadata().GetValue(WholeKey); ok {
-		whole = v == "true"
+	if v, ok := reader.Schema().Metadata().GetValue(CompleteKey); ok {
+		complete = v == "true"
 	}
-	size := 0
-	for r.Next() {
-		rec := r.RecordBatch()
-		parts, ok1 := rec.Column(0).(*array.Int32)
-		data, ok2 := rec.Column(1).(*array.Binary)
-		if !ok1 || !ok2 || parts.NullN()+data.NullN() > 0 {
-			return false, nil, errors.New("reading the answer: a column is not of its type or has nulls")
+	valueBytes := 0
+	for reader.Next() {
+		batch := reader.RecordBatch()
+		shardColumn, ok1 := batch.Column(0).(*array.Int32)
+		valueColumn, ok2 := batch.Column(1).(*array.Binary)
+		if !ok1 || !ok2 || shardColumn.NullN()+valueColumn.NullN() > 0 {
+			return false, nil, errors.New("reading a result: a column has the wrong type or null values")
 		}
-		for i := range parts.Len() {
-			size += data.ValueLen(i)
+		for i := range shardColumn.Len() {
+			valueBytes += valueColumn.ValueLen(i)
 		}
-		if len(values)+parts.Len() > maxRows || size > maxBytes {
-			return false, nil, errors.New("reading the answer: too large")
+		if len(values)+shardColumn.Len() > maxRows || valueBytes > maxValueBytes {
+			return false, nil, errors.New("reading a result: too large")
 		}
-		for i := range parts.Len() {
-			values = append(values, broker.Value{Shard: int(parts.Value(i)), Data: append([]byte(nil), data.Value(i)...)})
+		for i := range shardColumn.Len() {
+			values = append(values, broker.Value{Shard: int(shardColumn.Value(i)), Data: append([]byte(nil), valueColumn.Value(i)...)})
 		}
 	}
-	if err := r.Err(); err != nil && !errors.Is(err, io.EOF) {
-		return false, nil, fmt.Errorf("reading the answer: %w", err)
+	if err := reader.Err(); err != nil && !errors.Is(err, io.EOF) {
+		return false, nil, fmt.Errorf("reading a result: %w", err)
 	}
-	return whole, values, nil
+	return complete, values, nil
 }
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
-// Package http1 parses HTTP/1.1 messages as they arrive: requests for the
-// front, answers for the roster's client. Bodies carry a length or come in
-// chunks; everything is bounded.
+// Package http1 is an incremental parser for HTTP/1.x messages: requests for the front,
+// responses for the discovery client. Bodies with a length and chunked bodies are supported,
+// and the size of everything is limited.
 package http1
 
 import (
@@ -10,34 +10,34 @@
 	"strings"
 )
 
-// Bounds of one message.
+// Limits of one message.
 const (
-	MaxHead    = 16 << 10 // start line and headers
-	MaxHeaders = 64
-	MaxLine    = 4 << 10 // a chunk's size line
+	MaxHeadBytes = 16 << 10 // start line and headers; the same limit holds for all trailers
+	MaxHeaders   = 64       // number of header fields
+	MaxLineBytes = 4 << 10  // chunk size line or trailer line
 )
 
-// What can be wrong with a message. After each of these the framing is lost.
+// Parse errors. After any of them the rest of the stream cannot be parsed.
 var (
-	ErrMalformed = errors.New("malformed message")
-	ErrHeadSize  = errors.New("head too large")
-	ErrBodySize  = errors.New("body too large")
+	ErrMalformed    = errors.New("malformed message")
+	ErrHeadTooLarge = errors.New("head too large")
+	ErrBodyTooLarge = errors.New("body too large")
 )
 
-// Header is one header field; the name is in lower case.
+// Header is one header field; Name is in lower case.
 type Header struct{ Name, Value string }
 
-// Message is one parsed request or answer.
+// Message is a parsed request or response.
 type Message struct {
-	Method, Target string // of a request
-	Status         int    // of an answer
-	Headers        []Header
-	Body           []byte
-	Close          bool // the sender keeps the connection no longer
-	Expect         bool // the sender waits for 100 Continue
+	Method, Target  string // of a request
+	Status          int    // of a response
+	Headers         []Header
+	Body            []byte
+	Close           bool // the sender closes the connection after this message
+	ExpectsContinue bool // the sender waits for 100 Continue
 }
 
-// Get returns the value of a header, "" where it is absent.
+// Get returns the first value of a header, or "" if it is absent.
 func (m *Message) Get(name string) string {
 	for _, h := range m.Headers {
 		if h.Name == name {
@@ -47,7 +47,7 @@
 	return ""
 }
 
-// All returns the values of a header, as often as it stands.
+// All returns all values of a header.
 func (m *Message) All(name string) []string {
 	var values []string
 	for _, h := range m.Headers {
@@ -58,7 +58,7 @@
 	return values
 }
 
-// Count says how many headers of a name there are.
+// Count returns how often a header is present.
 func (m *Message) Count(name string) int {
 	n := 0
 	for _, h := range m.Headers {
@@ -69,52 +69,53 @@
 	return n
 }
 
+// state says which part of a message the parser expects next.
 type state uint8
 
 const (
-	inHead state = iota
+	inHead state = iota // also between messages
 	inBody
-	inUntilEnd
+	inBodyUntilClose // a response body that ends with the stream
 	inChunkSize
-	inChunk
-	inChunkEnd
+	inChunkData
+	inChunkEnd // the line break after a chunk's data
 	inTrailer
 )
 
-// Parser turns a stream into messages. The zero value with MaxBody set parses
-// requests; Answers makes it parse answers.
+// Parser splits a stream into messages. It parses requests, or responses if Responses is set.
 type Parser struct {
-	MaxBody int
-	Answers bool
+	MaxBodyBytes int  // limit of a message's body
+	Responses    bool // parse responses instead of requests
 
-	buf     []byte
-	at      state
-	msg     *Message
-	left    int
-	trailer int
-	err     error
-	asked   bool
+	buf              []byte
+	state            state
+	msg              *Message
+	remaining        int // bytes missing from the body or chunk
+	trailerBytes     int // total length of the trailer lines so far
+	err              error
+	continueReported bool // WantsContinue has returned true for msg
 }
 
-// Feed adds what was read.
-func (p *Parser) Feed(b []byte) { p.buf = append(p.buf, b...) }
+// Feed adds input.
+func (p *Parser) Feed(data []byte) { p.buf = append(p.buf, data...) }
 
-// Buffered is how many bytes wait to be parsed.
+// Buffered returns the number of input bytes not yet parsed.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
-// Mid says whether a message has begun and is not complete.
-func (p *Parser) Mid() bool { return p.at != inHead || len(p.buf) > 0 }
+// InMessage reports whether a message has been received in part.
+func (p *Parser) InMessage() bool { return p.state != inHead || len(p.buf) > 0 }
 
-// WantsContinue reports once that the message in work waits for 100 Continue.
+// WantsContinue reports, once per message, that the sender of the current message waits for
+// 100 Continue.
 func (p *Parser) WantsContinue() bool {
-	if p.at == inHead || p.msg == nil || !p.msg.Expect || p.asked {
+	if p.state == inHead || p.msg == nil || !p.msg.ExpectsContinue || p.continueReported {
 		return false
 	}
-	p.asked = true
+	p.continueReported = true
 	return true
 }
 
-// Next returns the next whole message, or nil when more input is needed.
+// Next returns the next complete message, or nil if more input is needed.
 func (p *Parser) Next() (*Message, error) {
 	if p.err != nil {
 		return nil, p.err
@@ -122,66 +123,67 @@
 	m, err := p.next()
 	p.err = err
 	if len(p.buf) == 0 && cap(p.buf) > 4<<10 {
-		p.buf = nil // a large message's room is not kept by an idle connection
+		p.buf = nil // an idle connection must not keep the buffer of a large message
 	}
 	return m, err
 }
 
+// next is Next without the handling of errors and of the buffer.
 func (p *Parser) next() (*Message, error) {
 	for {
-		switch p.at {
+		switch p.state {
 		case inHead:
-			for len(p.buf) > 0 && (p.buf[0] == '\r' || p.buf[0] == '\n') { // empty lines before a start line
+			for len(p.buf) > 0 && (p.buf[0] == '\r' || p.buf[0] == '\n') { // skip empty lines before the start line
 				p.buf = p.buf[1:]
 			}
-			end, skip := headEnd(p.buf)
-			if end > MaxHead || end < 0 && len(p.buf) > MaxHead {
-				return nil, ErrHeadSize
+			end, terminatorLen := findHeadEnd(p.buf)
+			if end > MaxHeadBytes || end < 0 && len(p.buf) > MaxHeadBytes {
+				return nil, ErrHeadTooLarge
 			}
 			if end < 0 {
 				return nil, nil
 			}
 			head := p.buf[:end]
-			p.buf = p.buf[end+skip:]
-			if err := p.head(string(head)); err != nil {
+			p.buf = p.buf[end+terminatorLen:]
+			if err := p.parseHead(string(head)); err != nil {
 				return nil, err
 			}
-		case inBody, inChunk:
-			n := min(p.left, len(p.buf))
+		case inBody, inChunkData:
+			n := min(p.remaining, len(p.buf))
 			p.msg.Body = append(p.msg.Body, p.buf[:n]...)
-			p.buf, p.left = p.buf[n:], p.left-n
-			if p.left > 0 {
+			p.buf, p.remaining = p.buf[n:], p.remaining-n
+			if p.remaining > 0 {
 				return nil, nil
 			}
-			if p.at == inBody {
-				return p.done(), nil
+			if p.state == inBody {
+				return p.takeMessage(), nil
 			}
-			p.at = inChunkEnd
-		case inUntilEnd:
+			p.state = inChunkEnd
+		case inBodyUntilClose:
 			p.msg.Body = append(p.msg.Body, p.buf...)
 			p.buf = p.buf[:0]
-			if len(p.msg.Body) > p.MaxBody {
-				return nil, ErrBodySize
+			if len(p.msg.Body) > p.MaxBodyBytes {
+				return nil, ErrBodyTooLarge
 			}
 			return nil, nil
 		case inChunkSize, inChunkEnd, inTrailer:
-			line, ok, err := p.line()
+			line, ok, err := p.readLine()
 			if err != nil || !ok {
 				return nil, err
 			}
 			switch {
-			case p.at == inChunkEnd && line != "":
+			case p.state == inChunkEnd && line != "":
 				return nil, ErrMalformed
-			case p.at == inChunkEnd:
-				p.at = inChunkSize
-			case p.at == inTrailer && line == "":
-				return p.done(), nil
-			case p.at == inTrailer:
-				if p.trailer += len(line); p.trailer > MaxHead {
-					return nil, ErrHeadSize
+			case p.state == inChunkEnd:
+				p.state = inChunkSize
+			case p.state == inTrailer && line == "":
+				return p.takeMessage(), nil
+			case p.state == inTrailer:
+				if p.trailerBytes += len(line); p.trailerBytes > MaxHeadBytes {
+					return nil, ErrHeadTooLarge
 				}
 			default:
-				if err := p.chunk(line); err != nil {
+				if err := p.parseChunkSize(line); err != nil {
 					return nil, err
 				}
 			}
@@ -189,25 +191,28 @@
 	}
 }
 
-// End says that the stream has ended; it returns the message that this
-// completes, if any.
-func (p *Parser) End() (*Message, error) {
-	if p.at == inUntilEnd {
-		return p.done(), nil
+// EndOfStream tells the parser that the stream has ended. It returns the message that is
+// completed by this, if any.
+func (p *Parser) EndOfStream() (*Message, error) {
+	if p.state == inBodyUntilClose {
+		return p.takeMessage(), nil
 	}
-	if p.Mid() {
+	if p.InMessage() {
 		return nil, ErrMalformed
 	}
 	return nil, nil
 }
 
-func (p *Parser) done() *Message {
+// takeMessage returns the current message and prepares for the next.
+func (p *Parser) takeMessage() *Message {
 	m := p.msg
-	p.msg, p.at, p.asked = nil, inHead, false
+	p.msg, p.state, p.continueReported = nil, inHead, false
 	return m
 }
 
-func headEnd(b []byte) (end, skip int) {
+// findHeadEnd returns the length of the head at the start of b up to its last line feed, and the
+// number of bytes from there to the end of the blank line. end is -1 if the head is incomplete.
+func findHeadEnd(b []byte) (end, terminatorLen int) {
 	for i := 0; ; {
 		j := bytes.IndexByte(b[i:], '\n')
 		if j < 0 {
@@ -223,15 +228,16 @@
 	}
 }
 
-func (p *Parser) line() (string, bool, error) {
+// readLine returns the next line without its line break, and whether it is complete.
+func (p *Parser) readLine() (string, bool, error) {
 	i := bytes.IndexByte(p.buf, '\n')
 	if i < 0 {
-		if len(p.buf) > MaxLine {
+		if len(p.buf) > MaxLineBytes {
 			return "", false, ErrMalformed
 		}
 		return "", false, nil
 	}
-	if i > MaxLine {
+	if i > MaxLineBytes {
 		return "", false, ErrMalformed
 	}
 	line := strings.TrimSuffix(string(p.buf[:i]), "\r")
@@ -239,7 +245,8 @@
 	return line, true, nil
 }
 
-func (p *Parser) chunk(line string) error {
+// parseChunkSize parses the line before a chunk's data; a size of 0 starts the trailers.
+func (p *Parser) parseChunkSize(line string) error {
 	size, _, _ := strings.Cut(line, ";")
 	size = strings.TrimRight(size, " \t")
 	if size == "" || len(size) > 8 {
@@ -254,35 +261,35 @@
 	if err != nil {
 		return ErrMalformed
 	}
-	if len(p.msg.Body)+int(n) > p.MaxBody {
-		return ErrBodySize
+	if len(p.msg.Body)+int(n) > p.MaxBodyBytes {
+		return ErrBodyTooLarge
 	}
-	if p.left, p.at = int(n), inChunk; n == 0 {
-		p.at = inTrailer
+	if p.remaining, p.state = int(n), inChunkData; n == 0 {
+		p.state = inTrailer
 	}
 	return nil
 }
 
-// head parses the start line and the headers and decides the body's framing.
-func (p *Parser) head(text string) error {
+// parseHead parses the start line and the headers, and determines how the body is framed.
+func (p *Parser) parseHead(text string) error {
 	lines := strings.Split(text, "\n")
-	m := &Message{}
-	p.msg, p.trailer = m, 0
-	version, err := p.startLine(m, strings.TrimSuffix(lines[0], "\r"))
+	message := &Message{}
+	p.msg, p.trailerBytes = message, 0
+	version, err := p.parseStartLine(message, strings.TrimSuffix(lines[0], "\r"))
 	if err != nil {
 		return err
 	}
 	if len(lines)-1 > MaxHeaders {
-		return ErrHeadSize
+		return ErrHeadTooLarge
 	}
-	length, chunked, keep := -1, false, false
+	length, chunked, keepAlive := -1, false, false
 	for _, line := range lines[1:] {
 		name, value, ok := strings.Cut(strings.TrimSuffix(line, "\r"), ":")
 		if !ok || !isToken(name) || strings.ContainsAny(value, "\r\x00") {
 			return ErrMalformed
 		}
 		h := Header{strings.ToLower(name), strings.Trim(value, " \t")}
-		m.Headers = append(m.Headers, h)
+		message.Headers = append(message.Headers, h)
 		switch h.Name {
 		case "content-length":
 			n, err := parseLength(h.Value)
@@ -296,54 +303,57 @@
 			}
 			chunked = true
 		case "connection":
-			for _, word := range strings.Split(strings.ToLower(h.Value), ",") {
-				m.Close = m.Close || strings.TrimSpace(word) == "close"
-				keep = keep || strings.TrimSpace(word) == "keep-alive"
+			for _, option := range strings.Split(strings.ToLower(h.Value), ",") {
+				message.Close = message.Close || strings.TrimSpace(option) == "close"
+				keepAlive = keepAlive || strings.TrimSpace(option) == "keep-alive"
 			}
 		case "expect":
-			m.Expect = strings.EqualFold(h.Value, "100-continue")
+			message.ExpectsContinue = strings.EqualFold(h.Value, "100-continue")
 		}
 	}
-	m.Close = m.Close || version == "HTTP/1.0" && !keep
+	message.Close = message.Close || version == "HTTP/1.0" && !keepAlive
 	if chunked && (length >= 0 || version == "HTTP/1.0") {
-		return ErrMalformed // two framings are how requests are smuggled
+		return ErrMalformed // ambiguous framing would permit request smuggling
 	}
-	if length > p.MaxBody {
-		return ErrBodySize
+	if length > p.MaxBodyBytes {
+		return ErrBodyTooLarge
 	}
 	switch {
-	case p.Answers && (m.Status == 204 || m.Status == 304 || m.Status < 200):
-		p.at, p.left = inBody, 0
+	case p.Responses && (message.Status == 204 || message.Status == 304 || message.Status < 200):
+		p.state, p.remaining = inBody, 0
 	case chunked:
-		p.at = inChunkSize
+		p.state = inChunkSize
 	case length >= 0:
-		p.at, p.left = inBody, length
-	case p.Answers:
-		p.at, m.Close = inUntilEnd, true
+		p.state, p.remaining = inBody, length
+	case p.Responses:
+		p.state, message.Close = inBodyUntilClose, true
 	default:
-		p.at, p.left = inBody, 0
+		p.state, p.remaining = inBody, 0
 	}
 	return nil
 }
 
-func (p *Parser) startLine(m *Message, line string) (version string, err error) {
-	a, rest, ok1 := strings.Cut(line, " ")
-	b, c, ok2 := strings.Cut(rest, " ")
-	if p.Answers {
-		if m.Status, err = strconv.Atoi(b); !ok1 || err != nil || len(b) != 3 || m.Status < 100 || !isVersion(a) {
+// parseStartLine parses a request line or a status line into message.
+func (p *Parser) parseStartLine(message *Message, line string) (version string, err error) {
+	first, rest, ok1 := strings.Cut(line, " ")
+	second, third, ok2 := strings.Cut(rest, " ")
+	if p.Responses {
+		if message.Status, err = strconv.Atoi(second); !ok1 || err != nil || len(second) != 3 || message.Status < 100 || !isVersion(first) {
 			return "", ErrMalformed
 		}
-		return a, nil
+		return first, nil
 	}
-	if !ok1 || !ok2 || !isToken(a) || b == "" || strings.ContainsAny(b, "\t\r\x00") || !isVersion(c) {
+	if !ok1 || !ok2 || !isToken(first) || second == "" || strings.ContainsAny(second, "\t\r\x00") || !isVersion(third) {
 		return "", ErrMalformed
 	}
-	m.Method, m.Target = a, b
-	return c, nil
+	message.Method, message.Target = first, second
+	return third, nil
 }
 
+// isVersion reports whether s is a supported protocol version.
 func isVersion(s string) bool { return s == "HTTP/1.1" || s == "HTTP/1.0" }
 
+// isToken reports whether s is a token as HTTP defines it.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -354,6 +364,7 @@
 	return s != ""
 }
 
+// parseLength parses a Content-Length of at most 9 digits.
 func parseLength(s string) (int, error) {
 	if len(s) == 0 || len(s) > 9 || strings.Trim(s, "0123456789") != "" {
 		return 0, ErrMalformed
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -8,14 +8,15 @@
 	"testing"
 )
 
-func TestMessages(t *testing.T) {
-	big := strings.Repeat("x", MaxHead)
+// However a stream is split into reads, the parser must return the same messages.
+func TestParserResultIsIndependentOfStreamSplit(t *testing.T) {
+	oversized := strings.Repeat("x", MaxHeadBytes)
 	for _, c := range []struct {
-		name, in string
-		answers  bool
-		want     []string // "METHOD TARGET BODY" or "STATUS BODY" of each message
-		err      error
-		close    bool
+		name, in  string
+		responses bool
+		want      []string // "METHOD TARGET BODY" or "STATUS BODY" of each message
+		err       error
+		close     bool
 	}{
 		{name: "no body", in: "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n", want: []string{"GET /ready "}},
 		{name: "length", in: "POST /a HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello", want: []string{"POST /a hello"}},
@@ -26,42 +27,42 @@
 			want: []string{"POST /a x", "GET /b "}},
 		{name: "blank lines ahead", in: "\r\n\r\nGET / HTTP/1.1\r\n\r\n", want: []string{"GET / "}},
 		{name: "close", in: "GET / HTTP/1.1\r\nConnection: x, Close\r\n\r\n", want: []string{"GET / "}, close: true},
-		{name: "old version closes", in: "GET / HTTP/1.0\r\n\r\n", want: []string{"GET / "}, close: true},
-		{name: "old version kept", in: "GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", want: []string{"GET / "}},
+		{name: "HTTP/1.0 closes", in: "GET / HTTP/1.0\r\n\r\n", want: []string{"GET / "}, close: true},
+		{name: "HTTP/1.0 with keep-alive", in: "GET / HTTP/1.0\r\nConnection: keep-alive\r\n\r\n", want: []string{"GET / "}},
 		{name: "same length twice", in: "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\nx", want: []string{"POST / x"}},
-		{name: "two lengths", in: "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", err: ErrMalformed},
+		{name: "conflicting lengths", in: "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", err: ErrMalformed},
 		{name: "length and chunks", in: "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", err: ErrMalformed},
-		{name: "unknown coding", in: "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", err: ErrMalformed},
+		{name: "unsupported transfer coding", in: "POST / HTTP/1.1\r\nTransfer-Encoding: gzip, chunked\r\n\r\n", err: ErrMalformed},
 		{name: "signed length", in: "POST / HTTP/1.1\r\nContent-Length: +1\r\n\r\nx", err: ErrMalformed},
-		{name: "body over the bound", in: "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", err: ErrBodySize},
-		{name: "chunks over the bound", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", err: ErrBodySize},
-		{name: "chunk size no number", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n", err: ErrMalformed},
-		{name: "chunk longer than told", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", err: ErrMalformed},
-		{name: "head too large", in: "GET / HTTP/1.1\r\nA: " + big, err: ErrHeadSize},
-		{name: "too many headers", in: "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxHeaders+1) + "\r\n", err: ErrHeadSize},
-		{name: "no version", in: "GET /\r\n\r\n", err: ErrMalformed},
-		{name: "another version", in: "GET / HTTP/2.0\r\n\r\n", err: ErrMalformed},
+		{name: "body over the limit", in: "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", err: ErrBodyTooLarge},
+		{name: "chunks over the limit", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n", err: ErrBodyTooLarge},
+		{name: "chunk size is not a number", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n-1\r\n", err: ErrMalformed},
+		{name: "chunk longer than its size", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n", err: ErrMalformed},
+		{name: "head too large", in: "GET / HTTP/1.1\r\nA: " + oversized, err: ErrHeadTooLarge},
+		{name: "too many headers", in: "GET / HTTP/1.1\r\n" + strings.Repeat("A: b\r\n", MaxHeaders+1) + "\r\n", err: ErrHeadTooLarge},
+		{name: "missing version", in: "GET /\r\n\r\n", err: ErrMalformed},
+		{name: "unsupported version", in: "GET / HTTP/2.0\r\n\r\n", err: ErrMalformed},
 		{name: "space before the colon", in: "GET / HTTP/1.1\r\nA : b\r\n\r\n", err: ErrMalformed},
 		{name: "folded header", in: "GET / HTTP/1.1\r\nA: b\r\n c\r\n\r\n", err: ErrMalformed},
-		{name: "answer", in: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", answers: true, want: []string{"200 ok"}},
-		{name: "answer without reason", in: "HTTP/1.1 204\r\n\r\n", answers: true, want: []string{"204 "}},
-		{name: "answer without body", in: "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", answers: true,
+		{name: "response", in: "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", responses: true, want: []string{"200 ok"}},
+		{name: "response without a reason phrase", in: "HTTP/1.1 204\r\n\r\n", responses: true, want: []string{"204 "}},
+		{name: "response without a body", in: "HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", responses: true,
 			want: []string{"204 ", "200 "}},
-		{name: "answer until the end", in: "HTTP/1.1 200 OK\r\n\r\nall", answers: true, want: []string{"200 all"}, close: true},
-		{name: "no answer", in: "SSH-2.0\r\n\r\n", answers: true, err: ErrMalformed},
+		{name: "response body until the end of the stream", in: "HTTP/1.1 200 OK\r\n\r\nall", responses: true, want: []string{"200 all"}, close: true},
+		{name: "not an HTTP response", in: "SSH-2.0\r\n\r\n", responses: true, err: ErrMalformed},
 	} {
-		for _, step := range []int{1, 7, len(c.in)} { // however the stream is cut
-			p := Parser{MaxBody: 64 << 10, Answers: c.answers}
+		for _, step := range []int{1, 7, len(c.in)} {
+			p := Parser{MaxBodyBytes: 64 << 10, Responses: c.responses}
 			var got []string
 			var err error
-			closes := false
-			take := func(m *Message) {
-				if text := m.Method + " " + m.Target + " " + string(m.Body); !c.answers {
+			anyClose := false
+			record := func(m *Message) {
+				if text := m.Method + " " + m.Target + " " + string(m.Body); !c.responses {
 					got = append(got, text)
 				} else {
 					got = append(got, fmt.Sprintf("%d %s", m.Status, m.Body))
 				}
-				closes = closes || m.Close
+				anyClose = anyClose || m.Close
 			}
 			for rest := c.in; rest != "" && err == nil; {
 				n := min(step, len(rest))
@@ -72,38 +73,39 @@
 					if m, err = p.Next(); m == nil || err != nil {
 						break
 					}
-					take(m)
+					record(m)
 				}
 			}
-			if m, end := p.End(); err == nil && end == nil && m != nil {
-				take(m)
+			if m, end := p.EndOfStream(); err == nil && end == nil && m != nil {
+				record(m)
 			}
-			if !errors.Is(err, c.err) || strings.Join(got, "|") != strings.Join(c.want, "|") || closes != c.close {
-				t.Errorf("%s, %d bytes at a time: got %q close %v err %v", c.name, step, got, closes, err)
+			if !errors.Is(err, c.err) || strings.Join(got, "|") != strings.Join(c.want, "|") || anyClose != c.close {
+				t.Errorf("%s, in steps of %d bytes: got %q close %v err %v", c.name, step, got, anyClose, err)
 			}
 		}
 	}
 }
 
-func TestStreamEndsInsideMessage(t *testing.T) {
-	p := Parser{MaxBody: 10}
+// A stream that ends inside a message must be an error, not a shorter message.
+func TestStreamEndInsideMessageIsMalformed(t *testing.T) {
+	p := Parser{MaxBodyBytes: 10}
 	p.Feed([]byte("POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\nhel"))
 	if m, err := p.Next(); m != nil || err != nil {
 		t.Fatal(m, err)
 	}
-	if _, err := p.End(); !errors.Is(err, ErrMalformed) {
+	if _, err := p.EndOfStream(); !errors.Is(err, ErrMalformed) {
 		t.Errorf("got %v", err)
 	}
 }
 
-// A stream is read the same whole and byte by byte, and within its bounds.
+// The result must not depend on how a stream is split, and must stay within the limits.
 func FuzzParser(f *testing.F) {
 	f.Add([]byte("POST /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.0\n\n"), false)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;x\r\nabc\r\n0\r\nT: 1\r\n\r\n"), true)
 	f.Add([]byte("\r\nHTTP/1.0 204 \r\n\r\nHTTP/1.1 200\r\n\r\nrest"), true)
-	f.Fuzz(func(t *testing.T, data []byte, answers bool) {
-		read := func(step int) (all []Message, failed error) {
-			p := Parser{MaxBody: 1 << 10, Answers: answers}
+	f.Fuzz(func(t *testing.T, data []byte, responses bool) {
+		read := func(step int) (all []Message, parseErr error) {
+			p := Parser{MaxBodyBytes: 1 << 10, Responses: responses}
 			for rest := data; ; {
 				n := min(step, len(rest))
 				p.Feed(rest[:n])
@@ -123,12 +125,12 @@
 				}
 			}
 		}
-		whole, err1 := read(max(1, len(data)))
-		single, err2 := read(1)
-		if !reflect.DeepEqual(whole, single) || (err1 == nil) != (err2 == nil) {
-			t.Errorf("%q: whole %v %v, byte by byte %v %v", data, whole, err1, single, err2)
+		atOnce, err1 := read(max(1, len(data)))
+		byteByByte, err2 := read(1)
+		if !reflect.DeepEqual(atOnce, byteByByte) || (err1 == nil) != (err2 == nil) {
+			t.Errorf("%q: at once %v %v, byte by byte %v %v", data, atOnce, err1, byteByByte, err2)
 		}
-		for _, m := range whole {
+		for _, m := range atOnce {
 			if len(m.Body) > 1<<10 || len(m.Headers) > MaxHeaders {
 				t.Errorf("%q: %d bytes, %d headers", data, len(m.Body), len(m.Headers))
 			}
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,4 +1,4 @@
-// Package query decodes the form of a query that all fronts share.
+// Package query decodes the query format that all fronts share.
 package query
 
 import (
@@ -13,38 +13,40 @@
 )
 
 const (
-	maxParts = 1024
-	maxName  = 128 // bytes of a query's id or key
-	// The shares of the parts make up the whole. They are rounded by whoever
-	// wrote them: so much may be missing, and so much more for each part.
-	sumSlack, partSlack = 1e-3, 1e-4
+	maxParts     = 1024 // targets of one query
+	maxNameBytes = 128  // of a query's id or key
+	// The shares of all parts must add up to 1. Clients send rounded shares, so the sum may be
+	// off by shareSumTolerance, plus shareTolerancePerPart for each part.
+	shareSumTolerance, shareTolerancePerPart = 1e-3, 1e-4
 )
 
-// Class is what a front knows of a class.
+// Class is the part of a class's configuration that the fronts need.
 type Class struct {
 	Name       string
-	Index      int
-	Keyed      bool
-	DeadlineMs float64 // when its clients give up
+	Index      int     // position in the settings' list of classes
+	Keyed      bool    // queries carry an idempotency key
+	DeadlineMs float64 // time after which the class's clients give up
 }
 
-type target struct {
+// targetField is one target in the JSON body. Pointers tell missing fields from zero values.
+type targetField struct {
 	Partition *int     `json:"partition"`
 	Share     *float64 `json:"share"`
 	EstUs     *float64 `json:"est_us"`
 	Route     string   `json:"route"`
 }
 
-type body struct {
-	Targets []target `json:"targets"`
-	Query   *string  `json:"query"`
+// queryBody is the JSON body of a query.
+type queryBody struct {
+	Targets []targetField `json:"targets"`
+	Query   *string       `json:"query"`
 }
 
-// DecodeBody fills in q's parts and text from a query's JSON body. shards, if
-// not 0, bounds the shards' numbers. Errors name the field.
-func DecodeBody(q *broker.Query, data []byte, shards int) error {
-	var b body
-	if !utf8.Valid(data) { // the decoder would replace what is not, and the text must arrive unchanged
+// DecodeBody sets q's parts and text from a query's JSON body. Shard numbers must be below
+// shardCount unless it is 0. Errors name the invalid field.
+func DecodeBody(q *broker.Query, data []byte, shardCount int) error {
+	var b queryBody
+	if !utf8.Valid(data) { // the decoder would replace invalid bytes, but the text must reach the nodes unchanged
 		return errors.New("body: not in UTF-8")
 	}
 	if err := json.Unmarshal(data, &b); err != nil {
@@ -59,7 +61,7 @@
 	q.Text = []byte(*b.Query)
 	seen, sum := make(map[int]bool, len(b.Targets)), 0.0
 	for i, t := range b.Targets {
-		if t.Partition == nil || *t.Partition < 0 || shards > 0 && *t.Partition >= shards || seen[*t.Partition] {
+		if t.Partition == nil || *t.Partition < 0 || shardCount > 0 && *t.Partition >= shardCount || seen[*t.Partition] {
 			return fmt.Errorf("targets[%d].partition: want a shard, each once", i)
 		}
 		if t.Share == nil || !(*t.Share >= 0 && *t.Share <= 1) {
@@ -83,23 +85,23 @@
 		}
 		q.Parts = append(q.Parts, p)
 	}
-	if math.Abs(sum-1) > sumSlack+partSlack*float64(len(b.Targets)) {
+	if math.Abs(sum-1) > shareSumTolerance+shareTolerancePerPart*float64(len(b.Targets)) {
 		return fmt.Errorf("targets: the shares add up to %.4g, want 1", sum)
 	}
 	return nil
 }
 
-// CheckName says whether s can be an id or a key: it must be able to stand in a
-// line of a frame.
-func CheckName(field, s string) error {
-	for i := range len(s) {
-		c := s[i]
+// ValidateName returns an error unless name is a valid query id or key: its characters must be
+// safe in a line of a frame. field names it in the error.
+func ValidateName(field, name string) error {
+	for i := range len(name) {
+		c := name[i]
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_') {
 			return fmt.Errorf("%s: want letters, digits, '-' and '_' only", field)
 		}
 	}
-	if s == "" || len(s) > maxName {
-		return fmt.Errorf("%s: want 1 to %d characters", field, maxName)
+	if name == "" || len(name) > maxNameBytes {
+		return fmt.Errorf("%s: want 1 to %d characters", field, maxNameBytes)
 	}
 	return nil
 }
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -340,7 +340,7 @@
 	case Done:
 		return flightwire.WriteValues(stream, true, []broker.Value{{Shard: p.Partition, Data: []byte(Value(p.Partition))}})
 	case Full:
-		stream.SetTrailer(metadata.Pairs(flightwire.EndKey, flightwire.EndFull))
+		stream.SetTrailer(metadata.Pairs(flightwire.PartEndKey, flightwire.PartEndQueueFull))
 		return status.Error(codes.ResourceExhausted, "full")
 	case Fail:
 		return status.Error(codes.Internal, "failed")
--- a/internal/tracecontext/tracecontext.go
+++ b/internal/tracecontext/tracecontext.go
@@ -1,6 +1,6 @@
 // Package tracecontext reads and writes the headers of W3C Trace Context
 // (https://www.w3.org/TR/trace-context/) for the fronts and the Flight node
-// client. What is malformed counts as absent and harms nothing.
+// client. Malformed headers are treated as absent.
 package tracecontext
 
 import (
@@ -13,61 +13,67 @@
 	"onyxsail/broker"
 )
 
-// The headers' names.
+// Header names.
 const (
-	ParentKey = "traceparent"
-	StateKey  = "tracestate"
+	TraceparentHeader = "traceparent"
+	TracestateHeader  = "tracestate"
 )
 
-// Bounds of what is read: a later version's traceparent may be longer than
-// version 0's 55 characters, and the specification asks for 512 of tracestate
-// to be carried.
+// Limits of the header values that are read. The traceparent of a later version may be longer
+// than the 55 characters of version 0, and the specification requires at least 512 characters
+// of tracestate to be propagated.
 const (
-	maxParent = 256
-	maxState  = 512
+	maxTraceparentBytes = 256
+	maxTracestateBytes  = 512
 )
 
-type carrier struct{ parent, state string }
+// headerCarrier implements propagation.TextMapCarrier for two header values.
+type headerCarrier struct{ parent, state string }
 
-func (c carrier) Get(key string) string {
+// Get implements propagation.TextMapCarrier.
+func (c headerCarrier) Get(key string) string {
 	switch key {
-	case ParentKey:
+	case TraceparentHeader:
 		return c.parent
-	case StateKey:
+	case TracestateHeader:
 		return c.state
 	}
 	return ""
 }
-func (c carrier) Set(string, string) {}
-func (c carrier) Keys() []string     { return []string{ParentKey, StateKey} }
 
-// Parse reads the values of both headers, each as often as it stood. A
-// traceparent that is absent, repeated, too long or malformed begins a new
-// trace: the result is zero. A tracestate that cannot be used is left out.
-func Parse(parents []string, state string) broker.TraceContext {
-	if len(parents) != 1 || len(parents[0]) > maxParent {
+// Set implements propagation.TextMapCarrier; it does nothing, as the carrier is only read.
+func (c headerCarrier) Set(string, string) {}
+
+// Keys implements propagation.TextMapCarrier.
+func (c headerCarrier) Keys() []string { return []string{TraceparentHeader, TracestateHeader} }
+
+// Parse parses the values of both headers: one traceparent for each time the header is present,
+// and the tracestate values joined by commas. If the traceparent is absent, repeated, too long
+// or malformed, the result is zero, which means a new trace. An unusable tracestate is dropped.
+func Parse(traceparents []string, tracestate string) broker.TraceContext {
+	if len(traceparents) != 1 || len(traceparents[0]) > maxTraceparentBytes {
 		return broker.TraceContext{}
 	}
-	if len(state) > maxState {
-		state = ""
+	if len(tracestate) > maxTracestateBytes {
+		tracestate = ""
 	}
-	ctx := propagation.TraceContext{}.Extract(context.Background(), carrier{parents[0], state})
-	sc := trace.SpanContextFromContext(ctx)
-	if !sc.IsValid() {
+	ctx := propagation.TraceContext{}.Extract(context.Background(), headerCarrier{traceparents[0], tracestate})
+	spanContext := trace.SpanContextFromContext(ctx)
+	if !spanContext.IsValid() {
 		return broker.TraceContext{}
 	}
 	return broker.TraceContext{
-		ID: sc.TraceID(), Parent: sc.SpanID(), Sampled: sc.IsSampled(), State: sc.TraceState().String(),
+		ID: spanContext.TraceID(), Parent: spanContext.SpanID(), Sampled: spanContext.IsSampled(), State: spanContext.TraceState().String(),
 	}
 }
 
-// Format renders a traceparent of version 0.
-func Format(id [16]byte, span [8]byte, sampled bool) string {
+// FormatTraceparent returns a traceparent header value of version 0.
+func FormatTraceparent(traceID [16]byte, spanID [8]byte, sampled bool) string {
 	b := make([]byte, 0, 55)
 	b = append(b, "00-"...)
-	b = hex.AppendEncode(b, id[:])
+	b = hex.AppendEncode(b, traceID[:])
 	b = append(b, '-')
-	b = hex.AppendEncode(b, span[:])
+	b = hex.AppendEncode(b, spanID[:])
 	if sampled {
 		return string(append(b, "-01"...))
 	}
--- a/internal/tracecontext/tracecontext_test.go
+++ b/internal/tracecontext/tracecontext_test.go
@@ -7,46 +7,48 @@
 	"onyxsail/broker"
 )
 
-const good = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
+const validTraceparent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 
-func TestParse(t *testing.T) {
-	c := Parse([]string{good}, "a=1,b=2")
-	if Format(c.ID, c.Parent, c.Sampled) != good || c.State != "a=1,b=2" {
+// A malformed traceparent must start a new trace and a malformed tracestate must be dropped.
+func TestParseTreatsMalformedHeadersAsAbsent(t *testing.T) {
+	c := Parse([]string{validTraceparent}, "a=1,b=2")
+	if FormatTraceparent(c.ID, c.Parent, c.Sampled) != validTraceparent || c.State != "a=1,b=2" {
 		t.Errorf("got %+v", c)
 	}
-	for name, parents := range map[string][]string{
-		"absent": nil, "repeated": {good, good}, "empty": {""}, "too long": {good + "-00"}, "far too long": {good + strings.Repeat("x", 9000)},
-		"upper case": {strings.ToUpper(good)}, "version ff": {"ff" + good[2:]}, "no trace": {"00-00000000000000000000000000000000-00f067aa0ba902b7-01"},
-		"no span": {"00-4bf92f3577b34da6a3ce929d0e0e4736-0000000000000000-01"}, "no hex": {"00-4bf92f3577b34da6a3ce929d0e0e473g-00f067aa0ba902b7-01"},
-		"short": {good[:54]}, "noise": {"\x00\xff"},
+	for name, traceparents := range map[string][]string{
+		"absent": nil, "repeated": {validTraceparent, validTraceparent}, "empty": {""}, "too long": {validTraceparent + "-00"}, "far too long": {validTraceparent + strings.Repeat("x", 9000)},
+		"upper case": {strings.ToUpper(validTraceparent)}, "version ff": {"ff" + validTraceparent[2:]}, "zero trace ID": {"00-00000000000000000000000000000000-00f067aa0ba902b7-01"},
+		"zero span ID": {"00-4bf92f3577b34da6a3ce929d0e0e4736-0000000000000000-01"}, "not hexadecimal": {"00-4bf92f3577b34da6a3ce929d0e0e473g-00f067aa0ba902b7-01"},
+		"too short": {validTraceparent[:54]}, "binary data": {"\x00\xff"},
 	} {
-		if c := Parse(parents, "a=1"); c != (broker.TraceContext{}) {
-			t.Errorf("%s: %+v, want a new trace", name, c)
+		if c := Parse(traceparents, "a=1"); c != (broker.TraceContext{}) {
+			t.Errorf("%s: got %+v, want a zero context", name, c)
 		}
 	}
-	// A state that cannot be used costs the state, not the trace.
-	for _, state := range []string{"a", "a=1,a=2", strings.Repeat("a=1,", 200), "\x00=1"} {
-		if c := Parse([]string{good}, state); c.State != "" || c.ID == [16]byte{} {
-			t.Errorf("state %.20q: %+v", state, c)
+	// An invalid tracestate must not discard the traceparent.
+	for _, tracestate := range []string{"a", "a=1,a=2", strings.Repeat("a=1,", 200), "\x00=1"} {
+		if c := Parse([]string{validTraceparent}, tracestate); c.State != "" || c.ID == [16]byte{} {
+			t.Errorf("tracestate %.20q: got %+v", tracestate, c)
 		}
 	}
-	if c := Parse([]string{"cc" + good[2:] + "-more"}, ""); c.ID == [16]byte{} {
-		t.Error("a later version's traceparent is not read")
+	if c := Parse([]string{"cc" + validTraceparent[2:] + "-more"}, ""); c.ID == [16]byte{} {
+		t.Error("the traceparent of a later version was not parsed")
 	}
 }
 
+// A parsed trace context must survive a round trip through the headers.
 func FuzzParse(f *testing.F) {
-	f.Add(good, "a=1")
+	f.Add(validTraceparent, "a=1")
 	f.Fuzz(func(t *testing.T, parent, state string) {
 		c := Parse([]string{parent}, state)
 		if c.ID == [16]byte{} {
 			if c != (broker.TraceContext{}) {
-				t.Fatalf("half a context: %+v", c)
+				t.Fatalf("partial trace context: %+v", c)
 			}
 			return
 		}
-		if len(c.State) > maxState || Parse([]string{Format(c.ID, c.Parent, c.Sampled)}, c.State) != c {
-			t.Fatalf("%q, %q: %+v does not come back", parent, state, c)
+		if len(c.State) > maxTracestateBytes || Parse([]string{FormatTraceparent(c.ID, c.Parent, c.Sampled)}, c.State) != c {
+			t.Fatalf("%q, %q: %+v changed in a round trip", parent, state, c)
 		}
 	})
 }
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -590,5 +590,5 @@
 	if !ok {
 		return "", ""
 	}
-	return tracecontext.Format(ref.l.ID, ref.l.Attempts[ref.i].Span, ref.l.Sampled), ref.l.State
+	return tracecontext.FormatTraceparent(ref.l.ID, ref.l.Attempts[ref.i].Span, ref.l.Sampled), ref.l.State
 }
