--- a/flightfront/front_test.go
+++ b/flightfront/front_test.go
@@ -115,11 +115,11 @@
 		core.mu.Lock()
 		core.reply, core.queueFull = &c.reply, c.full
 		core.mu.Unlock()
-		whole, values, err := runQuery(context.Background(), client, c.ticket)
+		complete, values, err := runQuery(context.Background(), client, c.ticket)
 		var s interface{ GRPCStatus() *status.Status }
 		if c.code == codes.OK {
-			if err != nil || whole != c.reply.Whole || len(values) != 1 || values[0].Shard != 3 || string(values[0].Data) != "v\x00" {
-				t.Errorf("%s: got %v %+v %v", c.name, whole, values, err)
+			if err != nil || complete != c.reply.Whole || len(values) != 1 || values[0].Shard != 3 || string(values[0].Data) != "v\x00" {
+				t.Errorf("%s: got %v %+v %v", c.name, complete, values, err)
 			}
 			continue
 		}
--- a/httpfront/codec.go
+++ b/httpfront/codec.go
@@ -96,15 +96,15 @@
 
 // queryResponse is the response body of a served query.
 type queryResponse struct {
-	Whole   bool         `json:"whole"`
-	Results []partResult `json:"results"`
+	Complete bool         `json:"whole"`
+	Results  []partResult `json:"results"`
 }
 
 // encodeReply appends the HTTP response for the final reply to a query.
 func encodeReply(dst []byte, reply broker.Reply, closeAfter bool) []byte {
 	switch reply.Verdict {
 	case broker.Served:
-		response := queryResponse{Whole: reply.Whole, Results: make([]partResult, len(reply.Values))}
+		response := queryResponse{Complete: reply.Whole, Results: make([]partResult, len(reply.Values))}
 		for i, v := range reply.Values {
 			if !utf8.Valid(v.Data) { // the JSON encoder would replace invalid bytes and return a value that no node sent
 				return encodeText(dst, http.StatusBadGateway, "a value is no text", 0, closeAfter)
--- a/httpfront/crossing_test.go
+++ b/httpfront/crossing_test.go
@@ -301,10 +301,10 @@
 	for i := range queued {
 		connectAndSend(fmt.Sprint("b", i))
 	}
-	ended := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
 		f.Drain(context.Background(), 0)
-		close(ended)
+		close(drained)
 	}()
 	testkit.Eventually(t, "the front accepts only queued connections", f.acceptingLast.Load)
 	for i := range f.connSlots.limit + queued {
@@ -312,7 +312,7 @@
 		core.reply(broker.QueryID(i+1), broker.Reply{Verdict: broker.Served})
 	}
 	clients.Wait()
-	<-ended
+	<-drained
 }
 
 // A connection that has been accepted but not registered yet while the drain checks for open
@@ -322,14 +322,14 @@
 	client, in := dial(t, f)
 	send(t, client, queryWithID("a"))
 	<-h.accepted
-	ended := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
 		f.Drain(context.Background(), 0)
-		close(ended)
+		close(drained)
 	}()
 	testkit.Eventually(t, "the front accepts only queued connections", f.acceptingLast.Load)
 	select {
-	case <-ended:
+	case <-drained:
 		t.Fatal("Drain returned while a connection was being accepted")
 	case <-time.After(100 * time.Millisecond): // time for several checks
 	}
@@ -340,17 +340,17 @@
 		t.Errorf("status %d", res.StatusCode)
 	}
 	client.Close()
-	<-ended
+	<-drained
 }
 
 // A request whose client left while it waited, for the accept, behind unread data or behind
 // other requests of its connection, must not be submitted.
 func TestQueuedRequestOfDepartedClientIsNotSubmitted(t *testing.T) {
 	t.Run("before the accept", func(t *testing.T) {
-		for _, ahead := range []int{1, 40} {
+		for _, pipelined := range []int{1, 40} {
 			f, core, h := startWithBlockedAccept(t)
 			client, _ := dial(t, f)
-			for i := range ahead {
+			for i := range pipelined {
 				send(t, client, queryWithID(fmt.Sprint("a", i)))
 			}
 			<-h.accepted
@@ -361,7 +361,7 @@
 			readResponse(t, in)
 			testkit.Eventually(t, "the connection is closed", func() bool { return len(f.openConns()) == 1 })
 			if core.submitted() != 0 {
-				t.Errorf("%d pipelined requests: %d queries were submitted", ahead, core.submitted())
+				t.Errorf("%d pipelined requests: %d queries were submitted", pipelined, core.submitted())
 			}
 		}
 	})
--- a/httpfront/front.go
+++ b/httpfront/front.go
@@ -50,8 +50,8 @@
 	// may have arrived without having been read yet.
 	minEvictionAge        = 100 * time.Millisecond
 	evictionRetryInterval = 5 * time.Millisecond // between attempts to evict a connection
-	// maxHalfClosed is the number of half-closed connections at which no more are evicted
-	// until one of them has closed.
+	// maxHalfClosed is the number of half-closed connections from which on no others are shut
+	// down to free slots, until some of them have closed.
 	maxHalfClosed = 16
 )
 
@@ -174,7 +174,8 @@
 		if !f.acquireSlot() {
 			return
 		}
-		// Connections in the accept queue would be reset when the socket is closed.
+		// Connections in the accept queue would be reset when the socket is closed, so they are
+		// accepted first.
 		if f.acceptingLast.Load() && (f.handedOver.Load() || !netio.Waiting(f.listener)) {
 			return
 		}
--- a/httpfront/front_test.go
+++ b/httpfront/front_test.go
@@ -142,6 +142,8 @@
 	return b.String() + "0\r\n\r\n"
 }
 
+// An invalid request must get the right error status and must not be submitted. The connection is
+// closed only if it is not known where the next request starts.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	f, core := start(t)
 	for _, c := range []struct {
@@ -203,6 +205,7 @@
 	}
 }
 
+// Each reply must map to the right HTTP response, and a request must be decoded completely.
 func TestReplyResponsesAndDecodedQuery(t *testing.T) {
 	f, core := start(t)
 	conn, in := dial(t, f)
@@ -289,10 +292,10 @@
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == 1 })
-	ended := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
 		f.Drain(context.Background(), 300*time.Millisecond)
-		close(ended)
+		close(drained)
 	}()
 	testkit.Eventually(t, "the front drains", f.draining.Load)
 	late, lateIn := dial(t, f)
@@ -308,7 +311,7 @@
 	idle.Close()
 	late.Close()
 	select {
-	case <-ended:
+	case <-drained:
 		t.Fatal("Drain returned while a query was open")
 	default:
 	}
@@ -317,7 +320,7 @@
 		t.Errorf("status %d close %v", res.StatusCode, res.Close)
 	}
 	busy.Close()
-	<-ended
+	<-drained
 }
 
 // A request that is never received completely must not block a drain.
@@ -337,16 +340,16 @@
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ended := make(chan struct{})
+	drained := make(chan struct{})
 	go func() {
 		f.Drain(ctx, 0)
-		close(ended)
+		close(drained)
 	}()
 	if res, _ := readResponse(t, in); res.StatusCode != http.StatusRequestTimeout || !res.Close {
 		t.Errorf("status %d close %v", res.StatusCode, res.Close)
 	}
 	conn.Close()
-	<-ended
+	<-drained
 }
 
 // A connection without a complete request must be closed after its timeout, with a 408
--- a/httpfront/terms_test.go
+++ b/httpfront/terms_test.go
@@ -25,9 +25,9 @@
 	late, lateIn := dial(t, f)
 	slow, slowIn := dial(t, f)
 	request := queryWithID("slow")
-	ended := make(chan struct{})
+	sent := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(sent)
 		const pieces = 10
 		for i := range pieces {
 			_, _ = io.WriteString(slow, request[i*len(request)/pieces:(i+1)*len(request)/pieces])
@@ -39,7 +39,7 @@
 	if res, _ := readResponse(t, lateIn); res.StatusCode != http.StatusRequestTimeout || time.Since(started) > limit {
 		t.Errorf("status %d after %v", res.StatusCode, time.Since(started))
 	}
-	<-ended
+	<-sent
 	testkit.Eventually(t, "the slow request is submitted", func() bool { return core.submitted() == 1 })
 	core.reply(1, broker.Reply{Verdict: broker.Refused})
 	if res, _ := readResponse(t, slowIn); res.StatusCode != http.StatusServiceUnavailable {
@@ -53,7 +53,7 @@
 	f, core := start(t)
 	client, in := dial(t, f)
 	send(t, client, queryWithID("first"))
-	testkit.Eventually(t, "the first is submitted", func() bool { return core.submitted() == 1 })
+	testkit.Eventually(t, "the first query is submitted", func() bool { return core.submitted() == 1 })
 	head, body, _ := strings.Cut(postRequest("/screen", strings.Replace(queryHeaders, "q1", "second", 1)+"Expect: 100-continue\r\n", validBody), "\r\n\r\n")
 	send(t, client, head+"\r\n\r\n")
 	testkit.Eventually(t, "the request head is read", func() bool {
@@ -71,7 +71,7 @@
 		t.Fatal(err)
 	}
 	send(t, client, body)
-	testkit.Eventually(t, "the second is submitted", func() bool { return core.submitted() == 2 })
+	testkit.Eventually(t, "the second query is submitted", func() bool { return core.submitted() == 2 })
 	core.reply(2, broker.Reply{Verdict: broker.Refused})
 	readResponse(t, in)
 
@@ -171,7 +171,7 @@
 	sent := time.Now()
 	time.Sleep(waited)
 	core.reply(1, broker.Reply{Verdict: broker.Refused}) // closes its connection, as the limit is reached
-	testkit.Eventually(t, "the last is submitted", func() bool { return core.submitted() == f.connSlots.limit+1 })
+	testkit.Eventually(t, "the last query is submitted", func() bool { return core.submitted() == f.connSlots.limit+1 })
 	q := core.queries[broker.QueryID(f.connSlots.limit+1)]
 	if clientTimeLeft, budgetLeft := q.Budget-time.Since(sent), q.Budget-time.Since(q.Came); budgetLeft > clientTimeLeft+slack {
 		t.Errorf("the client waits %v more, the query has %v left", clientTimeLeft, budgetLeft)
