--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -444,7 +444,7 @@
 	d.core.SetAnswerDeadline(stopTime.Add(answerTimeout))
 	window := time.Duration(d.handOverWindow.Load())
 	if d.hasSuccessor() {
-		d.httpFront.HandedOver(stopTime.Add(answerTimeout * idleKeepPercent / 100))
+		d.httpFront.SetHandedOver(stopTime.Add(answerTimeout * idleKeepPercent / 100))
 	}
 	d.log.Info().Str("event", "draining").Dur("window", window).Msg("stop requested; draining")
 	ctx, cancel := context.WithTimeout(ctx, window+drainTimeout)
--- a/daemon/figures.go
+++ b/daemon/figures.go
@@ -18,7 +18,7 @@
 func (d *Daemon) Ready() bool { return d.httpFront.Ready() }
 
 // SendAway implements admin.Broker.
-func (d *Daemon) SendAway(away bool) { d.httpFront.SendAway(away) }
+func (d *Daemon) SendAway(away bool) { d.httpFront.SetOperatorDrain(away) }
 
 // Figures implements admin.Broker.
 func (d *Daemon) Figures() []admin.Figure {
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -212,7 +212,7 @@
 // flightActions returns the operators' actions that the Flight front offers.
 func (d *Daemon) flightActions() []flightfront.Action {
 	actions := []flightfront.Action{{
-		Name: ActionStatus, About: "counts of this broker and its view of the store's group",
+		Name: ActionStatus, Description: "counts of this broker and its view of the store's group",
 		Run: func(context.Context, []byte) ([]byte, error) { return json.Marshal(d.Status()) },
 	}}
 	if d.tracer != nil {
@@ -223,11 +223,11 @@
 	}
 	return append(actions,
 		flightfront.Action{
-			Name: ActionConfigGet, About: "the configuration as this instance has it",
+			Name: ActionConfigGet, Description: "the configuration as this instance has it",
 			Run: func(context.Context, []byte) ([]byte, error) { return json.Marshal(d.store.State().Config) },
 		},
 		flightfront.Action{
-			Name: ActionConfigSet, About: "change fields of the configuration; goes to the leader",
+			Name: ActionConfigSet, Description: "change fields of the configuration; goes to the leader",
 			Run: func(_ context.Context, body []byte) ([]byte, error) { return d.setConfig(body) },
 		})
 }
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -221,7 +221,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("connecting to discovery: %w", err)
 		}
-		c.conn, c.parser = conn, http1.Parser{MaxBody: maxListBytes, Answers: true}
+		c.conn, c.parser = conn, http1.Parser{MaxBodyBytes: maxListBytes, Responses: true}
 	}
 	conn := c.conn
 	if err := conn.SetDeadline(start.Add(timeout)); err != nil {
@@ -240,7 +240,7 @@
 		c.parser.Feed(buf[:n])
 		m, parseErr := c.parser.Next()
 		if parseErr == nil && m == nil && errors.Is(err, io.EOF) { // a reset or a time-out does not complete an answer
-			m, parseErr = c.parser.End()
+			m, parseErr = c.parser.EndOfStream()
 		}
 		switch {
 		case parseErr != nil:
@@ -250,7 +250,7 @@
 				c.closeConn()
 			}
 			return m, nil
-		case errors.Is(err, os.ErrDeadlineExceeded) && c.hasFullList && !c.parser.Mid():
+		case errors.Is(err, os.ErrDeadlineExceeded) && c.hasFullList && !c.parser.InMessage():
 			return nil, errWatchSilent
 		case err != nil:
 			return nil, fmt.Errorf("reading discovery's answer: %w", err)
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -397,9 +397,9 @@
 	notify(broker.WireConnected, time.Now())
 	if c.opts.Observer != nil {
 		if parent, state := c.opts.Observer.TraceHeaders(a.ID); parent != "" {
-			ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.ParentKey, parent)
+			ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.TraceparentHeader, parent)
 			if state != "" {
-				ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.StateKey, state)
+				ctx = metadata.AppendToOutgoingContext(ctx, tracecontext.TracestateHeader, state)
 			}
 		}
 	}
@@ -417,7 +417,7 @@
 	if end, ok := ctx.Deadline(); ok {
 		remaining = time.Until(end)
 	}
-	ticket, err := flightwire.Encode(flightwire.PartTicket{
+	ticket, err := flightwire.EncodeTicket(flightwire.PartTicket{
 		ID: fmt.Sprintf("%s.%d", a.RequestID, a.Shard), Partition: a.Shard, WaitMs: max(1, remaining.Milliseconds()),
 		Key: a.IdempotencyKey, Query: a.Text,
 	})
@@ -480,7 +480,7 @@
 
 // classify returns the outcome for an error on a stream that had been opened.
 func classify(err error, trailer metadata.MD) decide.Outcome {
-	if ends := trailer.Get(flightwire.EndKey); len(ends) == 1 && ends[0] == flightwire.EndFull {
+	if ends := trailer.Get(flightwire.PartEndKey); len(ends) == 1 && ends[0] == flightwire.PartEndQueueFull {
 		return decide.Rejected
 	}
 	switch statusCode(err) {
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -350,7 +350,7 @@
 	case Done:
 		return flightwire.WriteValues(stream, true, []broker.Value{{Shard: request.Partition, Data: []byte(ShardValue(request.Partition))}})
 	case Full:
-		stream.SetTrailer(metadata.Pairs(flightwire.EndKey, flightwire.EndFull))
+		stream.SetTrailer(metadata.Pairs(flightwire.PartEndKey, flightwire.PartEndQueueFull))
 		return status.Error(codes.ResourceExhausted, "full")
 	case Failed:
 		return status.Error(codes.Internal, "failed")
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -590,5 +590,5 @@
 	if !ok {
 		return "", ""
 	}
-	return tracecontext.Format(ref.l.ID, ref.l.Attempts[ref.i].Span, ref.l.Sampled), ref.l.State
+	return tracecontext.FormatTraceparent(ref.l.ID, ref.l.Attempts[ref.i].Span, ref.l.Sampled), ref.l.State
 }
