--- a/admin/admin.go
+++ b/admin/admin.go
@@ -22,12 +22,12 @@
 const (
 	// maxCallers bounds the connections: the next caller ends the oldest of them. A call
 	// takes milliseconds, so the oldest has not finished its own.
-	maxCallers = 16
+	maxConnections = 16
 	// callWithin is how long a caller may take with its call, and with reading the answer.
-	callWithin = 5 * time.Second
-	maxHeader  = 4 << 10 // bytes
+	callTimeout    = 5 * time.Second
+	maxHeaderBytes = 4 << 10 // bytes
 	// prefix begins the name of each figure.
-	prefix = "edge_node."
+	metricPrefix = "edge_node."
 )
 
 // Paths of the calls.
@@ -39,7 +39,7 @@
 )
 
 // Figure is one metric.
-type Figure struct {
+type Metric struct {
 	Name  string
 	Value int64
 }
@@ -50,34 +50,34 @@
 	// Ready says whether the process takes clients.
 	Ready() bool
 	// Figures returns the metrics in the order in which they are shown.
-	Figures() []Figure
+	Metrics() []Metric
 	// SendAway begins an operator's drain, or ends it; doing so twice changes nothing.
-	SendAway(away bool)
+	SetDraining(draining bool)
 }
 
 // Server is the operators' port.
 type Server struct {
-	http     http.Server
-	listener *callers
+	server   http.Server
+	listener *boundedListener
 	done     chan struct{}
 }
 
 // Listen opens the port at addr, a host and port, and begins to serve. An error is that of
 // the address.
 func Listen(addr string, broker Broker, logger zerolog.Logger) (*Server, error) {
-	l, err := netio.Listen(addr)
+	inner, err := netio.Listen(addr)
 	if err != nil {
 		return nil, fmt.Errorf("listening for operators: %w", err)
 	}
-	s := &Server{listener: &callers{Listener: l}, done: make(chan struct{})}
-	s.http = http.Server{
-		Handler: routes(broker, logger), ReadTimeout: callWithin, WriteTimeout: callWithin, MaxHeaderBytes: maxHeader,
+	s := &Server{listener: &boundedListener{Listener: inner}, done: make(chan struct{})}
+	s.server = http.Server{
+		Handler: newHandler(broker, logger), ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: log.New(io.Discard, "", 0), // of callers that break off
 	}
-	s.http.SetKeepAlivesEnabled(false)
+	s.server.SetKeepAlivesEnabled(false)
 	go func() {
 		defer close(s.done)
-		if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
+		if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 			logger.Error().Str("event", "operators").Err(err).Msg("the operators' port has ended")
 		}
 	}()
@@ -89,15 +89,15 @@
 
 // Close ends the port and all calls.
 func (s *Server) Close() {
-	_ = s.http.Close() // of sockets that carry nothing more
+	_ = s.server.Close() // of sockets that carry nothing more
 	<-s.done
 }
 
-func routes(broker Broker, logger zerolog.Logger) http.Handler {
-	steer := func(name string, away bool) http.HandlerFunc {
+func newHandler(broker Broker, logger zerolog.Logger) http.Handler {
+	drainHandler := func(name string, draining bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			logger.Info().Str("event", name).Msg("an operator has called")
-			broker.SendAway(away)
+			broker.SetDraining(draining)
 			_, _ = io.WriteString(w, name+"\n") // the caller may have gone
 		}
 	}
@@ -111,67 +111,67 @@
 	})
 	mux.HandleFunc("GET "+MetricsPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_, _ = w.Write(Render(nil, broker.Figures()))
+		_, _ = w.Write(AppendMetrics(nil, broker.Metrics()))
 	})
-	mux.HandleFunc("POST "+DrainPath, steer("drain", true))
-	mux.HandleFunc("POST "+ResumePath, steer("resume", false))
+	mux.HandleFunc("POST "+DrainPath, drainHandler("drain", true))
+	mux.HandleFunc("POST "+ResumePath, drainHandler("resume", false))
 	return mux
 }
 
 // Render appends the figures to text, a line each.
-func Render(text []byte, figures []Figure) []byte {
-	for _, f := range figures {
-		text = append(text, prefix...)
-		text = append(text, f.Name...)
+func AppendMetrics(text []byte, metrics []Metric) []byte {
+	for _, metric := range metrics {
+		text = append(text, metricPrefix...)
+		text = append(text, metric.Name...)
 		text = append(text, '=')
-		text = strconv.AppendInt(text, f.Value, 10)
+		text = strconv.AppendInt(text, metric.Value, 10)
 		text = append(text, '\n')
 	}
 	return text
 }
 
 // callers is a listener whose open connections are bounded.
-type callers struct {
+type boundedListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open []*caller // the oldest first
+	open []*trackedConn // the oldest first
 }
 
-type caller struct {
+type trackedConn struct {
 	net.Conn
-	of *callers
+	listener *boundedListener
 }
 
 // Accept implements net.Listener.
-func (l *callers) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+func (l *boundedListener) Accept() (net.Conn, error) {
+	inner, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	own := &caller{c, l}
+	conn := &trackedConn{inner, l}
 	l.mu.Lock()
-	l.open = append(l.open, own)
-	var oldest *caller
-	if len(l.open) > maxCallers {
+	l.open = append(l.open, conn)
+	var oldest *trackedConn
+	if len(l.open) > maxConnections {
 		oldest = l.open[0]
 	}
 	l.mu.Unlock()
 	if oldest != nil {
 		_ = oldest.Close()
 	}
-	return own, nil
+	return conn, nil
 }
 
 // Close implements net.Conn.
-func (c *caller) Close() error {
-	c.of.mu.Lock()
-	for i, other := range c.of.open {
-		if other == c {
-			c.of.open = append(c.of.open[:i], c.of.open[i+1:]...)
+func (c *trackedConn) Close() error {
+	c.listener.mu.Lock()
+	for i, open := range c.listener.open {
+		if open == c {
+			c.listener.open = append(c.listener.open[:i], c.listener.open[i+1:]...)
 			break
 		}
 	}
-	c.of.mu.Unlock()
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
@@ -182,25 +182,25 @@
 	if err != nil {
 		return "", fmt.Errorf("calling %s: %w", addr, err)
 	}
-	res, err := http.DefaultClient.Do(req)
+	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return "", fmt.Errorf("calling %s: %w", addr, err)
 	}
-	defer res.Body.Close()
-	text, err := io.ReadAll(res.Body)
+	defer resp.Body.Close()
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return "", fmt.Errorf("reading the answer of %s: %w", addr, err)
 	}
-	if res.StatusCode/100 != 2 {
-		return "", &RefusedError{res.StatusCode, string(text)}
+	if resp.StatusCode/100 != 2 {
+		return "", &StatusError{resp.StatusCode, string(body)}
 	}
-	return string(text), nil
+	return string(body), nil
 }
 
 // RefusedError is an answer that is no yes.
-type RefusedError struct {
+type StatusError struct {
 	Status int
-	Text   string
+	Body   string
 }
 
-func (e *RefusedError) Error() string { return fmt.Sprintf("refused with %d: %s", e.Status, e.Text) }
+func (e *StatusError) Error() string { return fmt.Sprintf("refused with %d: %s", e.Status, e.Body) }
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -14,15 +14,17 @@
 	"github.com/rs/zerolog"
 )
 
-type fake struct{ ready, away atomic.Bool }
+type fakeBroker struct{ ready, draining atomic.Bool }
 
-func (f *fake) Ready() bool        { return f.ready.Load() }
-func (f *fake) SendAway(away bool) { f.away.Store(away) }
-func (f *fake) Figures() []Figure  { return []Figure{{"fulfilled.screen", 812}, {"open_requests", 14}} }
+func (f *fakeBroker) Ready() bool               { return f.ready.Load() }
+func (f *fakeBroker) SetDraining(draining bool) { f.draining.Store(draining) }
+func (f *fakeBroker) Metrics() []Metric {
+	return []Metric{{"fulfilled.screen", 812}, {"open_requests", 14}}
+}
 
-func serve(t *testing.T) (*fake, string) {
+func startServer(t *testing.T) (*fakeBroker, string) {
 	t.Helper()
-	f := &fake{}
+	f := &fakeBroker{}
 	s, err := Listen("127.0.0.1:0", f, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -31,37 +33,37 @@
 	return f, s.Addr().String()
 }
 
-func TestCalls(t *testing.T) {
-	f, addr := serve(t)
+func TestCallsReportReadinessAndMetricsAndSetDraining(t *testing.T) {
+	broker, addr := startServer(t)
 	call := func(method, path string) (string, error) { return Call(context.Background(), addr, method, path) }
-	var refused *RefusedError
-	if _, err := call(http.MethodGet, ReadyPath); !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable {
+	var statusErr *StatusError
+	if _, err := call(http.MethodGet, ReadyPath); !errors.As(err, &statusErr) || statusErr.Status != http.StatusServiceUnavailable {
 		t.Errorf("not ready: %v", err)
 	}
-	f.ready.Store(true)
+	broker.ready.Store(true)
 	if _, err := call(http.MethodGet, ReadyPath); err != nil {
 		t.Errorf("ready: %v", err)
 	}
 	if text, err := call(http.MethodGet, MetricsPath); err != nil || text != "edge_node.fulfilled.screen=812\nedge_node.open_requests=14\n" {
 		t.Errorf("metrics: %q, %v", text, err)
 	}
-	for _, away := range []bool{true, true, false, false} {
+	for _, draining := range []bool{true, true, false, false} {
 		path := ResumePath
-		if away {
+		if draining {
 			path = DrainPath
 		}
-		if _, err := call(http.MethodPost, path); err != nil || f.away.Load() != away {
-			t.Errorf("%s: away %v, %v", path, f.away.Load(), err)
+		if _, err := call(http.MethodPost, path); err != nil || broker.draining.Load() != draining {
+			t.Errorf("%s: away %v, %v", path, broker.draining.Load(), err)
 		}
 	}
 }
 
 // Callers that finish no call keep none out, however many they are, and are ended.
-func TestCallersThatFinishNoCall(t *testing.T) {
-	f, addr := serve(t)
-	f.ready.Store(true)
+func TestStalledCallersDoNotKeepOthersOut(t *testing.T) {
+	broker, addr := startServer(t)
+	broker.ready.Store(true)
 	var first net.Conn
-	for i := range 3 * maxCallers {
+	for i := range 3 * maxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
--- a/cli/addresses.go
+++ b/cli/addresses.go
@@ -15,61 +15,62 @@
 	"onyxsail/reach"
 )
 
-// addressesCmd shows how the addresses of nodes that have several stand.
-func addressesCmd(path *string) *cobra.Command {
-	r := &remote{path: path}
+// addressesCmd returns the command that shows the health of each address of the nodes that
+// have several.
+func addressesCmd(configPath *string) *cobra.Command {
+	client := &brokerClient{configPath: configPath}
 	var node string
 	var asJSON bool
-	cmd := r.flags(&cobra.Command{
-		Use: "addresses", Short: "Show how the addresses of nodes that have several stand, and why", Args: cobra.NoArgs,
+	cmd := client.addAddrFlag(&cobra.Command{
+		Use: "addresses", Short: "Show the health of each address of the nodes that have several, with the reason", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, err := r.addresses(cmd.Context())
+			views, err := client.addresses(cmd.Context())
 			if err != nil {
 				return err
 			}
 			if node != "" {
-				views, ok := all[node]
+				nodeViews, ok := views[node]
 				if !ok {
-					return fmt.Errorf("--node: %q is not listed with several addresses", node)
+					return fmt.Errorf("--node: no node %q with several addresses in the list", node)
 				}
-				all = map[string][]reach.View{node: views}
+				views = map[string][]reach.View{node: nodeViews}
 			}
 			if asJSON {
-				return printJSON(cmd.OutOrStdout(), all)
+				return printJSON(cmd.OutOrStdout(), views)
 			}
-			tw := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(tw, "NODE\tADDRESS\tWHY\tAGAINST\tNEXT AFTER")
-			for _, id := range slices.Sorted(maps.Keys(all)) {
-				for _, v := range all[id] {
-					fmt.Fprintf(tw, "%s\t%s\t%s\t%.2f\t%s\n", id, v.Text, v.Why, v.Against, v.Delay.Round(100*time.Microsecond))
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
+			fmt.Fprintln(table, "NODE\tADDRESS\tWHY\tAGAINST\tNEXT AFTER")
+			for _, id := range slices.Sorted(maps.Keys(views)) {
+				for _, view := range views[id] {
+					fmt.Fprintf(table, "%s\t%s\t%s\t%.2f\t%s\n", id, view.Text, view.Why, view.Against, view.Delay.Round(100*time.Microsecond))
 				}
 			}
-			if err := tw.Flush(); err != nil {
+			if err := table.Flush(); err != nil {
 				return fmt.Errorf("printing: %w", err)
 			}
 			return nil
 		},
 	})
-	cmd.Flags().StringVar(&node, "node", "", "only this node")
+	cmd.Flags().StringVar(&node, "node", "", "show this node only")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return cmd
 }
 
-// addresses asks a broker for them.
-func (r *remote) addresses(ctx context.Context) (map[string][]reach.View, error) {
-	addr, err := r.target()
+// addresses returns a broker's view of the addresses of its nodes, by node id.
+func (r *brokerClient) addresses(ctx context.Context) (map[string][]reach.View, error) {
+	addr, err := r.address()
 	if err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, remoteWithin)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	out, err := act(ctx, addr, daemon.ActionStatus, nil)
+	body, err := doAction(ctx, addr, daemon.ActionStatus, nil)
 	if err != nil {
 		return nil, err
 	}
-	var s daemon.Status
-	if err := json.Unmarshal(out, &s); err != nil {
-		return nil, fmt.Errorf("reading the broker's answer: %w", err)
+	var status daemon.Status
+	if err := json.Unmarshal(body, &status); err != nil {
+		return nil, fmt.Errorf("decoding the broker's response: %w", err)
 	}
-	return s.Addresses, nil
+	return status.Addresses, nil
 }
--- a/cli/ci_test.go
+++ b/cli/ci_test.go
@@ -8,10 +8,11 @@
 	"onyxsail/internal/testkit"
 )
 
-// CI passes over the tests that are listed as known to fail, prints them, and refuses a
-// list that hides more than it says.
-func TestKnownRed(t *testing.T) {
-	const good = "TestKnownRed; go test -run TestKnownRed ./cli; 7; it was red; a cause in words; issue 24\n"
+// The script .ci/known-red must turn the list of tests that are known to fail into a -skip
+// pattern for exactly these tests and print them, and reject a list with a malformed,
+// duplicate or incomplete line, which could hide other failures.
+func TestKnownRedListIsValidated(t *testing.T) {
+	const good = "TestKnownRedListIsValidated; go test -run TestKnownRedListIsValidated ./cli; 7; it was red; a cause in words; issue 24\n"
 	const want = "want \"TestName; command; seed; what was seen; cause; issue N\""
 	line := func(name string) string {
 		return name + "; go test -run " + name + " ./...; none; red; a; issue 1\n"
@@ -19,17 +20,17 @@
 	for _, c := range []struct {
 		name, list, pattern, fault string
 	}{
-		{"none", "", "", ""},
-		{"one", good, "^(TestKnownRed)$\n", ""},
-		{"four", good + line("TestFollow") + line("TestFrames") + strings.TrimSpace(line("TestMessages")),
-			"^(TestKnownRed|TestFollow|TestFrames|TestMessages)$\n", ""},
-		{"one twice", good + good, "", "TestKnownRed stands twice"},
-		{"the old form", "TestKnownRed; a cause; issue 24\n", "", want},
+		{"an empty list", "", "", ""},
+		{"one test", good, "^(TestKnownRedListIsValidated)$\n", ""},
+		{"four tests", good + line("TestSoak") + line("TestStalledCallersDoNotKeepOthersOut") + strings.TrimSpace(line("TestDecodeRejectsMalformedFrames")),
+			"^(TestKnownRedListIsValidated|TestSoak|TestStalledCallersDoNotKeepOthersOut|TestDecodeRejectsMalformedFrames)$\n", ""},
+		{"a test twice", good + good, "", "TestKnownRedListIsValidated stands twice"},
+		{"a line in the old format", "TestKnownRedListIsValidated; a cause; issue 24\n", "", want},
 		{"no cause", strings.Replace(good, "a cause in words", "", 1), "", want},
 		{"no seed", strings.Replace(good, " 7;", ";", 1), "", want},
 		{"no issue", strings.Replace(good, "; issue 24", "", 1), "", want},
-		{"another test's command", strings.Replace(good, "-run TestKnownRed", "-run TestFollow", 1), "", "the command of TestKnownRed does not run it"},
-		{"a pattern for a name", strings.Replace(good, "TestKnownRed;", "Test.*;", 1), "", want},
+		{"another test's command", strings.Replace(good, "-run TestKnownRedListIsValidated", "-run TestSoak", 1), "", "the command of TestKnownRedListIsValidated does not run it"},
+		{"a pattern instead of a name", strings.Replace(good, "TestKnownRedListIsValidated;", "Test.*;", 1), "", want},
 		{"an empty line", "\n" + good, "", want},
 		{"no such test", line("TestNobodyHas"), "", "no test has the name TestNobodyHas"},
 	} {
@@ -40,7 +41,7 @@
 		if out.String() != c.pattern || (err != nil) != (c.fault != "") || !strings.Contains(errs.String(), c.fault) {
 			t.Errorf("%s: %q, %v, %s", c.name, out.String(), err, errs.String())
 		}
-		if c.pattern != "" && !strings.Contains(errs.String(), "known red: TestKnownRed; go test -run TestKnownRed ./cli; 7; it was red; a cause in words") {
+		if c.pattern != "" && !strings.Contains(errs.String(), "known red: TestKnownRedListIsValidated; go test -run TestKnownRedListIsValidated ./cli; 7; it was red; a cause in words") {
 			t.Errorf("%s: printed %q", c.name, errs.String())
 		}
 	}
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of gannetchute.
+// Package cli implements the command line of gannetchute.
 package cli
 
 import (
@@ -17,47 +17,48 @@
 	"onyxsail/daemon"
 )
 
-// Main runs the command line and returns the exit status.
-func Main(args []string, out, errs io.Writer) int {
-	root := New(out, errs)
+// Main runs the command that args name, writes to stdout and stderr and returns the exit
+// status.
+func Main(args []string, stdout, stderr io.Writer) int {
+	root := NewRootCommand(stdout, stderr)
 	root.SetArgs(args)
 	if err := root.Execute(); err != nil {
-		fmt.Fprintln(errs, "gannetchute:", err)
+		fmt.Fprintln(stderr, "gannetchute:", err)
 		return 1
 	}
 	return 0
 }
 
-// New returns the root command.
-func New(out, errs io.Writer) *cobra.Command {
+// NewRootCommand returns the root command with all its subcommands.
+func NewRootCommand(stdout, stderr io.Writer) *cobra.Command {
 	root := &cobra.Command{
 		Use: "gannetchute", Short: "A broker for queries over many shards",
 		SilenceUsage: true, SilenceErrors: true,
 	}
-	root.SetOut(out)
-	root.SetErr(errs)
-	var path string
-	root.PersistentFlags().StringVar(&path, "config", "", "configuration file (default: the one NODE_CONFIG names)")
-	root.AddCommand(serveCmd(&path), versionCmd(), checkCmd(&path), configCmd(&path), statusCmd(&path), traceCmd(&path), addressesCmd(&path))
-	root.AddCommand(operatorCmds(&path)...)
+	root.SetOut(stdout)
+	root.SetErr(stderr)
+	var configPath string
+	root.PersistentFlags().StringVar(&configPath, "config", "", "configuration file (default: the one NODE_CONFIG names)")
+	root.AddCommand(serveCmd(&configPath), versionCmd(), checkConfigCmd(&configPath), configCmd(&configPath), statusCmd(&configPath), traceCmd(&configPath), addressesCmd(&configPath))
+	root.AddCommand(adminCmds(&configPath)...)
 	return root
 }
 
-func serveCmd(path *string) *cobra.Command {
+func serveCmd(configPath *string) *cobra.Command {
 	return &cobra.Command{
 		Use: "serve", Short: "Run the broker until SIGTERM or SIGINT", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			// SIGHUP is caught before all else and to the very end: its default
-			// would end the program, also half way through a start or a stop.
-			hup := make(chan os.Signal, 1) // one that waits stands for all until it is read
-			signal.Notify(hup, syscall.SIGHUP)
+			// SIGHUP is handled from before the start until after the stop, since its
+			// default action would terminate the program in the middle of either.
+			hangups := make(chan os.Signal, 1) // one pending signal covers all that follow it
+			signal.Notify(hangups, syscall.SIGHUP)
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			cfg, err := config.Load(*path, os.Getenv)
+			cfg, err := config.Load(*configPath, os.Getenv)
 			if err != nil {
 				return err
 			}
-			log, flush := logTo(cmd.ErrOrStderr())
+			log, flush := newLogger(cmd.ErrOrStderr())
 			defer flush()
 			daemon.TuneRuntime(cfg.Limits, false)
 			d, err := daemon.Start(cfg, log)
@@ -66,21 +67,21 @@
 			}
 			var limits atomic.Pointer[config.Limits]
 			limits.Store(&cfg.Limits)
-			tune := func(beside bool) { daemon.TuneRuntime(*limits.Load(), beside) }
+			tune := func(shared bool) { daemon.TuneRuntime(*limits.Load(), shared) }
 			d.OnNeighbour(tune)
 			for {
 				select {
-				case <-ctx.Done(): // a second SIGTERM is still caught: it must not cut off what drains
+				case <-ctx.Done(): // a second SIGTERM stays handled, so that it does not interrupt the drain
 					return d.Stop(context.Background())
-				case <-hup:
+				case <-hangups:
 				}
-				next, err := config.Reload(*path, os.Getenv, cfg)
+				reloaded, err := config.Reload(*configPath, os.Getenv, cfg)
 				if err != nil {
 					d.TurnedDown()
-					log.Error().Str("event", "reload").Err(err).Msg("the configuration file cannot be used; the running one stands")
+					log.Error().Str("event", "reload").Err(err).Msg("reload failed: the configuration file is invalid; the running configuration stays in use")
 					continue
 				}
-				cfg = next
+				cfg = reloaded
 				limits.Store(&cfg.Limits)
 				d.OnNeighbour(tune)
 				d.Reload(cfg)
@@ -109,11 +110,11 @@
 	}
 }
 
-func checkCmd(path *string) *cobra.Command {
+func checkConfigCmd(configPath *string) *cobra.Command {
 	return &cobra.Command{
-		Use: "check-config", Short: "Read the configuration and say what is wrong with it", Args: cobra.NoArgs,
+		Use: "check-config", Short: "Validate the configuration file and report its errors", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			cfg, err := config.Check(*path, os.Getenv)
+			cfg, err := config.Check(*configPath, os.Getenv)
 			if err != nil {
 				return err
 			}
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -19,6 +19,7 @@
 	"onyxsail/internal/testkit"
 )
 
+// program is the path of the executable that TestMain builds.
 var program string
 
 func TestMain(m *testing.M) {
@@ -35,12 +36,12 @@
 	os.Exit(code)
 }
 
-// process is the program as it runs.
+// process is a running instance of the program.
 type process struct {
-	cmd  *exec.Cmd
-	file string // its configuration
-	mu   sync.Mutex
-	log  bytes.Buffer
+	cmd        *exec.Cmd
+	configFile string
+	mu         sync.Mutex // guards log
+	log        bytes.Buffer
 }
 
 func (p *process) Write(b []byte) (int, error) {
@@ -49,18 +50,18 @@
 	return p.log.Write(b)
 }
 
-func (p *process) text() string {
+func (p *process) output() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// launch runs the command with a configuration of its own; what it says is kept,
-// unless its output goes elsewhere already.
-func launch(t *testing.T, cmd *exec.Cmd, cfg []byte, env ...string) *process {
+// launchCommand starts cmd with cfg as its configuration file. The output of the process is
+// captured unless cmd has its stderr set.
+func launchCommand(t *testing.T, cmd *exec.Cmd, cfg []byte, env ...string) *process {
 	t.Helper()
-	p := &process{cmd: cmd, file: testkit.WriteFile(t, cfg)}
-	cmd.Env = append(append(os.Environ(), "NODE_CONFIG="+p.file), env...)
+	p := &process{cmd: cmd, configFile: testkit.WriteFile(t, cfg)}
+	cmd.Env = append(append(os.Environ(), "NODE_CONFIG="+p.configFile), env...)
 	if cmd.Stderr == nil {
 		cmd.Stderr, cmd.Stdout = p, p
 	}
@@ -68,18 +69,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = cmd.Process.Kill() // it has ended already where the test went well
+		_ = cmd.Process.Kill() // fails if the process has exited already, as after a passed test
 		_ = cmd.Wait()
 	})
 	return p
 }
 
-// serve starts the program and returns where it listens.
-func serve(t *testing.T, cfg []byte, env ...string) (*process, string) {
+// startServing starts the program, waits until it serves and returns its listen address.
+func startServing(t *testing.T, cfg []byte, env ...string) (*process, string) {
 	t.Helper()
-	p, addr := launch(t, exec.Command(program, "serve"), cfg, env...), ""
-	testkit.Eventually(t, "the program serves", func() bool {
-		for _, line := range strings.Split(p.text(), "\n") {
+	p, addr := launchCommand(t, exec.Command(program, "serve"), cfg, env...), ""
+	testkit.Eventually(t, "the program logs its start", func() bool {
+		for _, line := range strings.Split(p.output(), "\n") {
 			var l struct{ Event, Listen string }
 			if json.Unmarshal([]byte(line), &l) == nil && l.Event == "started" {
 				addr = l.Listen
@@ -90,86 +91,87 @@
 	return p, addr
 }
 
+// stop sends SIGTERM and fails the test unless the process exits with status 0.
 func (p *process) stop(t *testing.T) {
 	t.Helper()
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := p.end(); err != nil {
-		t.Fatalf("exit: %v\n%s", err, p.text())
+	if err := p.wait(); err != nil {
+		t.Fatalf("exit: %v\n%s", err, p.output())
 	}
 }
 
-// end waits for a process that has been told to stop. One that does not says what its
-// goroutines do.
-func (p *process) end() error {
-	late := time.AfterFunc(20*time.Second, func() {
-		_ = p.cmd.Process.Signal(syscall.SIGQUIT) // it has ended just now, or else ends by this
+// wait waits for the exit of a process that was told to stop. After 20 s it sends SIGQUIT, so
+// that a process that hangs prints its goroutines.
+func (p *process) wait() error {
+	watchdog := time.AfterFunc(20*time.Second, func() {
+		_ = p.cmd.Process.Signal(syscall.SIGQUIT) // fails if the process has just exited
 	})
-	defer late.Stop()
+	defer watchdog.Stop()
 	return p.cmd.Wait()
 }
 
-// At SIGTERM the program takes what still comes, answers all it has taken, and
-// exits with 0.
-func TestServeAndStop(t *testing.T) {
-	n := testkit.NewNode(t, "s-1", false)
-	d := testkit.NewDiscovery(t, n.Entry())
-	p, addr := serve(t, testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, testkit.Settings(nil),
+// Guards against queries that are lost at SIGTERM: those accepted before it and those that
+// arrive within the hand-over window must be answered before the process exits with status 0.
+func TestStopAnswersQueriesAcceptedBeforeAndDuringHandOver(t *testing.T) {
+	node := testkit.NewNode(t, "s-1", false)
+	discovery := testkit.NewDiscovery(t, node.Entry())
+	p, addr := startServing(t, testkit.Config(discovery.Addr, []testkit.Entry{node.Entry()}, testkit.Settings(nil),
 		map[string]any{"log_level": "info", "hand_over_ms": 300}))
 	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Within: 10 * time.Second}
 	if got := testkit.AskHTTP(context.Background(), addr, q); got.Kind != "served" || !got.Whole {
 		t.Fatalf("got %+v", got)
 	}
-	open := make(chan struct{})
-	n.Work(func(testkit.Call) string { <-open; return testkit.Done })
-	before := len(n.Calls())
-	taken := make(chan testkit.Reply, 1)
+	release := make(chan struct{})
+	node.Work(func(testkit.Call) string { <-release; return testkit.Done })
+	before := len(node.Calls())
+	accepted := make(chan testkit.Reply, 1)
 	go func() {
 		q := q
 		q.ID = "b"
-		taken <- testkit.AskHTTP(context.Background(), addr, q)
+		accepted <- testkit.AskHTTP(context.Background(), addr, q)
 	}()
-	n.Wait(t, "the second query", func() bool { return len(n.Calls()) > before })
+	node.Wait(t, "the second query's parts", func() bool { return len(node.Calls()) > before })
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "it drains", func() bool { return strings.Contains(p.text(), `"event":"draining"`) })
-	close(open)
-	q.ID = "c" // comes after the signal, inside the window
+	testkit.Eventually(t, "the broker drains", func() bool { return strings.Contains(p.output(), `"event":"draining"`) })
+	close(release)
+	q.ID = "c" // arrives after the signal, within the hand-over window
 	if got := testkit.AskHTTP(context.Background(), addr, q); got.Kind != "served" {
-		t.Errorf("in the hand-over window: got %+v", got)
+		t.Errorf("query within the hand-over window: got %+v", got)
 	}
-	if got := <-taken; got.Kind != "served" {
-		t.Errorf("taken before the signal: got %+v", got)
+	if got := <-accepted; got.Kind != "served" {
+		t.Errorf("query accepted before SIGTERM: got %+v", got)
 	}
-	if err := p.cmd.Wait(); err != nil || !strings.Contains(p.text(), `"event":"stopped"`) {
-		t.Fatalf("exit: %v\n%s", err, p.text())
+	if err := p.cmd.Wait(); err != nil || !strings.Contains(p.output(), `"event":"stopped"`) {
+		t.Fatalf("exit: %v\n%s", err, p.output())
 	}
 }
 
-// At SIGHUP the program reads its file again and goes on: the file's new
-// discovery wins over the one of the start, an unusable file changes nothing,
-// and a stop after it still answers all.
-func TestReload(t *testing.T) {
+// At SIGHUP the program reloads its configuration file: a new discovery address replaces the
+// one of the start, also one from the environment, an invalid file changes nothing, and a
+// series of SIGHUPs does not prevent an orderly stop.
+func TestReloadFollowsNewDiscoveryAndKeepsConfigurationOnInvalidFile(t *testing.T) {
 	n1, n2 := testkit.NewNode(t, "s-1", false), testkit.NewNode(t, "s-2", false)
 	warm := n2.Entry()
 	warm.Started = time.Now().Add(-time.Hour).UnixMilli()
 	d1, d2 := testkit.NewDiscovery(t, n1.Entry()), testkit.NewDiscovery(t, n1.Entry(), warm)
-	config := func(discovery string) []byte {
+	configFor := func(discovery string) []byte {
 		return testkit.Config(discovery, []testkit.Entry{n1.Entry()}, testkit.Settings(nil), map[string]any{"log_level": "info"})
 	}
-	p, addr := serve(t, config(d1.Addr), "NODE_DISCOVERY="+d1.Addr)
-	reload := func(data []byte, says string) {
+	p, addr := startServing(t, configFor(d1.Addr), "NODE_DISCOVERY="+d1.Addr)
+	reload := func(data []byte, logged string) {
 		t.Helper()
-		if err := os.WriteFile(p.file, data, 0o600); err != nil {
+		if err := os.WriteFile(p.configFile, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		before := strings.Count(p.text(), says)
+		before := strings.Count(p.output(), logged)
 		if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		testkit.Eventually(t, says, func() bool { return strings.Count(p.text(), says) > before })
+		testkit.Eventually(t, logged, func() bool { return strings.Count(p.output(), logged) > before })
 	}
 	ask := func(id string) {
 		t.Helper()
@@ -181,17 +183,17 @@
 	ask("a")
 	reload([]byte(`{"name":`), `"level":"error","event":"reload"`)
 	ask("b")
-	reload(config(d1.Addr), `"moved":false`)
-	reload(config(d2.Addr), `"moved":true`)
-	testkit.Eventually(t, "the new address is watched", func() bool { return len(d2.Calls()) > 1 })
+	reload(configFor(d1.Addr), `"moved":false`)
+	reload(configFor(d2.Addr), `"moved":true`)
+	testkit.Eventually(t, "the new discovery address is watched", func() bool { return len(d2.Calls()) > 1 })
 	before := len(d1.Calls())
-	n1.Stop() // only the new list names another
-	testkit.Eventually(t, "a node of the new list serves", func() bool {
+	n1.Stop() // only the new discovery lists another node
+	testkit.Eventually(t, "a node of the new list serves a query", func() bool {
 		q := testkit.Query{Class: "screen", ID: fmt.Sprintf("c%d", time.Now().UnixNano()), Shards: []int{1}, Within: 10 * time.Second}
 		return testkit.AskHTTP(context.Background(), addr, q).Kind == "served" && len(n2.Calls()) > 0
 	})
 	if len(d1.Calls()) != before {
-		t.Error("the old address is still asked")
+		t.Error("the old discovery address is still called")
 	}
 	for range 50 {
 		if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -199,18 +201,19 @@
 		}
 	}
 	p.stop(t)
-	if !strings.Contains(p.text(), `"event":"stopped"`) {
-		t.Errorf("no stop in order:\n%s", p.text())
+	if !strings.Contains(p.output(), `"event":"stopped"`) {
+		t.Errorf("the process did not log an orderly stop:\n%s", p.output())
 	}
 }
 
-func run(args ...string) (code int, out, errs string) {
-	var o, e bytes.Buffer
-	code = cli.Main(args, &o, &e)
-	return code, o.String(), e.String()
+// runCLI runs the command line in this process.
+func runCLI(args ...string) (code int, out, errs string) {
+	var stdout, stderr bytes.Buffer
+	code = cli.Main(args, &stdout, &stderr)
+	return code, stdout.String(), stderr.String()
 }
 
-func TestCommands(t *testing.T) {
+func TestCommandsReportErrorsByExitStatus(t *testing.T) {
 	good := testkit.WriteFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), nil))
 	bad := testkit.WriteFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), map[string]any{"listen": "x"}))
 	for _, c := range []struct {
@@ -226,70 +229,71 @@
 		{[]string{"config", "set", "--addr", "127.0.0.1:1", "open"}, 1, "FIELD=VALUE"},
 		{[]string{"dance"}, 1, "unknown command"},
 	} {
-		if code, out, errs := run(c.args...); code != c.code || !strings.Contains(out+errs, c.says) {
+		if code, out, errs := runCLI(c.args...); code != c.code || !strings.Contains(out+errs, c.says) {
 			t.Errorf("%q: exit %d, %s%s", c.args, code, out, errs)
 		}
 	}
 }
 
-// Three programs keep one configuration: a write at any of them finds the
-// leader, and a broker that comes back has it.
-func TestReplicatedConfiguration(t *testing.T) {
+// Three brokers replicate one configuration: a write at any of them must reach the leader and
+// all others, an invalid one must be rejected, and a restarted broker must have the latest.
+func TestConfigurationWritesReachTheLeaderAndSurviveARestart(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", true)
 	d := testkit.NewDiscovery(t, n.Entry())
 	var peers []map[string]any
 	names := []string{"n1", "n2", "n3"}
 	for i, name := range names {
-		host := fmt.Sprintf("127.78.%d.%d", 1+os.Getpid()%250, i+1) // addresses of its own, so that ports stay free
-		peers = append(peers, map[string]any{"name": name, "raft": freePort(t, host), "flight": freePort(t, host)})
+		host := fmt.Sprintf("127.78.%d.%d", 1+os.Getpid()%250, i+1) // a loopback address that no other process binds, so that the ports stay free
+		peers = append(peers, map[string]any{"name": name, "raft": freeAddrAt(t, host), "flight": freeAddrAt(t, host)})
 	}
 	cfgs := make([][]byte, 3)
-	all := make([]*process, 3)
+	processes := make([]*process, 3)
 	for i, name := range names {
 		cfgs[i] = testkit.Config(d.Addr, nil, testkit.Settings(nil), map[string]any{"name": name, "log_level": "info",
 			"flight": map[string]any{"listen": peers[i]["flight"]}, "store": map[string]any{"dir": t.TempDir(), "peers": peers}})
-		all[i], _ = serve(t, cfgs[i])
+		processes[i], _ = startServing(t, cfgs[i])
 	}
-	at := func(i int) string { return peers[i]["flight"].(string) }
+	flightAddr := func(i int) string { return peers[i]["flight"].(string) }
 	for i := range names {
-		testkit.Eventually(t, "a write at each instance", func() bool {
-			code, out, _ := run("config", "set", "--addr", at(i), fmt.Sprintf("max_open=%d", 100+i))
+		testkit.Eventually(t, "a write through each instance", func() bool {
+			code, out, _ := runCLI("config", "set", "--addr", flightAddr(i), fmt.Sprintf("max_open=%d", 100+i))
 			return code == 0 && strings.Contains(out, fmt.Sprintf(`"max_open": %d`, 100+i))
 		})
 	}
 	has := func(i int, what string) func() bool {
 		return func() bool {
-			_, out, _ := run("config", "get", "--addr", at(i))
+			_, out, _ := runCLI("config", "get", "--addr", flightAddr(i))
 			return strings.Contains(out, what)
 		}
 	}
 	for i := range names {
-		testkit.Eventually(t, "each has the last write", has(i, `"max_open": 102`))
+		testkit.Eventually(t, "each instance has the last write", has(i, `"max_open": 102`))
 	}
 	for _, c := range []struct{ arg, says string }{{"max_open=-1", "max_open"}, {"colour=red", "colour"}, {"log_level=loud", "log_level"}} {
-		if code, _, errs := run("config", "set", "--addr", at(0), c.arg); code == 0 || !strings.Contains(errs, c.says) {
+		if code, _, errs := runCLI("config", "set", "--addr", flightAddr(0), c.arg); code == 0 || !strings.Contains(errs, c.says) {
 			t.Errorf("%s: exit %d, %s", c.arg, code, errs)
 		}
 	}
-	if code, _, errs := run("config", "set", "--if-version", "1", "--addr", at(0), "max_open=7"); code == 0 || !strings.Contains(errs, "version") {
-		t.Errorf("write against an old version: exit %d, %s", code, errs)
+	if code, _, errs := runCLI("config", "set", "--if-version", "1", "--addr", flightAddr(0), "max_open=7"); code == 0 || !strings.Contains(errs, "version") {
+		t.Errorf("write with an outdated version: exit %d, %s", code, errs)
 	}
-	all[0].stop(t)
-	all[0], _ = serve(t, cfgs[0])
+	processes[0].stop(t)
+	processes[0], _ = startServing(t, cfgs[0])
 	testkit.Eventually(t, "the configuration after a restart", has(0, `"max_open": 102`))
-	code, out, errs := run("status", "--addr", at(0))
+	code, out, errs := runCLI("status", "--addr", flightAddr(0))
 	if code != 0 || !strings.Contains(out, `"leader": "n`) {
 		t.Errorf("status: exit %d, %s%s", code, out, errs)
 	}
-	if got := testkit.AskFlight(context.Background(), at(0), testkit.Query{Class: "screen", ID: "f", Shards: []int{3}, Within: 5 * time.Second}); got.Kind != "served" {
+	if got := testkit.AskFlight(context.Background(), flightAddr(0), testkit.Query{Class: "screen", ID: "f", Shards: []int{3}, Within: 5 * time.Second}); got.Kind != "served" {
 		t.Errorf("got %+v", got)
 	}
-	for _, p := range all {
+	for _, p := range processes {
 		p.stop(t)
 	}
 }
 
-func freePort(t *testing.T, host string) string {
+// freeAddrAt returns a free address with a port of the host.
+func freeAddrAt(t *testing.T, host string) string {
 	t.Helper()
 	l, err := net.Listen("tcp", host+":0")
 	if err != nil {
--- a/cli/kill_test.go
+++ b/cli/kill_test.go
@@ -18,13 +18,14 @@
 	"onyxsail/internal/testkit"
 )
 
-// killAfter is when SIGKILL may follow SIGTERM at the earliest (PROTOCOL, "Figures").
-func killAfter(longest time.Duration) time.Duration {
+// earliestKill is how soon SIGKILL may follow SIGTERM, by the longest deadline of the classes
+// (PROTOCOL, "Figures").
+func earliestKill(longest time.Duration) time.Duration {
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-// withDeadline are settings whose classes have one deadline.
-func withDeadline(deadline time.Duration) map[string]any {
+// settingsWithDeadline returns settings whose classes all have the given deadline.
+func settingsWithDeadline(deadline time.Duration) map[string]any {
 	return testkit.Settings(func(s map[string]any) {
 		for _, class := range s["classes"].([]any) {
 			c := class.(map[string]any)
@@ -33,14 +34,15 @@
 	})
 }
 
-// SIGKILL may come as early as the longest deadline, counted as 3 s at most, plus 0.7 s
-// after SIGTERM. What was taken has its answer by then: before SIGTERM, after it on kept
-// connections, and what becomes whole only when little is left, with nodes that hang.
-func TestAllIsAnsweredBeforeTheEarliestKill(t *testing.T) {
+// SIGKILL may follow SIGTERM as early as after the longest deadline, counted as 3 s at most,
+// plus 0.7 s. Every accepted request must be answered by then, even if the nodes hang: one
+// accepted before SIGTERM, one sent after it on a kept connection, and one whose body is
+// complete only when little time is left.
+func TestAcceptedRequestsAreAnsweredBeforeTheEarliestKill(t *testing.T) {
 	for _, c := range []struct {
 		deadline  time.Duration
-		before    time.Duration // taken so long before SIGTERM; under 0: after it
-		completed time.Duration // after SIGTERM, the rest of a request that began after it
+		before    time.Duration // how long before SIGTERM the request is sent; below 0: after it
+		completed time.Duration // how long after SIGTERM the second half of another request is sent; 0: none
 	}{
 		{4 * time.Second, 20 * time.Millisecond, 0},
 		{4 * time.Second, -400 * time.Millisecond, 0},
@@ -53,70 +55,73 @@
 			n.Always(testkit.Silent)
 			d := testkit.NewDiscovery(t, n.Entry())
 			listen := freeAddr(t)
-			p := start(t, testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, withDeadline(c.deadline), map[string]any{"hand_over_ms": 550}), listen)
-			testkit.Eventually(t, "it is ready", func() bool { return ready(listen) })
-			conn, half := open(t, listen), open(t, listen)
-			term := func() {
+			p := startDeployed(t, testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, settingsWithDeadline(c.deadline), map[string]any{"hand_over_ms": 550}), listen)
+			testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
+			conn, half := openKeptConn(t, listen), openKeptConn(t, listen)
+			terminate := func() {
 				if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
 				}
 			}
 			if c.before < 0 {
-				term()
+				terminate()
 			}
-			told := time.Now()
+			terminated := time.Now()
 			time.Sleep(max(0, -c.before))
-			request := query("a", c.deadline)
+			request := queryRequest("a", c.deadline)
 			conn.send(t, request)
 			if c.completed > 0 {
-				request = query("b", c.deadline)
+				request = queryRequest("b", c.deadline)
 				half.send(t, request[:len(request)/2])
 			}
 			if c.before > 0 {
 				time.Sleep(c.before)
-				told = time.Now()
-				term()
+				terminated = time.Now()
+				terminate()
 			}
 			if c.completed > 0 {
-				time.Sleep(time.Until(told.Add(c.completed)))
+				time.Sleep(time.Until(terminated.Add(c.completed)))
 				half.send(t, request[len(request)/2:])
-				half.answered(t, told.Add(killAfter(c.deadline)))
+				half.readResponse(t, terminated.Add(earliestKill(c.deadline)))
 			}
-			conn.answered(t, told.Add(killAfter(c.deadline)))
+			conn.readResponse(t, terminated.Add(earliestKill(c.deadline)))
 		})
 	}
 }
 
-// peer is a client that has its hands on its connection.
-type peer struct {
+// rawClient is an HTTP client that writes its requests to the connection itself, as text.
+type rawClient struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func newPeer(c net.Conn) *peer { return &peer{c, bufio.NewReader(c)} }
+// newRawClient returns a client on the connection c.
+func newRawClient(c net.Conn) *rawClient { return &rawClient{c, bufio.NewReader(c)} }
 
-func open(t *testing.T, addr string) *peer {
+// openKeptConn connects to addr and completes one request, so that the connection is one that
+// the broker keeps.
+func openKeptConn(t *testing.T, addr string) *rawClient {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	p := newPeer(c)
-	p.send(t, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n") // so that it is a kept connection
-	p.answered(t, time.Now().Add(5*time.Second))
+	p := newRawClient(c)
+	p.send(t, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+	p.readResponse(t, time.Now().Add(5*time.Second))
 	return p
 }
 
-func (p *peer) send(t *testing.T, text string) {
+func (p *rawClient) send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(p, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// answered reads one answer and fails the test where none has come whole by then.
-func (p *peer) answered(t *testing.T, by time.Time) *http.Response {
+// readResponse reads one response and fails the test if it is not complete at the time by.
+func (p *rawClient) readResponse(t *testing.T, by time.Time) *http.Response {
 	t.Helper()
 	if err := p.SetReadDeadline(by); err != nil {
 		t.Fatal(err)
@@ -126,54 +131,54 @@
 		_, err = io.Copy(io.Discard, res.Body)
 	}
 	if err != nil {
-		t.Fatalf("no answer, %v after the time for it: %v", time.Since(by), err)
+		t.Fatalf("no complete response, %v after it was due: %v", time.Since(by), err)
 	}
 	return res
 }
 
-// query is a request whose client waits for so long.
-func query(id string, within time.Duration) string {
+// queryRequest returns the text of a query's HTTP request with the given deadline.
+func queryRequest(id string, timeout time.Duration) string {
 	const body = `{"targets":[{"partition":1,"share":0.5},{"partition":2,"share":0.5}],"query":"c41e77d0"}`
 	return strings.Join([]string{
 		"POST /screen HTTP/1.1", "Host: a", "X-Request-Id: " + id, "X-Class: screen",
-		fmt.Sprintf("X-Deadline-Ms: %d", within.Milliseconds()), fmt.Sprintf("Content-Length: %d", len(body)), "", body,
+		fmt.Sprintf("X-Deadline-Ms: %d", timeout.Milliseconds()), fmt.Sprintf("Content-Length: %d", len(body)), "", body,
 	}, "\r\n")
 }
 
-// Instances of the store are killed in the midst of writes, one after another and at last
-// all at once: what was acknowledged is there after each restart, and never goes back.
-func TestKillsDuringWrites(t *testing.T) {
+// Instances of the store are killed during writes, one after another and at last all at once.
+// After each restart, an instance must have every acknowledged write.
+func TestAcknowledgedWritesSurviveKills(t *testing.T) {
 	const rounds = 4
 	d := testkit.NewDiscovery(t)
 	var peers []map[string]any
 	for i := range 3 {
 		host := fmt.Sprintf("127.79.%d.%d", 1+os.Getpid()%250, i+1)
-		peers = append(peers, map[string]any{"name": fmt.Sprintf("n%d", i+1), "raft": freePort(t, host), "flight": freePort(t, host)})
+		peers = append(peers, map[string]any{"name": fmt.Sprintf("n%d", i+1), "raft": freeAddrAt(t, host), "flight": freeAddrAt(t, host)})
 	}
-	cfgs, all := make([][]byte, 3), make([]*process, 3)
-	for i := range all {
+	cfgs, processes := make([][]byte, 3), make([]*process, 3)
+	for i := range processes {
 		cfgs[i] = testkit.Config(d.Addr, nil, testkit.Settings(nil), map[string]any{"name": peers[i]["name"], "log_level": "info",
 			"flight": map[string]any{"listen": peers[i]["flight"]}, "store": map[string]any{"dir": t.TempDir(), "peers": peers}})
-		all[i], _ = serve(t, cfgs[i])
+		processes[i], _ = startServing(t, cfgs[i])
 	}
-	flight := func(i int) string { return peers[i]["flight"].(string) }
-	var acknowledged atomic.Int64 // the latest value that a write was told to have set
-	over := make(chan struct{})
+	flightAddr := func(i int) string { return peers[i]["flight"].(string) }
+	var acknowledged atomic.Int64 // the latest value whose write was acknowledged
+	done := make(chan struct{})
 	var writer sync.WaitGroup
 	writer.Go(func() {
 		for value := int64(1); ; value++ {
 			select {
-			case <-over:
+			case <-done:
 				return
 			default:
 			}
-			if code, _, _ := run("config", "set", "--addr", flight(int(value)%3), fmt.Sprintf("max_open=%d", value)); code == 0 {
+			if code, _, _ := runCLI("config", "set", "--addr", flightAddr(int(value)%3), fmt.Sprintf("max_open=%d", value)); code == 0 {
 				acknowledged.Store(value)
 			}
 		}
 	})
 	value := func(i int) int64 {
-		_, out, _ := run("config", "get", "--addr", flight(i))
+		_, out, _ := runCLI("config", "get", "--addr", flightAddr(i))
 		var c struct {
 			MaxOpen int64 `json:"max_open"`
 		}
@@ -183,27 +188,27 @@
 		return c.MaxOpen
 	}
 	kill := func(i int) {
-		_ = all[i].cmd.Process.Kill()
-		_ = all[i].cmd.Wait() // killed: its status tells nothing
+		_ = processes[i].cmd.Process.Kill()
+		_ = processes[i].cmd.Wait() // the exit status of a killed process says nothing
 	}
 	for round := range rounds {
 		before := acknowledged.Load()
 		testkit.Eventually(t, "writes go on", func() bool { return acknowledged.Load() >= before+5 })
 		kill(round % 3)
-		all[round%3], _ = serve(t, cfgs[round%3])
-		least := acknowledged.Load()
-		testkit.Eventually(t, "it has what was acknowledged", func() bool { return value(round%3) >= least })
+		processes[round%3], _ = startServing(t, cfgs[round%3])
+		want := acknowledged.Load()
+		testkit.Eventually(t, "the restarted instance has the acknowledged write", func() bool { return value(round%3) >= want })
 	}
-	for i := range all {
+	for i := range processes {
 		kill(i)
 	}
-	close(over)
+	close(done)
 	writer.Wait()
-	for i := range all {
-		all[i], _ = serve(t, cfgs[i])
+	for i := range processes {
+		processes[i], _ = startServing(t, cfgs[i])
 	}
-	least := acknowledged.Load()
-	for i := range all {
-		testkit.Eventually(t, "all have what was acknowledged", func() bool { return value(i) >= least })
+	want := acknowledged.Load()
+	for i := range processes {
+		testkit.Eventually(t, "each instance has the acknowledged write", func() bool { return value(i) >= want })
 	}
 }
--- a/cli/log.go
+++ b/cli/log.go
@@ -10,28 +10,29 @@
 )
 
 const (
-	// logLines wait at most for whoever reads the log; then the oldest are lost.
-	logLines = 1024
-	// logFlush is how long the program's end waits for that reader.
-	logFlush = 500 * time.Millisecond
+	// maxBufferedLines is how many log lines wait for the log's reader; beyond it the oldest
+	// are dropped.
+	maxBufferedLines = 1024
+	// logFlushTimeout is how long the program waits at its exit for that reader.
+	logFlushTimeout = 500 * time.Millisecond
 )
 
-// logTo returns the logger of a broker that writes to w, and what writes out the
-// rest and ends it. A line only waits in a bounded ring: the core logs in its turns,
-// and a reader that stands still, or a full disk, must not hold up its queries.
-func logTo(w io.Writer) (zerolog.Logger, func()) {
-	lines := diode.NewWriter(struct{ io.Writer }{w}, logLines, 0, func(missed int) {
-		fmt.Fprintf(w, `{"level":"warn","event":"log-lost","lines":%d,"message":"the log was not read in time"}`+"\n", missed)
+// newLogger returns a broker's logger, which writes to w, and a function that flushes and
+// closes it. Lines go through a bounded ring buffer: the decision module logs during its
+// turns, and a stalled log reader or a full disk must not delay queries.
+func newLogger(w io.Writer) (zerolog.Logger, func()) {
+	lines := diode.NewWriter(struct{ io.Writer }{w}, maxBufferedLines, 0, func(dropped int) {
+		fmt.Fprintf(w, `{"level":"warn","event":"log-lost","lines":%d,"message":"log output is too slow; the oldest lines were dropped"}`+"\n", dropped)
 	})
 	return zerolog.New(lines).With().Timestamp().Logger(), func() {
-		over := make(chan struct{})
+		closed := make(chan struct{})
 		go func() {
-			defer close(over)
-			_ = lines.Close() // what it wraps has no end
+			defer close(closed)
+			_ = lines.Close() // cannot fail: the wrapped writer is no io.Closer
 		}()
 		select {
-		case <-over:
-		case <-time.After(logFlush):
+		case <-closed:
+		case <-time.After(logFlushTimeout):
 		}
 	}
 }
--- a/cli/operate.go
+++ b/cli/operate.go
@@ -16,54 +16,55 @@
 	"onyxsail/config"
 )
 
-// operatorWait is how long a command waits for the operators' port.
-const operatorWait = 5 * time.Second
+// adminTimeout is how long a command waits for the admin port to answer.
+const adminTimeout = 5 * time.Second
 
-// operatorCmds are the commands that call a broker's operators' port: the exit status is 0
-// for a yes and 1 for all else.
-func operatorCmds(path *string) []*cobra.Command {
-	var all []*cobra.Command
-	for _, c := range []struct{ name, short, method, path string }{
-		{"ready", "Say whether a broker takes clients", http.MethodGet, admin.ReadyPath},
-		{"metrics", "Print a broker's figures", http.MethodGet, admin.MetricsPath},
-		{"drain", "Have a broker send its clients away", http.MethodPost, admin.DrainPath},
+// adminCmds returns the commands that call a broker's admin port. Their exit status is 0
+// after a 2xx response and 1 otherwise.
+func adminCmds(configPath *string) []*cobra.Command {
+	var cmds []*cobra.Command
+	for _, spec := range []struct{ name, short, method, path string }{
+		{"ready", "Check whether a broker accepts clients", http.MethodGet, admin.ReadyPath},
+		{"metrics", "Print a broker's metrics", http.MethodGet, admin.MetricsPath},
+		{"drain", "Start draining a broker's clients", http.MethodPost, admin.DrainPath},
 		{"resume", "End the drain of a broker", http.MethodPost, admin.ResumePath},
 	} {
 		var console string
 		cmd := &cobra.Command{
-			Use: c.name, Short: c.short, Args: cobra.NoArgs,
+			Use: spec.name, Short: spec.short, Args: cobra.NoArgs,
 			RunE: func(cmd *cobra.Command, _ []string) error {
-				addr, err := consoleAddr(console, *path)
+				addr, err := adminAddr(console, *configPath)
 				if err != nil {
 					return err
 				}
-				ctx, cancel := context.WithTimeout(cmd.Context(), operatorWait)
+				ctx, cancel := context.WithTimeout(cmd.Context(), adminTimeout)
 				defer cancel()
-				text, err := admin.Call(ctx, addr, c.method, c.path)
+				body, err := admin.Call(ctx, addr, spec.method, spec.path)
 				if err != nil {
 					return err
 				}
-				_, err = fmt.Fprintln(cmd.OutOrStdout(), strings.TrimSuffix(text, "\n"))
+				_, err = fmt.Fprintln(cmd.OutOrStdout(), strings.TrimSuffix(body, "\n"))
 				return err
 			},
 		}
-		cmd.Flags().StringVar(&console, "console", "", "the broker's operators' address (default: $NODE_CONSOLE, or the configuration's)")
-		all = append(all, cmd)
+		cmd.Flags().StringVar(&console, "console", "", "the broker's admin address (default: $NODE_CONSOLE, or console of the configuration)")
+		cmds = append(cmds, cmd)
 	}
-	return all
+	return cmds
 }
 
-// consoleAddr is the address that a command is to call.
-func consoleAddr(flag, path string) (string, error) {
-	if addr := cmp.Or(flag, os.Getenv("NODE_CONSOLE")); addr != "" {
+// adminAddr returns the admin address to call: the flag's, else that of NODE_CONSOLE, else
+// the configuration's.
+func adminAddr(flagValue, configPath string) (string, error) {
+	if addr := cmp.Or(flagValue, os.Getenv("NODE_CONSOLE")); addr != "" {
 		return addr, nil
 	}
-	cfg, err := config.Load(path, os.Getenv)
+	cfg, err := config.Load(configPath, os.Getenv)
 	if err != nil {
 		return "", err
 	}
 	if cfg.Console == "" {
-		return "", errors.New("console: the configuration names no operators' address")
+		return "", errors.New("no --console, and the configuration has no console address")
 	}
 	return cfg.Console, nil
 }
--- a/cli/operate_test.go
+++ b/cli/operate_test.go
@@ -18,23 +18,23 @@
 	"onyxsail/internal/testkit"
 )
 
-// Limits of the operators' page (operation/DAYS.md).
+// Time limits that the operators' page sets (operation/DAYS.md).
 const (
-	callWithin    = time.Second             // an operator's caller waits no longer
-	drainedWithin = 4 * time.Second         // no client is held then
-	resumedWithin = 2 * time.Second         // the front is told yes again
-	settingsAfter = 1200 * time.Millisecond // a class is used so long after SIGHUP
-	upgradeWithin = 6 * time.Second         // the new process says yes
-	figuresLag    = 500 * time.Millisecond  // so much the figures may lag
+	operatorTimeout = time.Second             // an operator's client waits no longer for a response
+	drainTimeout    = 4 * time.Second         // after a drain call, all client connections are closed
+	resumeTimeout   = 2 * time.Second         // after a resume call, the broker is ready again
+	reloadTimeout   = 1200 * time.Millisecond // after SIGHUP, the reloaded settings are in use
+	upgradeTimeout  = 6 * time.Second         // after its start, a replacement process is ready
+	metricsLag      = 500 * time.Millisecond  // how old the metrics may be
 )
 
-// operator calls the operators' address; status 0 is no answer in time.
-func operator(console, method, path string) (status int, body string) {
+// callAdmin calls the admin port; status 0 means no response within operatorTimeout.
+func callAdmin(console, method, path string) (status int, body string) {
 	req, err := http.NewRequest(method, "http://"+console+path, nil)
 	if err != nil {
 		panic(err)
 	}
-	client := http.Client{Timeout: callWithin, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := http.Client{Timeout: operatorTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	res, err := client.Do(req)
 	if err != nil {
 		return 0, err.Error()
@@ -47,10 +47,10 @@
 	return res.StatusCode, string(data)
 }
 
-// figures reads the metrics, by name without the page's prefix.
-func figures(t *testing.T, console string) map[string]int {
+// readMetrics returns the metrics by name, without their common prefix.
+func readMetrics(t *testing.T, console string) map[string]int {
 	t.Helper()
-	status, body := operator(console, http.MethodGet, "/-/metrics")
+	status, body := callAdmin(console, http.MethodGet, "/-/metrics")
 	if status != http.StatusOK {
 		t.Fatalf("metrics: %d, %s", status, body)
 	}
@@ -67,8 +67,8 @@
 	return all
 }
 
-// eventually waits no longer than the limit of a page.
-func eventually(t *testing.T, within time.Duration, what string, ok func() bool) {
+// eventuallyWithin waits for ok and fails the test if it does not hold within the limit.
+func eventuallyWithin(t *testing.T, within time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > within {
@@ -77,54 +77,54 @@
 	}
 }
 
-// operated starts a broker with an operators' address beside its own.
-func operated(t *testing.T, cfg []byte, listen string, env ...string) (p *process, console string) {
+// startWithAdmin starts a broker with an admin port and waits until it is ready.
+func startWithAdmin(t *testing.T, cfg []byte, listen string, env ...string) (p *process, console string) {
 	t.Helper()
 	console = freeAddr(t)
-	p = start(t, cfg, listen, append(env, "NODE_CONSOLE="+console)...)
-	testkit.Eventually(t, "it takes clients", func() bool {
-		status, _ := operator(console, http.MethodGet, "/-/ready")
+	p = startDeployed(t, cfg, listen, append(env, "NODE_CONSOLE="+console)...)
+	testkit.Eventually(t, "the admin port reports that the broker is ready", func() bool {
+		status, _ := callAdmin(console, http.MethodGet, "/-/ready")
 		return status == http.StatusOK
 	})
 	return p, console
 }
 
-// The operators' address is read, sends clients away and takes them back, while callers
-// that finish no call hang there.
-func TestOperatorsPort(t *testing.T) {
-	n := testkit.NewNode(t, "s-1", false)
-	d := testkit.NewDiscovery(t, n.Entry())
+// The admin port must report metrics, drain and resume, each within its time limit, while other
+// callers hold connections to it with unfinished requests.
+func TestAdminPortReportsMetricsDrainsAndResumes(t *testing.T) {
+	node := testkit.NewNode(t, "s-1", false)
+	d := testkit.NewDiscovery(t, node.Entry())
 	listen := freeAddr(t)
-	p, console := operated(t, testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, testkit.Settings(nil), nil), listen)
+	p, console := startWithAdmin(t, testkit.Config(d.Addr, []testkit.Entry{node.Entry()}, testkit.Settings(nil), nil), listen)
 	for i := range 8 {
 		c, err := net.Dial("tcp", console)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		_, _ = io.WriteString(c, "POST /-/drain HTTP/1.1\r\nHost: a\r\n\r\n"[:2*i]) // the broker may end it
+		_, _ = io.WriteString(c, "POST /-/drain HTTP/1.1\r\nHost: a\r\n\r\n"[:2*i]) // fails if the broker has closed the connection
 	}
-	idle, used := open(t, listen), open(t, listen)
+	idle, used := openKeptConn(t, listen), openKeptConn(t, listen)
 	ask := func(id string) *http.Response {
-		used.send(t, query(id, 3*time.Second))
-		return used.answered(t, time.Now().Add(4*time.Second))
+		used.send(t, queryRequest(id, 3*time.Second))
+		return used.readResponse(t, time.Now().Add(4*time.Second))
 	}
 	ask("a")
-	refused := strings.Replace(query("b", time.Second), "/screen", "/part", 1) // the path and X-Class differ
+	refused := strings.Replace(queryRequest("b", time.Second), "/screen", "/part", 1) // malformed: the path and X-Class name different classes
 	used.send(t, refused)
-	used.answered(t, time.Now().Add(time.Second))
+	used.readResponse(t, time.Now().Add(time.Second))
 	want := map[string]int{
 		"fulfilled.screen": 1, "throttled.screen": 0, "faulted.screen": 0, "fulfilled.edit": 0, "relayed": 2, "open_requests": 0,
 		"registry_entries": 1, "out_of_rotation": 0, "cfg_accepted": 0, "cfg_invalid": 0,
 	}
 	var got map[string]int
-	eventually(t, figuresLag, "the figures tell of the query", func() bool {
-		got = figures(t, console)
+	eventuallyWithin(t, metricsLag, "the metrics count the query", func() bool {
+		got = readMetrics(t, console)
 		return got["fulfilled.screen"] == 1
 	})
-	for name, n := range want {
-		if have, there := got[name]; !there || have != n {
-			t.Errorf("%s: got %d (there: %v), want %d", name, have, there, n)
+	for name, expected := range want {
+		if value, present := got[name]; !present || value != expected {
+			t.Errorf("%s: got %d (present: %v), want %d", name, value, present, expected)
 		}
 	}
 	for _, c := range []struct {
@@ -134,48 +134,49 @@
 		{"GET", "/-/drain", http.StatusMethodNotAllowed}, {"POST", "/-/ready", http.StatusMethodNotAllowed},
 		{"GET", "/", http.StatusNotFound}, {"POST", "/-/stop", http.StatusNotFound},
 	} {
-		if status, _ := operator(console, c.method, c.path); status != c.status {
+		if status, _ := callAdmin(console, c.method, c.path); status != c.status {
 			t.Errorf("%s %s: got %d, want %d", c.method, c.path, status, c.status)
 		}
 	}
-	for round := range 2 { // a second call changes nothing
-		if status, text := operator(console, http.MethodPost, "/-/drain"); status/100 != 2 {
+	for round := range 2 { // a repeated call changes nothing
+		if status, text := callAdmin(console, http.MethodPost, "/-/drain"); status/100 != 2 {
 			t.Fatalf("drain %d: %d, %s", round, status, text)
 		}
 	}
-	eventually(t, figuresLag, "the front is told no", func() bool { return !ready(listen) })
+	eventuallyWithin(t, metricsLag, "the readiness path reports the drain", func() bool { return !isReady(listen) })
 	if res := ask("c"); res.StatusCode != http.StatusOK || !res.Close {
-		t.Errorf("while clients are sent away: %d, the last of its connection: %v", res.StatusCode, res.Close)
+		t.Errorf("during the drain: status %d, closes the connection: %v", res.StatusCode, res.Close)
 	}
-	for name, c := range map[string]*peer{"idle": idle, "used": used} {
-		_ = c.SetReadDeadline(time.Now().Add(drainedWithin))
+	for name, c := range map[string]*rawClient{"idle": idle, "used": used} {
+		_ = c.SetReadDeadline(time.Now().Add(drainTimeout))
 		if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
-			t.Errorf("the %s connection is held: %v", name, err)
+			t.Errorf("the %s connection is still open: %v", name, err)
 		}
 	}
-	late := open(t, listen) // the front may not know yet
-	_ = late.SetReadDeadline(time.Now().Add(drainedWithin))
+	late := openKeptConn(t, listen) // the front may not have polled the readiness path yet
+	_ = late.SetReadDeadline(time.Now().Add(drainTimeout))
 	if _, err := late.in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("a late connection is held: %v", err)
+		t.Errorf("a connection opened during the drain is still open: %v", err)
 	}
-	if status, text := operator(console, http.MethodPost, "/-/resume"); status/100 != 2 {
+	if status, text := callAdmin(console, http.MethodPost, "/-/resume"); status/100 != 2 {
 		t.Fatalf("resume: %d, %s", status, text)
 	}
-	eventually(t, resumedWithin, "the front is told yes", func() bool { return ready(listen) })
-	back := open(t, listen)
-	back.send(t, query("d", 3*time.Second))
-	if res := back.answered(t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK || res.Close {
-		t.Errorf("after the drain: %d, the last of its connection: %v", res.StatusCode, res.Close)
+	eventuallyWithin(t, resumeTimeout, "the readiness path reports ready", func() bool { return isReady(listen) })
+	back := openKeptConn(t, listen)
+	back.send(t, queryRequest("d", 3*time.Second))
+	if res := back.readResponse(t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK || res.Close {
+		t.Errorf("after the drain: status %d, closes the connection: %v", res.StatusCode, res.Close)
 	}
-	if status, _ := operator(console, http.MethodPost, "/-/drain"); status/100 != 2 { // a stop ends a drain too
+	if status, _ := callAdmin(console, http.MethodPost, "/-/drain"); status/100 != 2 { // a stop must work during a drain too
 		t.Errorf("drain before the stop: %d", status)
 	}
 	p.stop(t)
 }
 
-// The settings change at SIGHUP: classes come and go, the attempts allowed drop, requests
-// under way keep their class, and a file with a fault is turned down whole.
-func TestLiveSettings(t *testing.T) {
+// A reload at SIGHUP must apply new settings: classes that are added or removed and a lower
+// limit of attempts, while requests in flight keep their class. A file with an error must be
+// rejected as a whole and leave the running settings in use.
+func TestReloadAppliesSettingsOrRejectsTheWholeFile(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
 	settings := func(attempts any, classes ...string) map[string]any {
@@ -188,28 +189,28 @@
 			s["caps"].(map[string]any)["maxAttempts"] = attempts
 		})
 	}
-	file := func(settings map[string]any) []byte {
+	configFor := func(settings map[string]any) []byte {
 		return testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, settings, nil)
 	}
 	listen := freeAddr(t)
-	p, console := operated(t, file(settings(3, "screen", "quote")), listen)
+	p, console := startWithAdmin(t, configFor(settings(3, "screen", "quote")), listen)
 	reload := func(data []byte) {
 		t.Helper()
-		if err := os.WriteFile(p.file, data, 0o600); err != nil {
+		if err := os.WriteFile(p.configFile, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	of := func(class, id string) string {
-		return strings.NewReplacer("/screen", "/"+class, "X-Class: screen", "X-Class: "+class).Replace(query(id, 3*time.Second))
+	requestOf := func(class, id string) string {
+		return strings.NewReplacer("/screen", "/"+class, "X-Class: screen", "X-Class: "+class).Replace(queryRequest(id, 3*time.Second))
 	}
 	ask := func(class, id string) int {
-		c := open(t, listen)
+		c := openKeptConn(t, listen)
 		defer c.Close()
-		c.send(t, of(class, id))
-		return c.answered(t, time.Now().Add(4*time.Second)).StatusCode
+		c.send(t, requestOf(class, id))
+		return c.readResponse(t, time.Now().Add(4*time.Second)).StatusCode
 	}
 	arrived, release := make(chan bool, 8), make(chan bool)
 	n.Work(func(testkit.Call) string {
@@ -217,21 +218,21 @@
 		<-release
 		return testkit.Done
 	})
-	underWay := open(t, listen)
-	underWay.send(t, of("quote", "kept"))
+	inFlight := openKeptConn(t, listen)
+	inFlight.send(t, requestOf("quote", "kept"))
 	<-arrived
-	reload(file(settings(1, "bulk", "screen")))
-	eventually(t, settingsAfter, "the file is taken", func() bool { return figures(t, console)["cfg_accepted"] == 1 })
+	reload(configFor(settings(1, "bulk", "screen")))
+	eventuallyWithin(t, reloadTimeout, "the file is accepted", func() bool { return readMetrics(t, console)["cfg_accepted"] == 1 })
 	close(release)
-	if res := underWay.answered(t, time.Now().Add(3*time.Second)); res.StatusCode != http.StatusOK {
-		t.Errorf("the request under way: %d", res.StatusCode)
+	if res := inFlight.readResponse(t, time.Now().Add(3*time.Second)); res.StatusCode != http.StatusOK {
+		t.Errorf("the request in flight: status %d", res.StatusCode)
 	}
 	for class, want := range map[string]int{"bulk": http.StatusOK, "screen": http.StatusOK, "quote": http.StatusNotFound} {
 		if got := ask(class, "new-"+class); got != want {
 			t.Errorf("%s: %d, want %d", class, got, want)
 		}
 	}
-	got := figures(t, console)
+	got := readMetrics(t, console)
 	for name, want := range map[string]int{"fulfilled.quote": 1, "fulfilled.bulk": 1, "fulfilled.screen": 1} {
 		if got[name] != want {
 			t.Errorf("%s: %d, want %d", name, got[name], want)
@@ -240,35 +241,35 @@
 	n.Always(testkit.Fail)
 	before := len(n.Calls())
 	if got := ask("bulk", "fails"); got == http.StatusOK {
-		t.Errorf("a failing node serves")
+		t.Errorf("a query was served although its node fails")
 	}
 	if calls := len(n.Calls()) - before; calls > 2 {
-		t.Errorf("%d attempts for two parts, one each allowed", calls)
+		t.Errorf("%d attempts for two parts, want at most one each", calls)
 	}
 	n.Always(testkit.Done)
-	whole := file(settings(3, "screen", "quote"))
+	valid := configFor(settings(3, "screen", "quote"))
 	without := func(key string) []byte {
 		s := settings(3, "screen")
 		delete(s, key)
-		return file(s)
-	}
-	zero := settings(3, "screen")
-	zero["classes"].([]any)[0].(map[string]any)["deadlineMs"] = 0
-	text := settings(3, "screen")
-	text["classes"].([]any)[0].(map[string]any)["deadlineMs"] = "soon"
-	turnedDown := map[string][]byte{
-		"empty": {}, "cut short": whole[:len(whole)/2], "cut by a byte": whole[:len(whole)-1],
+		return configFor(s)
+	}
+	zeroDeadline := settings(3, "screen")
+	zeroDeadline["classes"].([]any)[0].(map[string]any)["deadlineMs"] = 0
+	textDeadline := settings(3, "screen")
+	textDeadline["classes"].([]any)[0].(map[string]any)["deadlineMs"] = "soon"
+	invalidFiles := map[string][]byte{
+		"empty": {}, "cut short": valid[:len(valid)/2], "cut by a byte": valid[:len(valid)-1],
 		"no classes": without("classes"), "no caps": without("caps"),
-		"no settings": testkit.Config(d.Addr, nil, nil, nil), "no attempts": file(settings(0, "screen")), "attempts below 0": file(settings(-1, "screen")),
-		"attempts in words": file(settings("many", "screen")), "no deadline": file(zero), "a deadline in words": file(text),
+		"no settings": testkit.Config(d.Addr, nil, nil, nil), "no attempts": configFor(settings(0, "screen")), "attempts below 0": configFor(settings(-1, "screen")),
+		"attempts in words": configFor(settings("many", "screen")), "no deadline": configFor(zeroDeadline), "a deadline in words": configFor(textDeadline),
 	}
 	count := 0
-	for name, data := range turnedDown {
+	for name, data := range invalidFiles {
 		count++
 		reload(data)
-		eventually(t, settingsAfter, name+" is turned down", func() bool { return figures(t, console)["cfg_invalid"] == count })
-		if got := figures(t, console)["cfg_accepted"]; got != 1 {
-			t.Errorf("%s: %d files taken", name, got)
+		eventuallyWithin(t, reloadTimeout, name+" is rejected", func() bool { return readMetrics(t, console)["cfg_invalid"] == count })
+		if got := readMetrics(t, console)["cfg_accepted"]; got != 1 {
+			t.Errorf("%s: %d files accepted, want 1", name, got)
 		}
 		if got := ask("bulk", fmt.Sprint("still", count)); got != http.StatusOK {
 			t.Errorf("after %s: bulk %d", name, got)
@@ -277,9 +278,9 @@
 	p.stop(t)
 }
 
-// A second process starts beside the first and takes its place; clients on kept and on
-// new connections lose nothing.
-func TestReplacedProcess(t *testing.T) {
+// A second process starts beside the first and takes over its address. Clients must lose no
+// query on kept and on new connections, and both processes must share one limit of descriptors.
+func TestProcessReplacementLosesNoQuery(t *testing.T) {
 	const sockets = 256
 	n := testkit.NewNode(t, "s-1", false)
 	warm := n.Entry()
@@ -288,25 +289,25 @@
 	cfg := testkit.Config(d.Addr, []testkit.Entry{warm}, testkit.Settings(nil), map[string]any{
 		"hand_over_ms": 550, "limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": sockets},
 	})
-	listen, folder := freeAddr(t), t.TempDir()
-	old, _ := operated(t, cfg, listen, "TMPDIR="+folder)
-	over := make(chan struct{})
+	listen, tempDir := freeAddr(t), t.TempDir()
+	old, _ := startWithAdmin(t, cfg, listen, "TMPDIR="+tempDir)
+	done := make(chan struct{})
 	var clients sync.WaitGroup
 	var mu sync.Mutex
 	lost, served, took := []string(nil), 0, []time.Duration(nil)
 	for c := range 4 {
 		clients.Go(func() {
-			var conn *peer
+			var conn *rawClient
 			for i := 0; ; i++ {
 				select {
-				case <-over:
+				case <-done:
 					return
 				default:
 				}
 				id := fmt.Sprintf("r%d-%d", c, i)
 				began := time.Now()
-				status, last, err := askOn(&conn, listen, id)
-				if c%2 == 0 || last { // half of the clients come anew each time
+				status, closing, err := queryOn(&conn, listen, id)
+				if c%2 == 0 || closing { // half of the clients open a new connection for each request
 					if conn != nil {
 						conn.Close()
 					}
@@ -323,49 +324,49 @@
 			}
 		})
 	}
-	upgrades, peakKB := 2, 0 // REPLACEMENTS names another number
+	upgrades, peakKB := 2, 0 // REPLACEMENTS sets another number
 	if n, err := strconv.Atoi(os.Getenv("REPLACEMENTS")); err == nil {
 		upgrades = n
 	}
 	for i := range upgrades {
-		slow, resting := open(t, listen), open(t, listen)
-		text := query(fmt.Sprint("slow", i), 3*time.Second)
+		slow, resting := openKeptConn(t, listen), openKeptConn(t, listen)
+		text := queryRequest(fmt.Sprint("slow", i), 3*time.Second)
 		slow.send(t, text[:len(text)/2])
 		began := time.Now()
-		next, _ := operated(t, cfg, listen, "TMPDIR="+folder)
-		if took := time.Since(began); took > upgradeWithin {
-			t.Errorf("the new process says yes after %v", took)
+		next, _ := startWithAdmin(t, cfg, listen, "TMPDIR="+tempDir)
+		if took := time.Since(began); took > upgradeTimeout {
+			t.Errorf("the new process is ready after %v", took)
 		}
-		_, first, fds := old.numbers(t)
-		_, second, more := next.numbers(t)
+		_, first, fds := old.resourceUsage(t)
+		_, second, more := next.resourceUsage(t)
 		if peakKB = max(peakKB, first+second); fds+more > sockets {
 			t.Errorf("%d and %d descriptors, want %d together", fds, more, sockets)
 		}
-		_ = old.cmd.Process.Signal(syscall.SIGTERM) // stop, below, fails where it has ended
+		_ = old.cmd.Process.Signal(syscall.SIGTERM) // if the process has exited, the wait below fails
 		time.Sleep(1200 * time.Millisecond)
-		if !ready(listen) {
+		if !isReady(listen) {
 			t.Error("the broker is not ready while its process is replaced")
 		}
-		slow.send(t, text[len(text)/2:]) // a client that takes its time to write
-		resting.send(t, query(fmt.Sprint("rested", i), time.Second))
-		for name, c := range map[string]*peer{"slow": slow, "resting": resting} {
-			if res := c.answered(t, time.Now().Add(3*time.Second)); res.StatusCode != http.StatusOK {
-				t.Errorf("the %s client: %d", name, res.StatusCode)
+		slow.send(t, text[len(text)/2:]) // a client that writes its request slowly
+		resting.send(t, queryRequest(fmt.Sprint("rested", i), time.Second))
+		for name, c := range map[string]*rawClient{"slow": slow, "resting": resting} {
+			if res := c.readResponse(t, time.Now().Add(3*time.Second)); res.StatusCode != http.StatusOK {
+				t.Errorf("the %s client: status %d", name, res.StatusCode)
 			}
 		}
-		if err := old.end(); err != nil {
-			t.Fatalf("exit: %v\n%s", err, old.text())
+		if err := old.wait(); err != nil {
+			t.Fatalf("exit: %v\n%s", err, old.output())
 		}
 		old = next
 	}
-	time.Sleep(200 * time.Millisecond) // the last process alone
-	close(over)
+	time.Sleep(200 * time.Millisecond) // the last process runs alone
+	close(done)
 	clients.Wait()
 	if served == 0 || len(lost) > 0 {
 		t.Errorf("%d served, %d lost: %v", served, len(lost), lost)
 	}
 	seen := map[string]bool{}
-	for _, call := range n.Calls() { // nothing failed: each part is sent once
+	for _, call := range n.Calls() { // no part failed, so each is sent once
 		if seen[call.ID] {
 			t.Errorf("part %s was sent twice", call.ID)
 		}
@@ -377,19 +378,19 @@
 	old.stop(t)
 }
 
-// askOn asks on a connection that is kept, or a new one where there is none.
-func askOn(conn **peer, addr, id string) (status int, last bool, err error) {
+// queryOn sends a query on the connection, or on a new one if there is none.
+func queryOn(conn **rawClient, addr, id string) (status int, closing bool, err error) {
 	if *conn == nil {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			return 0, true, err
 		}
-		*conn = newPeer(c)
+		*conn = newRawClient(c)
 	}
-	if _, err := io.WriteString(*conn, query(id, 3*time.Second)); err != nil {
+	if _, err := io.WriteString(*conn, queryRequest(id, 3*time.Second)); err != nil {
 		return 0, true, err
 	}
-	_ = (*conn).SetReadDeadline(time.Now().Add(4 * time.Second)) // fails where the connection has ended: so does the read
+	_ = (*conn).SetReadDeadline(time.Now().Add(4 * time.Second)) // if the connection has ended this fails, and so does the read
 	res, err := http.ReadResponse((*conn).in, nil)
 	if err != nil {
 		return 0, true, err
--- a/cli/remote.go
+++ b/cli/remote.go
@@ -23,26 +23,28 @@
 	"onyxsail/daemon"
 )
 
-const remoteWithin = 5 * time.Second
+// requestTimeout is how long a command waits for a broker's answer to one action.
+const requestTimeout = 5 * time.Second
 
-// remote is what the commands that speak to a broker share.
-type remote struct {
-	path *string // of the configuration
-	addr string
+// brokerClient holds the flags and settings by which a command reaches a broker's Flight
+// service.
+type brokerClient struct {
+	configPath *string
+	addr       string // the flag --addr, "" without it
 }
 
-func (r *remote) flags(cmd *cobra.Command) *cobra.Command {
+func (r *brokerClient) addAddrFlag(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().StringVar(&r.addr, "addr", "", "the broker's Flight address (default: flight.listen of the configuration)")
 	return cmd
 }
 
-func (r *remote) target() (string, error) {
+func (r *brokerClient) address() (string, error) {
 	if r.addr != "" {
 		return r.addr, nil
 	}
-	cfg, err := config.Load(*r.path, os.Getenv)
+	cfg, err := config.Load(*r.configPath, os.Getenv)
 	if err != nil {
-		return "", fmt.Errorf("no --addr, and no configuration to take it from: %w", err)
+		return "", fmt.Errorf("no --addr, and the configuration cannot be loaded: %w", err)
 	}
 	if cfg.Flight == nil {
 		return "", errors.New("no --addr, and the configuration has no flight.listen")
@@ -50,86 +52,90 @@
 	return cfg.Flight.Listen, nil
 }
 
-// do runs an action and prints its result, indented.
-func (r *remote) do(cmd *cobra.Command, action string, body []byte) error {
-	addr, err := r.target()
+// runAction runs a Flight action and prints its JSON result, indented. If a follower
+// answers with the leader's address, the action is run there instead.
+func (r *brokerClient) runAction(cmd *cobra.Command, action string, body []byte) error {
+	addr, err := r.address()
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(cmd.Context(), remoteWithin)
+	ctx, cancel := context.WithTimeout(cmd.Context(), requestTimeout)
 	defer cancel()
-	out, err := act(ctx, addr, action, body)
-	if leader := leaderOf(err); leader != "" {
-		fmt.Fprintf(cmd.ErrOrStderr(), "%s is not the leader, going to %s\n", addr, leader)
-		out, err = act(ctx, leader, action, body)
+	result, err := doAction(ctx, addr, action, body)
+	if leader := leaderFlightAddr(err); leader != "" {
+		fmt.Fprintf(cmd.ErrOrStderr(), "%s is not the leader; retrying at the leader, %s\n", addr, leader)
+		result, err = doAction(ctx, leader, action, body)
 	}
 	if err != nil {
 		return err
 	}
-	var text bytes.Buffer
-	if err := json.Indent(&text, out, "", "  "); err != nil {
-		return fmt.Errorf("reading the broker's answer: %w", err)
+	var indented bytes.Buffer
+	if err := json.Indent(&indented, result, "", "  "); err != nil {
+		return fmt.Errorf("decoding the broker's response: %w", err)
 	}
-	fmt.Fprintln(cmd.OutOrStdout(), text.String())
+	fmt.Fprintln(cmd.OutOrStdout(), indented.String())
 	return nil
 }
 
-func act(ctx context.Context, addr, action string, body []byte) ([]byte, error) {
+// doAction runs one Flight action at addr and returns its single result.
+func doAction(ctx context.Context, addr, action string, body []byte) ([]byte, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
 	if err != nil {
-		return nil, fmt.Errorf("reaching %s: %w", addr, err)
+		return nil, fmt.Errorf("connecting to %s: %w", addr, err)
 	}
 	defer conn.Close()
 	stream, err := flight.NewClientFromConn(conn, nil).DoAction(ctx, &flight.Action{Type: action, Body: body})
 	if err != nil {
-		return nil, fmt.Errorf("asking %s: %w", addr, err)
+		return nil, fmt.Errorf("calling %s: %w", addr, err)
 	}
-	res, err := stream.Recv()
+	result, err := stream.Recv()
 	if err != nil {
-		return nil, fmt.Errorf("asking %s: %w", addr, err)
+		return nil, fmt.Errorf("calling %s: %w", addr, err)
 	}
 	if _, err := stream.Recv(); !errors.Is(err, io.EOF) {
-		return nil, fmt.Errorf("asking %s: the answer did not end: %v", addr, err)
+		return nil, fmt.Errorf("calling %s: want the end of the stream after one result: %v", addr, err)
 	}
-	return res.GetBody(), nil
+	return result.GetBody(), nil
 }
 
-// leaderOf gives the Flight address that a follower named, "" for any other
-// error.
-func leaderOf(err error) string {
-	s, ok := status.FromError(err)
+// leaderFlightAddr returns the leader's Flight address from a follower's error, or "" for
+// any other error.
+func leaderFlightAddr(err error) string {
+	rpcStatus, ok := status.FromError(err)
 	if err == nil || !ok {
 		return ""
 	}
-	for _, d := range s.Details() {
-		if info, ok := d.(*errdetails.ErrorInfo); ok && info.GetReason() == daemon.ReasonNotLeader {
+	for _, detail := range rpcStatus.Details() {
+		if info, ok := detail.(*errdetails.ErrorInfo); ok && info.GetReason() == daemon.ReasonNotLeader {
 			return info.GetMetadata()[daemon.LeaderFlight]
 		}
 	}
 	return ""
 }
 
-func statusCmd(path *string) *cobra.Command {
-	r := &remote{path: path}
-	return r.flags(&cobra.Command{
-		Use: "status", Short: "Ask a broker for its counts and its view of the store", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return r.do(cmd, daemon.ActionStatus, nil) },
+func statusCmd(configPath *string) *cobra.Command {
+	client := &brokerClient{configPath: configPath}
+	return client.addAddrFlag(&cobra.Command{
+		Use: "status", Short: "Print a broker's counters and its view of the store", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error { return client.runAction(cmd, daemon.ActionStatus, nil) },
 	})
 }
 
-func configCmd(path *string) *cobra.Command {
+func configCmd(configPath *string) *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "Read or change the replicated configuration"}
-	get := &remote{path: path}
-	cmd.AddCommand(get.flags(&cobra.Command{
+	getClient := &brokerClient{configPath: configPath}
+	cmd.AddCommand(getClient.addAddrFlag(&cobra.Command{
 		Use: "get", Short: "Print the configuration", Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return get.do(cmd, daemon.ActionConfigGet, nil) },
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return getClient.runAction(cmd, daemon.ActionConfigGet, nil)
+		},
 	}))
-	set := &remote{path: path}
+	setClient := &brokerClient{configPath: configPath}
 	var ifVersion uint64
-	setCmd := set.flags(&cobra.Command{
+	setCmd := setClient.addAddrFlag(&cobra.Command{
 		Use: "set FIELD=VALUE ...", Short: "Change fields of the configuration", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			body, err := patch(args)
+			body, err := parseFields(args)
 			if err != nil {
 				return err
 			}
@@ -140,21 +146,21 @@
 			if err != nil {
 				return err
 			}
-			return set.do(cmd, daemon.ActionConfigSet, data)
+			return setClient.runAction(cmd, daemon.ActionConfigSet, data)
 		},
 	})
-	setCmd.Flags().Uint64Var(&ifVersion, "if-version", 0, "change only this version of the configuration")
+	setCmd.Flags().Uint64Var(&ifVersion, "if-version", 0, "change the configuration only if it has this version")
 	cmd.AddCommand(setCmd)
 	return cmd
 }
 
-// patch turns FIELD=VALUE words into an object; the broker checks its fields.
-func patch(args []string) (map[string]any, error) {
+// parseFields turns FIELD=VALUE arguments into an object, whose fields the broker validates.
+func parseFields(args []string) (map[string]any, error) {
 	body := map[string]any{}
-	for _, a := range args {
-		field, value, ok := strings.Cut(a, "=")
+	for _, arg := range args {
+		field, value, ok := strings.Cut(arg, "=")
 		if !ok || field == "" {
-			return nil, fmt.Errorf("%q: want FIELD=VALUE", a)
+			return nil, fmt.Errorf("%q: want FIELD=VALUE", arg)
 		}
 		if n, err := strconv.Atoi(value); err == nil {
 			body[field] = n
--- a/cli/soak_test.go
+++ b/cli/soak_test.go
@@ -21,110 +21,112 @@
 )
 
 const (
-	soakSeeds  = 8 // in CI; SOAK_SEEDS names another number, SOAK_FROM the first seed
-	soakNodes  = 4
-	soakWindow = 600 * time.Millisecond // for repeats
-	// heldUp is what a broker may be held up by at any moment (the standing test's 0.15 s),
-	// and what the test's own processes may be on a busy machine. The exact limits are forced
-	// by stand-ins in the packages' own tests.
-	heldUp = 150 * time.Millisecond
-	// lastConnect is until when new connections come after SIGTERM.
-	lastConnect = 400 * time.Millisecond
-	// drainGrace is the settings'; the drain counts as told when both discoveries, the old one
-	// and the new one of a move, have it.
+	defaultSoakSeeds = 8 // in CI; SOAK_SEEDS sets another number, SOAK_FROM the first seed
+	soakNodes        = 4
+	soakRetryWindow  = 600 * time.Millisecond // in which a keyed request may be retried
+	// maxPause is how long the broker may be paused at any moment (0.15 s, as in the standing
+	// test), and how long a busy machine may delay the test's own processes. The packages' own
+	// tests check the exact limits, with fakes.
+	maxPause = 150 * time.Millisecond
+	// connectWindow is how long after SIGTERM clients still open connections.
+	connectWindow = 400 * time.Millisecond
+	// drainGrace is the drain grace of the settings. A drain counts as known once both
+	// discoveries, the old and the new one of a switch, have sent it.
 	drainGrace = 500 * time.Millisecond
-	// crossed is how soon a connection's end must show after a request was sent on it, if
-	// the two crossed: a request that is read is not ended over.
-	crossed = 100 * time.Millisecond
+	// crossingWindow is how soon after a request was sent its connection must end, if it ends
+	// without an answer: the broker may close a connection while a request is on its way to
+	// it, but not once it has read the request.
+	crossingWindow = 100 * time.Millisecond
 )
 
-// soakRequest is one request and what became of it.
+// soakRequest is one request and its result.
 type soakRequest struct {
-	id     string
-	keyed  bool
-	nth    int       // request of its connection
-	opened time.Time // its connection
-	sent   time.Time // its last byte
-	within time.Duration
-	left   time.Time // when its client closed the connection over it
-	status int       // 0: no answer
-	ended  time.Time
-	err    error
+	id        string
+	keyed     bool
+	ordinal   int       // its place among the requests of its connection, from 1
+	opened    time.Time // when its connection was opened
+	sent      time.Time // when its last byte was sent
+	timeout   time.Duration
+	abandoned time.Time // when its client closed the connection before the answer
+	status    int       // 0: no answer
+	ended     time.Time
+	err       error
 }
 
-// soakCall is a part that came to a node.
+// soakCall is a part that a node received, with the outcome that the node gave it.
 type soakCall struct {
 	testkit.Call
-	node *testkit.Node
-	end  string
+	node    *testkit.Node
+	outcome string
 }
 
-// soak is one seed's broker with all that goes on around it.
-type soak struct {
-	t      *testing.T
-	rng    *rand.Rand
-	listen string
-	longer time.Duration // the longest deadline
-	held   time.Duration // what the broker, or the test, may be held up by
+// soakRun is the run of one seed: a broker, and what its clients and nodes saw.
+type soakRun struct {
+	t              *testing.T
+	rng            *rand.Rand
+	listen         string
+	deadline       time.Duration // the deadline of all classes
+	pauseAllowance time.Duration // how long the broker, or the test, may be delayed
 
-	mu    sync.Mutex
-	all   []*soakRequest
-	calls []soakCall
-	term  time.Time
+	mu         sync.Mutex
+	requests   []*soakRequest
+	calls      []soakCall
+	terminated time.Time // when SIGTERM was sent
 }
 
-// Brokers under load, with nodes that fail, hang and drain, clients that leave, SIGHUPs in
-// series, a crowd in some runs, and SIGTERM with SIGKILL at its earliest, while clients
-// go on using open connections until then.
+// Runs brokers under load and checks the protocol's rules on every request and attempt: no
+// lost answer, no late retry, no attempt at a drained node. Nodes fail, hang and drain, clients
+// disconnect, SIGHUPs come in series, in some runs many idle clients connect, and SIGTERM
+// is followed by SIGKILL at its earliest while clients still use their open connections.
 func TestSoak(t *testing.T) {
-	number := func(name string, usual int) int {
+	envNumber := func(name string, fallback int) int {
 		if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 			return n
 		}
-		return usual
+		return fallback
 	}
-	from := number("SOAK_FROM", 1)
-	atOnce := make(chan struct{}, 4)
-	for seed := from; seed < from+number("SOAK_SEEDS", soakSeeds); seed++ {
+	from := envNumber("SOAK_FROM", 1)
+	slots := make(chan struct{}, 4)
+	for seed := from; seed < from+envNumber("SOAK_SEEDS", defaultSoakSeeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			atOnce <- struct{}{}
-			defer func() { <-atOnce }()
-			(&soak{t: t, rng: rand.New(rand.NewPCG(uint64(seed), 0x50a4))}).run()
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			(&soakRun{t: t, rng: rand.New(rand.NewPCG(uint64(seed), 0x50a4))}).run()
 		})
 	}
 }
 
-func (s *soak) run() {
+func (s *soakRun) run() {
 	deadlines := []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 4 * time.Second}
-	s.longer = deadlines[s.rng.IntN(len(deadlines))]
-	crowd, hangs, stops := s.rng.IntN(3) == 0, s.rng.IntN(2) == 0, s.rng.IntN(2) == 0
-	s.held = heldUp
+	s.deadline = deadlines[s.rng.IntN(len(deadlines))]
+	crowd, nodesHang, pauses := s.rng.IntN(3) == 0, s.rng.IntN(2) == 0, s.rng.IntN(2) == 0
+	s.pauseAllowance = maxPause
 	var nodes []*testkit.Node
 	var list []testkit.Entry
 	for i := range soakNodes {
 		n := testkit.NewNode(s.t, fmt.Sprintf("s-%d", i), false)
-		n.Work(s.work(n, s.rng.Uint64(), 0.05))
+		n.Work(s.nodeBehavior(n, s.rng.Uint64(), 0.05))
 		nodes, list = append(nodes, n), append(list, n.Entry())
 	}
 	discoveries := []*testkit.Discovery{testkit.NewDiscovery(s.t, list...), testkit.NewDiscovery(s.t, list...)}
-	file := func(d *testkit.Discovery) []byte {
-		settings := withDeadline(s.longer)
+	configFor := func(d *testkit.Discovery) []byte {
+		settings := settingsWithDeadline(s.deadline)
 		for _, class := range settings["classes"].([]any) {
-			class.(map[string]any)["windowMs"] = float64(soakWindow.Milliseconds())
+			class.(map[string]any)["windowMs"] = float64(soakRetryWindow.Milliseconds())
 		}
 		return testkit.Config(d.Addr, list, settings, map[string]any{
 			"hand_over_ms": 550, "limits": map[string]any{"cores": 1.0, "memory_mb": 64, "sockets": 128},
 		})
 	}
 	s.listen = freeAddr(s.t)
-	p := start(s.t, file(discoveries[0]), s.listen)
-	testkit.Eventually(s.t, "it is ready", func() bool { return ready(s.listen) })
-	over := make(chan struct{})
+	p := startDeployed(s.t, configFor(discoveries[0]), s.listen)
+	testkit.Eventually(s.t, "the broker is ready", func() bool { return isReady(s.listen) })
+	done := make(chan struct{})
 	var clients sync.WaitGroup
 	for c := range 6 {
 		rng := rand.New(rand.NewPCG(s.rng.Uint64(), 2))
-		clients.Go(func() { s.client(c, rng, over) })
+		clients.Go(func() { s.client(c, rng, done) })
 	}
 	if crowd {
 		for range 150 {
@@ -133,44 +135,44 @@
 			}
 		}
 	}
-	signal := func(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) } // fails where it has ended
-	if cuts := rand.New(rand.NewPCG(s.rng.Uint64(), 4)); cuts.IntN(2) == 0 {
-		clients.Go(func() { cut(cuts, nodes, over) })
+	signal := func(sig syscall.Signal) { _ = p.cmd.Process.Signal(sig) } // fails if the process has exited
+	if cutRNG := rand.New(rand.NewPCG(s.rng.Uint64(), 4)); cutRNG.IntN(2) == 0 {
+		clients.Go(func() { cutConnectionsRandomly(cutRNG, nodes, done) })
 	}
-	if stops {
-		s.held += heldUp
+	if pauses {
+		s.pauseAllowance += maxPause
 		rng := rand.New(rand.NewPCG(s.rng.Uint64(), 3))
-		clients.Go(func() { hold(rng, signal, over) })
+		clients.Go(func() { pauseRandomly(rng, signal, done) })
 	}
-	hups := s.rng.IntN(4)
-	for i := hups; i > 0; i-- {
+	reloads := s.rng.IntN(4)
+	for i := reloads; i > 0; i-- {
 		time.Sleep(time.Duration(s.rng.IntN(200)) * time.Millisecond)
-		if err := os.WriteFile(p.file, file(discoveries[i%2]), 0o600); err != nil {
+		if err := os.WriteFile(p.configFile, configFor(discoveries[i%2]), 0o600); err != nil {
 			s.t.Fatal(err)
 		}
 		signal(syscall.SIGHUP)
 	}
-	if s.rng.IntN(3) == 0 { // the watches fall silent
+	if s.rng.IntN(3) == 0 { // the watches of both discoveries stay open but send nothing more
 		discoveries[0].Hush()
 		discoveries[1].Hush()
 	}
 	drained := nodes[s.rng.IntN(len(nodes))]
-	e := drained.Entry()
-	e.State = "terminating"
-	versions := []int{discoveries[0].Change(e), discoveries[1].Change(e)}
-	told := time.Now()
+	drainedEntry := drained.Entry()
+	drainedEntry.State = "terminating"
+	versions := []int{discoveries[0].Change(drainedEntry), discoveries[1].Change(drainedEntry)}
+	drainKnown := time.Now()
 	time.Sleep(time.Duration(200+s.rng.IntN(800)) * time.Millisecond)
-	if hangs { // through the whole of the stop
+	if nodesHang { // until the process has stopped
 		for range 2 {
 			n := nodes[s.rng.IntN(len(nodes))]
-			n.Work(s.work(n, 0, 1))
+			n.Work(s.nodeBehavior(n, 0, 1))
 		}
 	}
 	s.mu.Lock()
-	s.term = time.Now()
+	s.terminated = time.Now()
 	s.mu.Unlock()
 	signal(syscall.SIGTERM)
-	kill := time.NewTimer(killAfter(s.longer))
+	kill := time.NewTimer(earliestKill(s.deadline))
 	ended := make(chan error, 1)
 	go func() { ended <- p.cmd.Wait() }()
 	for range s.rng.IntN(3) {
@@ -182,48 +184,49 @@
 	case err := <-ended:
 		killed = time.Now()
 		if err != nil {
-			s.t.Errorf("it ended with %v\n%s", err, p.text())
+			s.t.Errorf("the broker exited with %v\n%s", err, p.output())
 		}
 	case <-kill.C:
 		killed = time.Now()
 		_ = p.cmd.Process.Kill()
 		<-ended
 	}
-	close(over)
+	close(done)
 	clients.Wait()
-	for i, d := range discoveries { // by the one that it follows: 4 s after a move at the latest
-		if at := d.Told(versions[i]); at.After(told) {
-			told = at
+	for i, d := range discoveries { // the later of both; a broker follows the new one within 4 s of a switch
+		if at := d.Told(versions[i]); at.After(drainKnown) {
+			drainKnown = at
 		}
 	}
-	if hups > 0 {
-		told = told.Add(4 * time.Second)
+	if reloads > 0 {
+		drainKnown = drainKnown.Add(4 * time.Second)
 	}
-	s.audit(drained, told, killed)
+	s.audit(drained, drainKnown, killed)
 	if s.t.Failed() {
-		s.t.Logf("deadline %v, crowd %v, nodes that hang %v, held up %v\n%s", s.longer, crowd, hangs, stops, p.text())
+		s.t.Logf("deadline %v, idle clients %v, hanging nodes %v, pauses %v\n%s", s.deadline, crowd, nodesHang, pauses, p.output())
 	}
 }
 
-// hold holds the broker up now and then.
-func hold(rng *rand.Rand, signal func(syscall.Signal), over <-chan struct{}) {
+// pauseRandomly pauses the broker at random times, for up to maxPause, until done is closed.
+func pauseRandomly(rng *rand.Rand, signal func(syscall.Signal), done <-chan struct{}) {
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-time.After(time.Duration(rng.IntN(300)) * time.Millisecond):
 		}
 		signal(syscall.SIGSTOP)
-		time.Sleep(time.Duration(rng.Int64N(int64(heldUp))))
+		time.Sleep(time.Duration(rng.Int64N(int64(maxPause))))
 		signal(syscall.SIGCONT)
 	}
 }
 
-// cut resets all connections of a node now and then.
-func cut(rng *rand.Rand, nodes []*testkit.Node, over <-chan struct{}) {
+// cutConnectionsRandomly resets all connections of a random node at random times,
+// until done is closed.
+func cutConnectionsRandomly(rng *rand.Rand, nodes []*testkit.Node, done <-chan struct{}) {
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-time.After(time.Duration(rng.IntN(400)) * time.Millisecond):
 			nodes[rng.IntN(len(nodes))].Cut()
@@ -231,146 +234,147 @@
 	}
 }
 
-// work ends a node's parts in some way or other; bad is the share of each of the bad ways,
-// from 1 on all hang.
-func (s *soak) work(n *testkit.Node, seed uint64, bad float64) func(testkit.Call) string {
+// nodeBehavior returns a function that draws the outcome of each part of a node. Each kind of
+// fault has the share faultShare; at 1 all parts hang.
+func (s *soakRun) nodeBehavior(n *testkit.Node, seed uint64, faultShare float64) func(testkit.Call) string {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 1))
 	return func(call testkit.Call) string {
 		mu.Lock()
-		x, wait := rng.Float64(), time.Duration(rng.IntN(20))*time.Millisecond
+		draw, delay := rng.Float64(), time.Duration(rng.IntN(20))*time.Millisecond
 		mu.Unlock()
-		end := testkit.Done
-		for i, way := range []string{testkit.Silent, testkit.Fail, testkit.Full, testkit.Break} {
-			if x < bad*float64(i+1) {
-				end = way
+		outcome := testkit.Done
+		for i, fault := range []string{testkit.Silent, testkit.Fail, testkit.Full, testkit.Break} {
+			if draw < faultShare*float64(i+1) {
+				outcome = fault
 				break
 			}
 		}
 		s.mu.Lock()
-		s.calls = append(s.calls, soakCall{call, n, end})
+		s.calls = append(s.calls, soakCall{call, n, outcome})
 		s.mu.Unlock()
-		time.Sleep(wait)
-		return end
+		time.Sleep(delay)
+		return outcome
 	}
 }
 
-// client sends one request after another on a connection that it keeps, until the broker
-// ends it; it leaves some.
-func (s *soak) client(c int, rng *rand.Rand, over <-chan struct{}) {
+// client sends requests one after another on a connection that it keeps until the broker
+// closes it, and abandons some of them.
+func (s *soakRun) client(c int, rng *rand.Rand, done <-chan struct{}) {
 	var conn net.Conn
 	var in *bufio.Reader
 	var opened time.Time
-	nth := 0
+	ordinal := 0
 	for i := 0; ; i++ {
 		select {
-		case <-over:
+		case <-done:
 			return
 		default:
 		}
 		if conn == nil {
 			s.mu.Lock()
-			late := !s.term.IsZero() && time.Since(s.term) > lastConnect
+			tooLate := !s.terminated.IsZero() && time.Since(s.terminated) > connectWindow
 			s.mu.Unlock()
-			if late {
+			if tooLate {
 				return
 			}
 			var err error
 			if conn, err = net.Dial("tcp", s.listen); err != nil {
-				return // the door is closed
+				return // the listener is closed
 			}
-			in, nth, opened = bufio.NewReader(conn), 0, time.Now()
+			in, ordinal, opened = bufio.NewReader(conn), 0, time.Now()
 		}
-		nth++
-		r := &soakRequest{id: fmt.Sprintf("c%d-%d", c, i), keyed: rng.IntN(3) == 0, nth: nth, opened: opened, within: s.longer * time.Duration(60+rng.IntN(41)) / 100}
-		text := query(r.id, r.within)
+		ordinal++
+		r := &soakRequest{id: fmt.Sprintf("c%d-%d", c, i), keyed: rng.IntN(3) == 0, ordinal: ordinal, opened: opened, timeout: s.deadline * time.Duration(60+rng.IntN(41)) / 100}
+		request := queryRequest(r.id, r.timeout)
 		if r.keyed {
-			text = strings.Replace(strings.Replace(text, "/screen", "/edit", 1), "X-Class: screen", "X-Class: edit\r\nIdempotency-Key: "+r.id, 1)
+			request = strings.Replace(strings.Replace(request, "/screen", "/edit", 1), "X-Class: screen", "X-Class: edit\r\nIdempotency-Key: "+r.id, 1)
 		}
-		if _, r.err = io.WriteString(conn, text); r.err != nil {
-			conn = nil // ended before this one
+		if _, r.err = io.WriteString(conn, request); r.err != nil {
+			conn = nil // closed before this request
 			continue
 		}
 		r.sent = time.Now()
-		last := false
+		closing := false
 		if rng.IntN(12) == 0 {
 			time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 			_ = conn.Close()
-			r.left = time.Now()
+			r.abandoned = time.Now()
 		} else {
-			_ = conn.SetReadDeadline(r.sent.Add(r.within + time.Second))
+			_ = conn.SetReadDeadline(r.sent.Add(r.timeout + time.Second))
 			var res *http.Response
 			if res, r.err = http.ReadResponse(in, nil); r.err == nil {
-				last = res.Close
+				closing = res.Close
 				if _, r.err = io.Copy(io.Discard, res.Body); r.err == nil {
 					r.status = res.StatusCode
 				}
 			}
 			r.ended = time.Now()
 		}
-		if last || r.status == 0 || !r.left.IsZero() {
+		if closing || r.status == 0 || !r.abandoned.IsZero() {
 			_ = conn.Close()
 			conn = nil
 		}
 		s.mu.Lock()
-		s.all = append(s.all, r)
+		s.requests = append(s.requests, r)
 		s.mu.Unlock()
 	}
 }
 
-// audit holds what happened against the protocol's rules.
-func (s *soak) audit(drained *testkit.Node, told, killed time.Time) {
-	s.mu.Lock() // a part may come to a node until the node is stopped, after the test
+// audit checks the recorded requests and parts against the protocol's rules. The broker is
+// counted as knowing of the drain from drainKnown on.
+func (s *soakRun) audit(drained *testkit.Node, drainKnown, killed time.Time) {
+	s.mu.Lock() // nodes may receive parts until they are stopped, after the test
 	calls := slices.Clone(s.calls)
 	s.mu.Unlock()
-	requests, forwarded := map[string]*soakRequest{}, map[string]bool{}
+	byID, forwarded := map[string]*soakRequest{}, map[string]bool{}
 	for _, call := range calls {
-		name, _, _ := strings.Cut(call.ID, ".")
-		forwarded[name] = true
+		queryID, _, _ := strings.Cut(call.ID, ".")
+		forwarded[queryID] = true
 	}
-	for _, r := range s.all {
-		requests[r.id] = r
-		late := r.ended.Sub(r.sent) > r.within+500*time.Millisecond+s.held
+	for _, r := range s.requests {
+		byID[r.id] = r
+		late := r.ended.Sub(r.sent) > r.timeout+500*time.Millisecond+s.pauseAllowance
 		switch {
-		case !r.left.IsZero():
+		case !r.abandoned.IsZero():
 		case r.status != 0 && late:
-			s.t.Errorf("%s: answered %v after it was sent, its client waits %v", r.id, r.ended.Sub(r.sent), r.within)
+			s.t.Errorf("%s: answered %v after it was sent, want within its deadline of %v", r.id, r.ended.Sub(r.sent), r.timeout)
 		case r.status == 0 && errors.Is(r.err, os.ErrDeadlineExceeded):
-			s.t.Errorf("%s: no answer in %v", r.id, r.ended.Sub(r.sent))
-		case r.status == 0 && r.ended.Sub(r.sent) > crossed:
-			s.t.Errorf("%s, request %d of its connection, opened %v before: ended %v after it was sent, %v after SIGTERM, %v before the kill: %v",
-				r.id, r.nth, r.sent.Sub(r.opened), r.ended.Sub(r.sent), r.sent.Sub(s.term), killed.Sub(r.sent), r.err)
+			s.t.Errorf("%s: no answer within %v", r.id, r.ended.Sub(r.sent))
+		case r.status == 0 && r.ended.Sub(r.sent) > crossingWindow:
+			s.t.Errorf("%s, request %d of its connection, opened %v before: connection closed without an answer %v after the request, which was sent %v after SIGTERM and %v before the kill: %v",
+				r.id, r.ordinal, r.sent.Sub(r.opened), r.ended.Sub(r.sent), r.sent.Sub(s.terminated), killed.Sub(r.sent), r.err)
 		case r.status == 0 && forwarded[r.id]:
-			s.t.Errorf("%s: forwarded, and its connection ended with no answer, %v after SIGTERM: %v", r.id, r.sent.Sub(s.term), r.err)
+			s.t.Errorf("%s: forwarded, but its connection closed without an answer; sent %v after SIGTERM: %v", r.id, r.sent.Sub(s.terminated), r.err)
 		}
 	}
 	slices.SortFunc(calls, func(a, b soakCall) int { return a.At.Compare(b.At) })
-	ran, times := map[string]time.Time{}, map[string]int{} // ran: the first that may have
+	firstRun, attempts := map[string]time.Time{}, map[string]int{} // firstRun: the first attempt that may have taken effect
 	for _, call := range calls {
-		name, _, _ := strings.Cut(call.ID, ".")
-		r := requests[name]
+		queryID, _, _ := strings.Cut(call.ID, ".")
+		r := byID[queryID]
 		if r == nil {
-			continue // its client had no time to note it
+			continue // its client had not recorded it yet
 		}
-		if first, ok := ran[call.ID]; ok && r.keyed && call.At.Sub(first) > soakWindow+s.held {
-			s.t.Errorf("%s: repeated %v after its first attempt that may have run", call.ID, call.At.Sub(first))
-		} else if !ok && call.end != testkit.Full {
-			ran[call.ID] = call.At
+		if first, ok := firstRun[call.ID]; ok && r.keyed && call.At.Sub(first) > soakRetryWindow+s.pauseAllowance {
+			s.t.Errorf("%s: retried %v after its first attempt that may have taken effect", call.ID, call.At.Sub(first))
+		} else if !ok && call.outcome != testkit.Full {
+			firstRun[call.ID] = call.At
 		}
-		if times[call.ID]++; times[call.ID] > 3 {
-			s.t.Errorf("%s: %d attempts", call.ID, times[call.ID])
+		if attempts[call.ID]++; attempts[call.ID] > 3 {
+			s.t.Errorf("%s: %d attempts, want at most 3", call.ID, attempts[call.ID])
 		}
-		if !r.left.IsZero() && call.At.Sub(r.left) > 100*time.Millisecond+s.held {
-			s.t.Errorf("%s: begins %v after its client left", call.ID, call.At.Sub(r.left))
+		if !r.abandoned.IsZero() && call.At.Sub(r.abandoned) > 100*time.Millisecond+s.pauseAllowance {
+			s.t.Errorf("%s: attempt started %v after its client disconnected", call.ID, call.At.Sub(r.abandoned))
 		}
-		if left := r.within - call.At.Sub(r.sent); call.Wait > left+150*time.Millisecond+s.held {
-			s.t.Errorf("%s: told %v, its client has %v left", call.ID, call.Wait, left)
+		if remaining := r.timeout - call.At.Sub(r.sent); call.Wait > remaining+150*time.Millisecond+s.pauseAllowance {
+			s.t.Errorf("%s: the node was given a deadline of %v, its client has %v left", call.ID, call.Wait, remaining)
 		}
-		if call.node == drained && call.At.Sub(told) > drainGrace+s.held {
-			s.t.Errorf("%s: begins at %s %v after its drain was told", call.ID, call.node.ID, call.At.Sub(told))
+		if call.node == drained && call.At.Sub(drainKnown) > drainGrace+s.pauseAllowance {
+			s.t.Errorf("%s: attempt started at %s %v after its drain was known", call.ID, call.node.ID, call.At.Sub(drainKnown))
 		}
 	}
-	if len(s.all) < 6 { // some wait for 4 s each
-		s.t.Errorf("%d requests only", len(s.all))
+	if len(s.requests) < 6 { // each of the 6 clients may wait for 4 s
+		s.t.Errorf("got %d requests, want at least 6", len(s.requests))
 	}
 }
--- a/cli/start_test.go
+++ b/cli/start_test.go
@@ -18,8 +18,8 @@
 	"onyxsail/internal/testkit"
 )
 
-// A log that nobody reads any more holds up no query and no stop.
-func TestLogThatIsNotRead(t *testing.T) {
+// A log reader that stops reading, which fills the pipe, must not delay queries or the stop.
+func TestUnreadLogDelaysNoQueryAndNoStop(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
 	cfg := testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, testkit.Settings(nil), map[string]any{"log_level": "info"})
@@ -35,14 +35,14 @@
 	listen := freeAddr(t)
 	cmd := exec.Command(program, "serve")
 	cmd.Stderr = w
-	p := launch(t, cmd, cfg, "NODE_LISTEN="+listen)
+	p := launchCommand(t, cmd, cfg, "NODE_LISTEN="+listen)
 	w.Close()
-	testkit.Eventually(t, "it is ready", func() bool { return ready(listen) })
-	for i := range 100 { // each is a line of the core's
+	testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
+	for i := range 100 { // the decision module logs a line for each change
 		e := n.Entry()
 		e.Weight = float64(i)
 		version := d.Change(e)
-		testkit.Eventually(t, "the change is told", func() bool { return !d.Told(version).IsZero() })
+		testkit.Eventually(t, "the broker has received the change", func() bool { return !d.Told(version).IsZero() })
 	}
 	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Within: 10 * time.Second}
 	if got := testkit.AskHTTP(context.Background(), listen, q); got.Kind != "served" || !got.Whole {
@@ -51,9 +51,9 @@
 	p.stop(t)
 }
 
-// start runs the program as the deploy file does, at an address of the caller's, and
-// does not wait for it.
-func start(t *testing.T, cfg []byte, listen string, env ...string) *process {
+// startDeployed runs the program with the command of the deploy file, to listen at the given
+// address, and does not wait until it is ready.
+func startDeployed(t *testing.T, cfg []byte, listen string, env ...string) *process {
 	t.Helper()
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -62,14 +62,14 @@
 	_, line, _ := strings.Cut(string(deploy), "\nrun = \"")
 	line, _, ok := strings.Cut(line, "\"\n")
 	if !ok || !strings.Contains(line, "bin/gannetchute") {
-		t.Fatalf("no run line: %q", line)
+		t.Fatalf("deploy file: run line %q, want one that runs bin/gannetchute", line)
 	}
-	return launch(t, exec.Command("/bin/sh", "-c", strings.ReplaceAll(line, "bin/gannetchute", program)), cfg, append(env, "NODE_LISTEN="+listen)...)
+	return launchCommand(t, exec.Command("/bin/sh", "-c", strings.ReplaceAll(line, "bin/gannetchute", program)), cfg, append(env, "NODE_LISTEN="+listen)...)
 }
 
-// serves asks as a client does that comes again when it is told to: on a machine with
-// much else to do a broker may have learned that answers are late.
-func serves(t *testing.T, addr, id string, shards ...int) {
+// checkServed sends a query and retries it after each Retry-After, as a client does: on a
+// busy machine the broker may have measured that answers are late, and refuse some queries.
+func checkServed(t *testing.T, addr, id string, shards ...int) {
 	t.Helper()
 	var got testkit.Reply
 	for try, over := 0, time.Now().Add(20*time.Second); time.Now().Before(over); try++ {
@@ -84,62 +84,64 @@
 	}
 }
 
-// A thousand nodes and brokers, under the smallest limits that the bench's days have
-// had: four times as many nodes as descriptors. A second list replaces them all.
-func TestThousandNodesUnderSmallLimits(t *testing.T) {
+// A broker with about a thousand nodes and peers must serve queries within the smallest limits
+// of the benchmark, with four times as many nodes as descriptors, also after a new list has
+// replaced all nodes.
+func TestThousandNodesAreServedWithinSmallLimits(t *testing.T) {
 	const nodes, cells, sockets, memoryMB = 1024, 256, 256, 48
-	real := make([]*testkit.Node, 8)
-	for i := range real {
-		real[i] = testkit.NewNode(t, fmt.Sprintf("real-%d", i), false)
+	nodeServers := make([]*testkit.Node, 8)
+	for i := range nodeServers {
+		nodeServers[i] = testkit.NewNode(t, fmt.Sprintf("real-%d", i), false)
 	}
-	list := func(prefix string, of []*testkit.Node) []testkit.Entry {
+	list := func(prefix string, servers []*testkit.Node) []testkit.Entry {
 		all := make([]testkit.Entry, nodes)
 		for i := range all {
-			all[i] = of[i%len(of)].Entry()
+			all[i] = servers[i%len(servers)].Entry()
 			all[i].ID, all[i].Cell, all[i].Started = fmt.Sprintf("%s-%04d", prefix, i), i%cells, 1
 		}
 		return all
 	}
-	old, young := list("old", real[:4]), list("young", real[4:])
-	d := testkit.NewDiscovery(t, old...)
+	oldList, newList := list("old", nodeServers[:4]), list("young", nodeServers[4:])
+	d := testkit.NewDiscovery(t, oldList...)
 	settings := testkit.Settings(func(s map[string]any) {
 		s["balancers"] = 1024
 		s["tenants"] = make([]map[string]any, 1024)
 		s["domain"].(map[string]any)["cells"], s["domain"].(map[string]any)["ranges"] = cells, cells
 	})
 	listen := freeAddr(t)
-	p := start(t, testkit.Config(d.Addr, old, settings, map[string]any{
+	p := startDeployed(t, testkit.Config(d.Addr, oldList, settings, map[string]any{
 		"limits": map[string]any{"cores": 0.1, "memory_mb": memoryMB, "sockets": sockets},
 	}), listen)
-	testkit.Eventually(t, "it is ready", func() bool { return ready(listen) })
+	testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
 	load := func(name string) {
 		t.Helper()
-		for from := 0; from < 3*cells; from += 64 { // 64 nodes or more for each query: more than there are places
+		for from := 0; from < 3*cells; from += 64 { // each query needs 64 nodes or more, more than the connections that the limits allow
 			shards := make([]int, 64)
 			for i := range shards {
 				shards[i] = (from + i) % cells
 			}
-			serves(t, listen, fmt.Sprintf("%s%d", name, from), shards...)
-			if threads, kb, fds := p.numbers(t); threads > maxThreads || kb > memoryMB<<10 || fds > sockets {
+			checkServed(t, listen, fmt.Sprintf("%s%d", name, from), shards...)
+			if threads, kb, fds := p.resourceUsage(t); threads > maxThreads || kb > memoryMB<<10 || fds > sockets {
 				t.Fatalf("%d threads, %d KB, %d descriptors, want %d, %d MB and %d at most", threads, kb, fds, maxThreads, memoryMB, sockets)
 			}
 		}
 	}
 	load("a")
-	version := d.Replace(young)
-	testkit.Eventually(t, "the list is told", func() bool { return !d.Told(version).IsZero() })
-	for _, n := range real[:4] {
+	version := d.Replace(newList)
+	testkit.Eventually(t, "the broker has received the new list", func() bool { return !d.Told(version).IsZero() })
+	for _, n := range nodeServers[:4] {
 		n.Stop()
 	}
 	load("b")
-	if threads, kb, fds := p.numbers(t); t.Failed() {
-		t.Logf("%d threads, %d KB, %d descriptors\n%s", threads, kb, fds, p.text())
+	if threads, kb, fds := p.resourceUsage(t); t.Failed() {
+		t.Logf("%d threads, %d KB, %d descriptors\n%s", threads, kb, fds, p.output())
 	}
 	p.stop(t)
 }
 
-// With next to nothing to work with the program still starts, serves and keeps to it.
-func TestSmallestLimits(t *testing.T) {
+// With minimal limits the broker must still start, serve queries and stay within the limits,
+// while idle connections ask for more descriptors than it may have.
+func TestSmallestLimitsStillServeQueries(t *testing.T) {
 	var nodes []testkit.Entry
 	for i := range 16 {
 		e := testkit.NewNode(t, fmt.Sprintf("s-%02d", i), false).Entry()
@@ -149,11 +151,11 @@
 	d := testkit.NewDiscovery(t, nodes...)
 	const sockets = 40
 	listen := freeAddr(t)
-	p := start(t, testkit.Config(d.Addr, nodes, testkit.Settings(nil), map[string]any{
+	p := startDeployed(t, testkit.Config(d.Addr, nodes, testkit.Settings(nil), map[string]any{
 		"limits": map[string]any{"cores": 0.01, "memory_mb": 8, "sockets": sockets},
 	}), listen)
-	testkit.Eventually(t, "it is ready", func() bool { return ready(listen) })
-	for range 2 * sockets { // more than it may hold, and they say nothing
+	testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
+	for range 2 * sockets { // idle, and more than the broker may hold
 		c, err := net.Dial("tcp", listen)
 		if err != nil {
 			t.Fatal(err)
@@ -161,119 +163,119 @@
 		defer c.Close()
 	}
 	for i := range 40 {
-		serves(t, listen, fmt.Sprint("a", i), i%18, (i+5)%18, (i+9)%18)
-		if threads, _, fds := p.numbers(t); threads > maxThreads || fds > sockets {
+		checkServed(t, listen, fmt.Sprint("a", i), i%18, (i+5)%18, (i+9)%18)
+		if threads, _, fds := p.resourceUsage(t); threads > maxThreads || fds > sockets {
 			t.Fatalf("%d threads, %d descriptors of %d", threads, fds, sockets)
 		}
 	}
 	p.stop(t)
 }
 
-// maxThreads bounds those of one broker on a machine whose processors are taken:
-// eight at rest (docs/sizes.md), and one for each goroutine that the system lets wait in
-// a call. Those are the core, the front's and the node client's sweeps, the accepts, the
-// errands of the sockets, one connection that changes hands, two connects, discovery,
-// the log and a file; the ends of dials are the only ones that go with load.
+// maxThreads bounds the threads of one broker on a machine whose processors are busy: eight at
+// rest (docs/sizes.md), and one for each goroutine that may block in a system call. Those are
+// the decision module, the periodic sweeps of the front and of the node client, the accepts,
+// the socket maintenance, one connection that is handed over, two connects, discovery, the
+// log and a file; only the completion of dials grows with load.
 const maxThreads = 24
 
-// Many brokers start at once, half are killed and start again, all are stopped: each
-// is ready, answers and ends, and threads and descriptors come back to what they were.
-func TestManyBrokersAtOnce(t *testing.T) {
+// Many brokers start at once, half are killed and restarted, and all are stopped: each must
+// become ready, answer and exit with status 0, within the bounds of threads and memory.
+func TestManyBrokersRestartedAtOnceStayWithinThreadAndMemoryBounds(t *testing.T) {
 	const brokers = 24
 	n := testkit.NewNode(t, "s-1", false)
 	warm := n.Entry()
 	warm.Started = 1
 	d := testkit.NewDiscovery(t, warm)
 	addrs, all := make([]string, brokers), make([]*process, brokers)
-	begin := func(i int) {
-		all[i] = start(t, testkit.Config(d.Addr, []testkit.Entry{warm}, testkit.Settings(func(s map[string]any) {
+	startBroker := func(i int) {
+		all[i] = startDeployed(t, testkit.Config(d.Addr, []testkit.Entry{warm}, testkit.Settings(func(s map[string]any) {
 			s["balancers"], s["index"] = brokers, i
 		}), map[string]any{"limits": map[string]any{"cores": 0.05, "memory_mb": 48, "sockets": 256}}), addrs[i])
 	}
 	for i := range all {
 		addrs[i] = freeAddr(t)
-		begin(i)
+		startBroker(i)
 	}
-	each := func(round string) {
+	checkAllServed := func(round string) {
 		t.Helper()
 		for i := range all {
-			testkit.Eventually(t, "it is ready", func() bool { return ready(addrs[i]) })
+			testkit.Eventually(t, "the broker is ready", func() bool { return isReady(addrs[i]) })
 			for k := range 4 {
-				serves(t, addrs[i], fmt.Sprintf("%s%d-%d", round, i, k), 1, 2, 3, 4, 5, 6)
+				checkServed(t, addrs[i], fmt.Sprintf("%s%d-%d", round, i, k), 1, 2, 3, 4, 5, 6)
 			}
 		}
 	}
-	each("a")
+	checkAllServed("a")
 	for i := 0; i < brokers; i += 2 {
 		_ = all[i].cmd.Process.Kill()
-		_ = all[i].cmd.Wait() // killed: its status tells nothing
-		begin(i)
+		_ = all[i].cmd.Wait() // the exit status of a killed process says nothing
+		startBroker(i)
 	}
-	each("b")
+	checkAllServed("b")
 	for _, p := range all {
-		if threads, kb, _ := p.numbers(t); threads > maxThreads || kb > 24<<10 {
+		if threads, kb, _ := p.resourceUsage(t); threads > maxThreads || kb > 24<<10 {
 			t.Errorf("%d threads, %d KB, want %d and 24 MB at most", threads, kb, maxThreads)
 		}
 	}
-	for _, p := range all { // at once; the second signal of stop must cut nothing off
+	for _, p := range all { // all at once; the second SIGTERM, below, must not interrupt the drain
 		if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for _, p := range all {
-		_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails where it has ended already
-		if err := p.end(); err != nil {
-			t.Errorf("exit: %v\n%s", err, p.text())
+		_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has exited
+		if err := p.wait(); err != nil {
+			t.Errorf("exit: %v\n%s", err, p.output())
 		}
 	}
 }
 
-// Signals that come before the program is ready: SIGHUP ends none and loses no
-// configuration, SIGTERM ends it in order.
-func TestSignalsDuringAStart(t *testing.T) {
+// Signals may arrive before the program is ready: SIGHUP must neither terminate it nor lose a
+// configuration, and SIGTERM must stop it with status 0.
+func TestSignalsDuringStartupLoseNoConfiguration(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
 	cfg := testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, testkit.Settings(nil), nil)
-	for after := range 10 { // milliseconds, over the whole of a start
+	for after := range 10 { // milliseconds, which span a start
 		listen := freeAddr(t)
-		p := start(t, cfg, listen)
-		testkit.Eventually(t, "the shell has its trap", func() bool { return p.holdsOff(t, syscall.SIGHUP) })
+		p := startDeployed(t, cfg, listen)
+		testkit.Eventually(t, "the process ignores or handles SIGHUP", func() bool { return p.survivesSignal(t, syscall.SIGHUP) })
 		time.Sleep(time.Duration(after) * time.Millisecond)
-		testkit.Eventually(t, "it is ready", func() bool {
+		testkit.Eventually(t, "the broker is ready", func() bool {
 			_ = p.cmd.Process.Signal(syscall.SIGHUP)
-			return ready(listen)
+			return isReady(listen)
 		})
-		serves(t, listen, "a", 1, 2)
+		checkServed(t, listen, "a", 1, 2)
 		p.stop(t)
 	}
-	hung, err := net.Listen("tcp", "127.0.0.1:0") // takes connections and never answers
+	hung, err := net.Listen("tcp", "127.0.0.1:0") // accepts connections and never answers
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer hung.Close()
 	listen := freeAddr(t)
-	p := start(t, testkit.Config(hung.Addr().String(), nil, testkit.Settings(nil), nil), listen)
-	testkit.Eventually(t, "it listens", func() bool { c, err := net.Dial("tcp", listen); return err == nil && c.Close() == nil })
-	if ready(listen) {
-		t.Error("ready without a list")
+	p := startDeployed(t, testkit.Config(hung.Addr().String(), nil, testkit.Settings(nil), nil), listen)
+	testkit.Eventually(t, "the broker listens", func() bool { c, err := net.Dial("tcp", listen); return err == nil && c.Close() == nil })
+	if isReady(listen) {
+		t.Error("the broker is ready without a node list")
 	}
-	if err := os.WriteFile(p.file, cfg, 0o600); err != nil {
+	if err := os.WriteFile(p.configFile, cfg, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, "it is ready by the discovery of the new file", func() bool { return ready(listen) })
-	serves(t, listen, "b", 1, 2)
+	testkit.Eventually(t, "the broker is ready with the discovery of the new file", func() bool { return isReady(listen) })
+	checkServed(t, listen, "b", 1, 2)
 	p.stop(t)
-	p = start(t, testkit.Config(hung.Addr().String(), nil, testkit.Settings(nil), nil), listen)
-	testkit.Eventually(t, "it listens", func() bool { c, err := net.Dial("tcp", listen); return err == nil && c.Close() == nil })
+	p = startDeployed(t, testkit.Config(hung.Addr().String(), nil, testkit.Settings(nil), nil), listen)
+	testkit.Eventually(t, "the broker listens", func() bool { c, err := net.Dial("tcp", listen); return err == nil && c.Close() == nil })
 	p.stop(t)
 }
 
-// Under load SIGHUP after SIGHUP, each with another discovery, costs no query; SIGTERM
-// costs none that was taken: after it clients find a closed door at worst.
-func TestSignalsUnderLoad(t *testing.T) {
+// Under load, a series of SIGHUPs, each with another discovery, must fail no query, and SIGTERM
+// must fail none that was accepted: after it a client's connection may be refused at worst.
+func TestSignalsUnderLoadLoseNoAcceptedQuery(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
 	n.Work(func(testkit.Call) string { time.Sleep(5 * time.Millisecond); return testkit.Done })
 	entry := n.Entry()
@@ -283,39 +285,39 @@
 		files[i] = testkit.Config(testkit.NewDiscovery(t, entry).Addr, []testkit.Entry{entry}, testkit.Settings(nil), map[string]any{"hand_over_ms": 300})
 	}
 	listen := freeAddr(t)
-	p := start(t, files[0], listen)
-	testkit.Eventually(t, "it is ready", func() bool { return ready(listen) })
-	var told atomic.Bool
-	var served, closed atomic.Int64
+	p := startDeployed(t, files[0], listen)
+	testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
+	var stopSent atomic.Bool
+	var served, disconnected atomic.Int64
 	var clients sync.WaitGroup
-	over := make(chan struct{})
+	done := make(chan struct{})
 	for c := range 4 {
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
 			for i := 0; ; i++ {
 				select {
-				case <-over:
+				case <-done:
 					return
 				default:
 				}
-				after := told.Load()
+				after := stopSent.Load()
 				q := testkit.Query{Class: "screen", ID: fmt.Sprintf("c%d-%d", c, i), Shards: []int{1, 2, 3}, Within: 10 * time.Second}
 				switch got := testkit.AskHTTP(context.Background(), listen, q); {
 				case got.Kind == "served" && got.Whole:
 					served.Add(1)
-				case got.Kind == "none" && (after || told.Load()):
-					closed.Add(1)
+				case got.Kind == "none" && (after || stopSent.Load()):
+					disconnected.Add(1)
 					return
 				default:
-					t.Errorf("%s, told to stop %v: got %+v", q.ID, after, got)
+					t.Errorf("%s, SIGTERM sent %v: got %+v", q.ID, after, got)
 					return
 				}
 			}
 		}()
 	}
 	for i := range 30 {
-		if err := os.WriteFile(p.file, files[i%2], 0o600); err != nil {
+		if err := os.WriteFile(p.configFile, files[i%2], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -324,35 +326,35 @@
 		before := served.Load()
 		testkit.Eventually(t, "queries are served", func() bool { return served.Load() >= before+8 || t.Failed() })
 	}
-	told.Store(true)
+	stopSent.Store(true)
 	p.stop(t)
-	close(over)
+	close(done)
 	clients.Wait()
-	if served.Load() < 240 || closed.Load() == 0 && !t.Failed() {
-		t.Errorf("%d served, %d clients found the door closed", served.Load(), closed.Load())
+	if served.Load() < 240 || disconnected.Load() == 0 && !t.Failed() {
+		t.Errorf("%d served, %d clients found the listener closed", served.Load(), disconnected.Load())
 	}
 }
 
-// A crash leaves its stack on standard error, past the lines that wait, and a status
-// that tells it from an end in order.
-func TestCrashLeavesItsStack(t *testing.T) {
+// A crash must write its stack to standard error without waiting for the log's buffer, and exit
+// with a status that differs from that of an orderly stop.
+func TestCrashWritesItsStackAndADistinctExitStatus(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
 	listen := freeAddr(t)
-	p := start(t, testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, testkit.Settings(nil), nil), listen)
-	testkit.Eventually(t, "it is ready", func() bool { return ready(listen) })
+	p := startDeployed(t, testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, testkit.Settings(nil), nil), listen)
+	testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
 	if err := p.cmd.Process.Signal(syscall.SIGABRT); err != nil {
 		t.Fatal(err)
 	}
-	_ = p.cmd.Wait() // its status is looked at below
-	if code := p.cmd.ProcessState.ExitCode(); code != 2 || !strings.Contains(p.text(), "SIGABRT") || !strings.Contains(p.text(), "goroutine ") {
-		t.Errorf("status %d:\n%s", code, p.text())
+	_ = p.cmd.Wait() // the exit status is checked below
+	if code := p.cmd.ProcessState.ExitCode(); code != 2 || !strings.Contains(p.output(), "SIGABRT") || !strings.Contains(p.output(), "goroutine ") {
+		t.Errorf("exit status %d, want 2 and a stack trace:\n%s", code, p.output())
 	}
 }
 
-// Without any list a broker takes clients after a while all the same, and turns them
-// away at once.
-func TestNoListEver(t *testing.T) {
+// A broker that never gets a node list must become ready within a few seconds all the same, and
+// refuse queries at once instead of letting clients wait.
+func TestBrokerWithoutANodeListBecomesReadyAndRefuses(t *testing.T) {
 	t.Parallel()
 	hung, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -360,10 +362,10 @@
 	}
 	defer hung.Close()
 	listen := freeAddr(t)
-	began := time.Now()
-	p := start(t, testkit.Config(hung.Addr().String(), nil, testkit.Settings(nil), nil), listen)
-	testkit.Eventually(t, "it is ready", func() bool { return ready(listen) })
-	if took := time.Since(began); took > 6*time.Second { // nine in ten restarted brokers must be within 10 s, or 6 s on short days
+	started := time.Now()
+	p := startDeployed(t, testkit.Config(hung.Addr().String(), nil, testkit.Settings(nil), nil), listen)
+	testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
+	if took := time.Since(started); took > 6*time.Second { // nine in ten restarted brokers must be ready within 10 s, or 6 s on short days
 		t.Errorf("ready after %v", took)
 	}
 	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Within: 3 * time.Second}
@@ -373,15 +375,15 @@
 	p.stop(t)
 }
 
-// listened counts the addresses that freeAddr has given.
-var listened atomic.Uint32
+// allocatedAddrs counts the addresses that freeAddr has returned.
+var allocatedAddrs atomic.Uint32
 
-// freeAddr returns an address at which a process that is started next can listen. Each
-// has a loopback address to itself, this process's and its number: of 127.0.0.1 any
-// connection that is made meanwhile could get the port.
+// freeAddr returns an address at which the next process can listen. Each has a loopback IP of
+// its own, made of this process's id and the address's number: at 127.0.0.1 any connection
+// that is opened meanwhile could be given the port.
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	n := listened.Add(1)
+	n := allocatedAddrs.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.%d:0", 1+os.Getpid()%250, n>>7&0xff, n&0x7f+1))
 	if err != nil {
 		t.Fatal(err)
@@ -390,8 +392,8 @@
 	return l.Addr().String()
 }
 
-// ready asks as the front does.
-func ready(addr string) bool {
+// isReady reports whether the broker's readiness path, which the front polls, answers 200.
+func isReady(addr string) bool {
 	res, err := http.Get("http://" + addr + "/ready")
 	if err != nil {
 		return false
@@ -400,8 +402,9 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// holdsOff says whether a signal would not end the process: it is ignored or caught.
-func (p *process) holdsOff(t *testing.T, sig syscall.Signal) bool {
+// survivesSignal reports whether the process ignores or handles the signal, so that it does
+// not terminate the process.
+func (p *process) survivesSignal(t *testing.T, sig syscall.Signal) bool {
 	t.Helper()
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -423,8 +426,8 @@
 	return false
 }
 
-// numbers reads what the system says of a process.
-func (p *process) numbers(t *testing.T) (threads, rssKB, descriptors int) {
+// resourceUsage reads the threads, anonymous memory and descriptors of the process from /proc.
+func (p *process) resourceUsage(t *testing.T) (threads, rssKB, descriptors int) {
 	t.Helper()
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	data, err := os.ReadFile(dir + "status")
@@ -448,24 +451,25 @@
 	return threads, rssKB, len(all)
 }
 
-// Idle clients take all the descriptors that they can get while discovery is down. What
-// is kept for discovery and the nodes is kept: once discovery can be reached its list is
-// in use within the time that it counts as told by, and new clients are served.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+// While discovery is down, idle clients take all the descriptors that they can get. Those that
+// are reserved for discovery and the nodes must stay free: once discovery is reachable, its
+// list must be in use, and new clients served, within the 6 s after which a broker counts as
+// having the list.
+func TestIdleClientsLeaveDescriptorsForDiscoveryAndNodes(t *testing.T) {
 	t.Parallel()
 	const sockets = 128
-	gone, n := testkit.NewNode(t, "s-1", false), testkit.NewNode(t, "s-1", false)
+	stoppedNode, n := testkit.NewNode(t, "s-1", false), testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
 	d.Change(n.Entry())
-	way := testkit.NewWayTo(t, "tcp", "127.0.0.1:0", d.Addr)
-	way.Set(testkit.Refuse)
+	proxy := testkit.NewWayTo(t, "tcp", "127.0.0.1:0", d.Addr)
+	proxy.Set(testkit.Refuse)
 	listen := freeAddr(t)
-	p := start(t, testkit.Config(way.Addr, []testkit.Entry{gone.Entry()}, testkit.Settings(nil), map[string]any{
+	p := startDeployed(t, testkit.Config(proxy.Addr, []testkit.Entry{stoppedNode.Entry()}, testkit.Settings(nil), map[string]any{
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": sockets},
 	}), listen)
-	testkit.Eventually(t, "it is ready", func() bool { return ready(listen) })
-	gone.Stop()
-	for i := range 2 * sockets { // half of them ask once, and keep their connection
+	testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
+	stoppedNode.Stop()
+	for i := range 2 * sockets { // half of them send one request and keep the connection
 		c, err := net.Dial("tcp", listen)
 		if err != nil {
 			t.Fatal(err)
@@ -475,21 +479,21 @@
 			fmt.Fprint(c, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 		}
 	}
-	if _, _, fds := p.numbers(t); fds > sockets {
+	if _, _, fds := p.resourceUsage(t); fds > sockets {
 		t.Fatalf("%d descriptors of %d", fds, sockets)
 	}
-	way.Set(testkit.Pass)
-	back := time.Now()
-	asked := 0
-	testkit.Eventually(t, "a client is served by what discovery tells", func() bool {
-		asked++
-		q := testkit.Query{Class: "screen", ID: fmt.Sprint("a", asked), Shards: []int{1, 2}, Within: 3 * time.Second}
+	proxy.Set(testkit.Pass)
+	restored := time.Now()
+	attempts := 0
+	testkit.Eventually(t, "a client is served by the node that discovery lists", func() bool {
+		attempts++
+		q := testkit.Query{Class: "screen", ID: fmt.Sprint("a", attempts), Shards: []int{1, 2}, Within: 3 * time.Second}
 		return testkit.AskHTTP(context.Background(), listen, q).Kind == "served"
 	})
-	if took := time.Since(back); took > 6*time.Second {
-		t.Errorf("after %v", took)
+	if took := time.Since(restored); took > 6*time.Second {
+		t.Errorf("served %v after discovery came back, want 6 s at most", took)
 	}
-	if _, _, fds := p.numbers(t); fds > sockets {
+	if _, _, fds := p.resourceUsage(t); fds > sockets {
 		t.Fatalf("%d descriptors of %d", fds, sockets)
 	}
 	p.stop(t)
--- a/cli/trace.go
+++ b/cli/trace.go
@@ -23,149 +23,149 @@
 	"onyxsail/tracing/view"
 )
 
-// source is where the trace commands read: a broker over Flight, or the spool
-// of one that may be dead.
-type source struct {
-	remote
-	dir     string
-	open    bool
-	class   string
-	reason  string
-	node    string
-	since   time.Duration
-	until   time.Duration
-	longer  time.Duration
-	bad     bool
-	limit   int
-	asJSON  bool
-	warning io.Writer
+// traceSource is where the trace commands read traces, with the flags that select them: a
+// broker over Flight, or the spool directory of one that need not be running.
+type traceSource struct {
+	brokerClient
+	spoolDir    string
+	includeOpen bool
+	class       string
+	reason      string
+	node        string
+	since       time.Duration
+	until       time.Duration
+	minDuration time.Duration
+	onlyBad     bool
+	limit       int
+	asJSON      bool
+	warnings    io.Writer
 }
 
-func (s *source) flags(cmd *cobra.Command) *cobra.Command {
-	s.remote.flags(cmd)
-	f := cmd.Flags()
-	f.StringVar(&s.class, "class", "", "only queries of this class")
-	f.StringVar(&s.reason, "reason", "", "only queries with one of these reasons, joined by + ("+strings.Join(record.AllReasons(), ", ")+")")
-	f.StringVar(&s.node, "node", "", "only queries with an attempt at this node")
-	f.DurationVar(&s.longer, "longer", 0, "only queries that took at least this long")
-	f.BoolVar(&s.bad, "bad", false, "only bad queries")
-	f.BoolVar(&s.asJSON, "json", false, "print JSON, one object a line")
+func (s *traceSource) addFilterFlags(cmd *cobra.Command) *cobra.Command {
+	s.brokerClient.addAddrFlag(cmd)
+	flags := cmd.Flags()
+	flags.StringVar(&s.class, "class", "", "only queries of this class")
+	flags.StringVar(&s.reason, "reason", "", "only queries with one of these reasons, joined by + ("+strings.Join(record.AllReasons(), ", ")+")")
+	flags.StringVar(&s.node, "node", "", "only queries with an attempt at this node")
+	flags.DurationVar(&s.minDuration, "longer", 0, "only queries that took at least this long")
+	flags.BoolVar(&s.onlyBad, "bad", false, "only queries with a reason besides asked and usual")
+	flags.BoolVar(&s.asJSON, "json", false, "print JSON, one object per line")
 	return cmd
 }
 
-// windowed adds the flags of the commands that look back.
-func (s *source) windowed(cmd *cobra.Command, limit int) *cobra.Command {
-	s.flags(cmd)
-	f := cmd.Flags()
-	f.StringVar(&s.dir, "dir", "", "read this spool's folder, and no broker")
-	f.BoolVar(&s.open, "open", false, "with --dir: also the queries that are open, or were when the broker died and no other has started since")
-	f.DurationVar(&s.since, "since", 0, "only queries that came within this time before now")
-	f.DurationVar(&s.until, "until", 0, "only queries that came longer than this before now")
-	f.IntVar(&s.limit, "limit", limit, "the latest so many")
+// addRangeFlags adds the filter flags and those of the commands that read past traces.
+func (s *traceSource) addRangeFlags(cmd *cobra.Command, limit int) *cobra.Command {
+	s.addFilterFlags(cmd)
+	flags := cmd.Flags()
+	flags.StringVar(&s.spoolDir, "dir", "", "read this spool directory instead of calling a broker")
+	flags.BoolVar(&s.includeOpen, "open", false, "with --dir: also the open queries, or those that were open when the broker crashed, if none has started since")
+	flags.DurationVar(&s.since, "since", 0, "only queries that arrived at most this long ago")
+	flags.DurationVar(&s.until, "until", 0, "only queries that arrived at least this long ago")
+	flags.IntVar(&s.limit, "limit", limit, "at most this many traces, the latest ones")
 	return cmd
 }
 
-func (s *source) filter(now time.Time) (record.Filter, error) {
-	f := record.Filter{Class: s.class, Node: s.node, Longer: int64(s.longer), Bad: s.bad, Limit: s.limit}
-	if err := f.Reason.UnmarshalText([]byte(s.reason)); err != nil {
-		return f, fmt.Errorf("--%w", err)
+func (s *traceSource) filter(now time.Time) (record.Filter, error) {
+	filter := record.Filter{Class: s.class, Node: s.node, Longer: int64(s.minDuration), Bad: s.onlyBad, Limit: s.limit}
+	if err := filter.Reason.UnmarshalText([]byte(s.reason)); err != nil {
+		return filter, fmt.Errorf("--%w", err)
 	}
 	if s.since > 0 {
-		f.Since = now.Add(-s.since)
+		filter.Since = now.Add(-s.since)
 	}
 	if s.until > 0 {
-		f.Until = now.Add(-s.until)
+		filter.Until = now.Add(-s.until)
 	}
-	return f, nil
+	return filter, nil
 }
 
-// read gathers what the flags pick, and the id if one is given.
-func (s *source) read(cmd *cobra.Command, id string) ([]*record.Trace, error) {
-	s.warning = cmd.ErrOrStderr()
-	f, err := s.filter(time.Now())
+// readTraces returns the traces that match the flags and, unless it is "", the id.
+func (s *traceSource) readTraces(cmd *cobra.Command, id string) ([]*record.Trace, error) {
+	s.warnings = cmd.ErrOrStderr()
+	filter, err := s.filter(time.Now())
 	if err != nil {
 		return nil, err
 	}
-	f.ID = id
-	if s.dir != "" {
-		return s.readDir(f)
+	filter.ID = id
+	if s.spoolDir != "" {
+		return s.readSpool(filter)
 	}
 	var traces []*record.Trace
-	ctx, cancel := context.WithTimeout(cmd.Context(), 4*remoteWithin)
+	ctx, cancel := context.WithTimeout(cmd.Context(), 4*requestTimeout)
 	defer cancel()
-	err = s.stream(ctx, daemon.ActionTraceRead, f, func(t *record.Trace) error {
+	err = s.streamTraces(ctx, daemon.ActionTraceRead, filter, func(t *record.Trace) error {
 		traces = append(traces, t)
 		return nil
 	})
 	return traces, err
 }
 
-func (s *source) readDir(f record.Filter) ([]*record.Trace, error) {
-	if _, err := os.Stat(s.dir); err != nil {
+func (s *traceSource) readSpool(filter record.Filter) ([]*record.Trace, error) {
+	if _, err := os.Stat(s.spoolDir); err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
 	}
-	traces, bad, err := tracing.ReadDir(s.dir, f)
+	traces, damaged, err := tracing.ReadDir(s.spoolDir, filter)
 	if err != nil {
 		return nil, err
 	}
-	for _, b := range bad {
-		fmt.Fprintf(s.warning, "%s: %v\n", b.File, b.Err)
+	for _, file := range damaged {
+		fmt.Fprintf(s.warnings, "%s: %v\n", file.File, file.Err)
 	}
-	if !s.open {
+	if !s.includeOpen {
 		return traces, nil
 	}
-	open, unreadable, err := spool.ReadOpen(s.dir)
+	open, unreadable, err := spool.ReadOpen(s.spoolDir)
 	if err != nil {
 		return nil, err
 	}
 	if unreadable > 0 {
-		fmt.Fprintf(s.warning, "%d open queries cannot be made out\n", unreadable)
+		fmt.Fprintf(s.warnings, "%d open queries could not be decoded\n", unreadable)
 	}
 	for _, t := range open {
 		t.Interrupt()
-		if f.Match(t) {
+		if filter.Match(t) {
 			traces = append(traces, t)
 		}
 	}
 	return traces, nil
 }
 
-// stream calls a trace action and f with each trace.
-func (s *source) stream(ctx context.Context, action string, filter record.Filter, f func(*record.Trace) error) error {
-	addr, err := s.target()
+// streamTraces runs a trace action and calls visit with each trace that it returns.
+func (s *traceSource) streamTraces(ctx context.Context, action string, filter record.Filter, visit func(*record.Trace) error) error {
+	addr, err := s.address()
 	if err != nil {
 		return err
 	}
 	body, err := json.Marshal(filter)
 	if err != nil {
-		return fmt.Errorf("encoding the filter: %w", err)
+		return fmt.Errorf("encoding the trace filter: %w", err)
 	}
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
 	if err != nil {
-		return fmt.Errorf("reaching %s: %w", addr, err)
+		return fmt.Errorf("connecting to %s: %w", addr, err)
 	}
 	defer conn.Close()
 	stream, err := flight.NewClientFromConn(conn, nil).DoAction(ctx, &flight.Action{Type: action, Body: body})
 	if err != nil {
-		return fmt.Errorf("asking %s: %w", addr, err)
+		return fmt.Errorf("calling %s: %w", addr, err)
 	}
 	for {
-		res, err := stream.Recv()
+		result, err := stream.Recv()
 		if errors.Is(err, io.EOF) || err != nil && ctx.Err() != nil {
 			return nil
 		}
 		if err != nil {
-			return fmt.Errorf("asking %s: %w", addr, err)
+			return fmt.Errorf("reading traces from %s: %w", addr, err)
 		}
 		var item daemon.TraceItem
-		if err := json.Unmarshal(res.GetBody(), &item); err != nil {
-			return fmt.Errorf("reading the answer of %s: %w", addr, err)
+		if err := json.Unmarshal(result.GetBody(), &item); err != nil {
+			return fmt.Errorf("decoding a trace from %s: %w", addr, err)
 		}
 		if item.Unreadable != "" {
-			fmt.Fprintln(s.warning, item.Unreadable)
+			fmt.Fprintln(s.warnings, item.Unreadable)
 		}
 		if item.Trace != nil {
-			if err := f(item.Trace); err != nil {
+			if err := visit(item.Trace); err != nil {
 				return err
 			}
 		}
@@ -179,22 +179,22 @@
 	return nil
 }
 
-func traceCmd(path *string) *cobra.Command {
-	cmd := &cobra.Command{Use: "trace", Short: "Look at the traces that a broker keeps"}
-	cmd.AddCommand(traceListCmd(path), traceShowCmd(path), traceWhyCmd(path), traceTailCmd(path))
+func traceCmd(configPath *string) *cobra.Command {
+	cmd := &cobra.Command{Use: "trace", Short: "Read the traces that a broker keeps"}
+	cmd.AddCommand(traceListCmd(configPath), traceShowCmd(configPath), traceWhyCmd(configPath), traceTailCmd(configPath))
 	return cmd
 }
 
-func traceListCmd(path *string) *cobra.Command {
-	s := &source{remote: remote{path: path}}
-	return s.windowed(&cobra.Command{
-		Use: "list", Short: "List traces, the latest last", Args: cobra.NoArgs,
+func traceListCmd(configPath *string) *cobra.Command {
+	source := &traceSource{brokerClient: brokerClient{configPath: configPath}}
+	return source.addRangeFlags(&cobra.Command{
+		Use: "list", Short: "List traces, oldest first", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			traces, err := s.read(cmd, "")
+			traces, err := source.readTraces(cmd, "")
 			if err != nil {
 				return err
 			}
-			if !s.asJSON {
+			if !source.asJSON {
 				return view.List(cmd.OutOrStdout(), traces)
 			}
 			for _, t := range traces {
@@ -207,27 +207,27 @@
 	}, 50)
 }
 
-// shown is a trace with its critical path, as `show --json` prints it.
-type shown struct {
+// traceWithPath is a trace with its critical path, as `trace show --json` prints it.
+type traceWithPath struct {
 	*record.Trace
 	Path critical.Path `json:"critical_path"`
 }
 
-func traceShowCmd(path *string) *cobra.Command {
-	s := &source{remote: remote{path: path}}
-	return s.windowed(&cobra.Command{
-		Use: "show ID", Short: "Show a trace as a waterfall, by the beginning of its id or by its query's id", Args: cobra.ExactArgs(1),
+func traceShowCmd(configPath *string) *cobra.Command {
+	source := &traceSource{brokerClient: brokerClient{configPath: configPath}}
+	return source.addRangeFlags(&cobra.Command{
+		Use: "show ID", Short: "Show a trace as a waterfall, by a prefix of its id or by its query's id", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			traces, err := s.read(cmd, args[0])
+			traces, err := source.readTraces(cmd, args[0])
 			if err != nil {
 				return err
 			}
 			if len(traces) == 0 {
-				return fmt.Errorf("no trace %q is kept", args[0])
+				return fmt.Errorf("no trace with the id %q found", args[0])
 			}
 			for i, t := range traces {
-				if s.asJSON {
-					err = printJSON(cmd.OutOrStdout(), shown{t, critical.Of(t)})
+				if source.asJSON {
+					err = printJSON(cmd.OutOrStdout(), traceWithPath{t, critical.Of(t)})
 				} else {
 					if i > 0 {
 						fmt.Fprintln(cmd.OutOrStdout())
@@ -243,39 +243,39 @@
 	}, 10)
 }
 
-func traceWhyCmd(path *string) *cobra.Command {
-	s := &source{remote: remote{path: path}}
+func traceWhyCmd(configPath *string) *cobra.Command {
+	source := &traceSource{brokerClient: brokerClient{configPath: configPath}}
 	var rows int
-	cmd := s.windowed(&cobra.Command{
-		Use: "why", Short: "Tell which phase, node, cell and reason of attempts carry the lost time", Args: cobra.NoArgs,
+	cmd := source.addRangeFlags(&cobra.Command{
+		Use: "why", Short: "Attribute the time that bad queries lost to phases, nodes, cells and attempt reasons", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			traces, err := s.read(cmd, "")
+			traces, err := source.readTraces(cmd, "")
 			if err != nil {
 				return err
 			}
-			t := critical.Why(traces)
-			if s.asJSON {
-				return printJSON(cmd.OutOrStdout(), t)
+			losses := critical.Why(traces)
+			if source.asJSON {
+				return printJSON(cmd.OutOrStdout(), losses)
 			}
-			return view.Why(cmd.OutOrStdout(), t, rows)
+			return view.Why(cmd.OutOrStdout(), losses, rows)
 		},
 	}, 5000)
-	cmd.Flags().IntVar(&rows, "rows", 8, "rows of each table")
+	cmd.Flags().IntVar(&rows, "rows", 8, "the number of rows in each table")
 	return cmd
 }
 
-func traceTailCmd(path *string) *cobra.Command {
-	s := &source{remote: remote{path: path}}
-	return s.flags(&cobra.Command{
-		Use: "tail", Short: "Print traces as they are kept, until interrupted", Args: cobra.NoArgs,
+func traceTailCmd(configPath *string) *cobra.Command {
+	source := &traceSource{brokerClient: brokerClient{configPath: configPath}}
+	return source.addFilterFlags(&cobra.Command{
+		Use: "tail", Short: "Print new traces as they are kept, until interrupted", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			s.limit, s.warning = 1, cmd.ErrOrStderr()
-			f, err := s.filter(time.Now())
+			source.limit, source.warnings = 1, cmd.ErrOrStderr()
+			filter, err := source.filter(time.Now())
 			if err != nil {
 				return err
 			}
-			return s.stream(cmd.Context(), daemon.ActionTraceTail, f, func(t *record.Trace) error {
-				if s.asJSON {
+			return source.streamTraces(cmd.Context(), daemon.ActionTraceTail, filter, func(t *record.Trace) error {
+				if source.asJSON {
 					return printJSON(cmd.OutOrStdout(), t)
 				}
 				_, err := fmt.Fprintln(cmd.OutOrStdout(), strings.Join(view.Line(t), "  "))
--- a/cli/upgrade_test.go
+++ b/cli/upgrade_test.go
@@ -16,17 +16,20 @@
 	"onyxsail/internal/testkit"
 )
 
-// deployment is a broker with one node, at an address and in a folder of its own.
+// deployment is a broker with one node, which has a listen address and a temporary directory
+// of its own. Its processes, started one after another, share both.
 type deployment struct {
-	t              *testing.T
-	node           *testkit.Node
-	listen, folder string
-	cfg            []byte
+	t               *testing.T
+	node            *testkit.Node
+	listen, tempDir string
+	cfg             []byte
 }
 
-func deploy(t *testing.T, settings map[string]any, extra map[string]any) *deployment {
+// newDeployment returns a deployment with the settings; extra holds further fields of its
+// configuration. No process is started yet.
+func newDeployment(t *testing.T, settings map[string]any, extra map[string]any) *deployment {
 	t.Helper()
-	d := &deployment{t: t, node: testkit.NewNode(t, "s-1", false), listen: freeAddr(t), folder: t.TempDir()}
+	d := &deployment{t: t, node: testkit.NewNode(t, "s-1", false), listen: freeAddr(t), tempDir: t.TempDir()}
 	warm := d.node.Entry()
 	warm.Started = 1
 	discovery := testkit.NewDiscovery(t, warm)
@@ -34,169 +37,170 @@
 	return d
 }
 
-func (d *deployment) run() (*process, string) {
+// start starts a process of the broker and returns it with its admin address once it is ready.
+func (d *deployment) start() (*process, string) {
 	d.t.Helper()
-	return operated(d.t, d.cfg, d.listen, "TMPDIR="+d.folder)
+	return startWithAdmin(d.t, d.cfg, d.listen, "TMPDIR="+d.tempDir)
 }
 
-// serves asks once on a new connection.
-func (d *deployment) serves(id string) {
+// checkServed sends one query on a new connection and checks that it is served.
+func (d *deployment) checkServed(id string) {
 	d.t.Helper()
 	conn, err := net.Dial("tcp", d.listen)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	defer conn.Close()
-	c := newPeer(conn)
-	c.send(d.t, query(id, 3*time.Second))
-	if res := c.answered(d.t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK {
+	c := newRawClient(conn)
+	c.send(d.t, queryRequest(id, 3*time.Second))
+	if res := c.readResponse(d.t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK {
 		d.t.Errorf("%s: %d", id, res.StatusCode)
 	}
 }
 
-// A next process that is killed before it says yes, or after, leaves the first one in
-// service, which then stops as it does alone.
-func TestNextProcessIsKilled(t *testing.T) {
-	d := deploy(t, testkit.Settings(nil), map[string]any{"hand_over_ms": 550})
-	first, _ := d.run()
+// A replacement process that is killed before or after it is ready must leave the first one
+// serving, which must then stop as if it had been alone.
+func TestKilledReplacementLeavesTheFirstProcessServing(t *testing.T) {
+	d := newDeployment(t, testkit.Settings(nil), map[string]any{"hand_over_ms": 550})
+	first, _ := d.start()
 	for round, kill := range []func(*process){
 		func(p *process) { _ = p.cmd.Process.Kill() },
 		func(p *process) {
-			testkit.Eventually(t, "the next one has joined", func() bool {
-				entries, err := os.ReadDir(d.folder)
+			testkit.Eventually(t, "the replacement has joined the first process", func() bool {
+				entries, err := os.ReadDir(d.tempDir)
 				return err == nil && len(entries) > 0
 			})
 			_ = p.cmd.Process.Kill()
 		},
 	} {
-		next := start(t, d.cfg, d.listen, "TMPDIR="+d.folder, "NODE_CONSOLE="+freeAddr(t))
+		next := startDeployed(t, d.cfg, d.listen, "TMPDIR="+d.tempDir, "NODE_CONSOLE="+freeAddr(t))
 		kill(next)
 		_ = next.cmd.Wait()
-		d.serves(fmt.Sprint("young", round))
+		d.checkServed(fmt.Sprint("young", round))
 	}
-	next, _ := d.run()
+	next, _ := d.start()
 	_ = next.cmd.Process.Kill()
 	_ = next.cmd.Wait()
 	for i := range 20 {
-		d.serves(fmt.Sprint("after", i))
+		d.checkServed(fmt.Sprint("after", i))
 	}
 	first.stop(t)
 }
 
-// A second replacement begins before the first one has ended, and the three settings of the
-// three processes differ.
-func TestReplacementDuringAReplacement(t *testing.T) {
+// A second replacement starts while the first process still drains, and the three processes
+// have different settings: no query may be lost, and each process must stop with status 0.
+func TestOverlappingReplacementsLoseNoQuery(t *testing.T) {
 	attempts := 0
 	settings := func() map[string]any {
 		attempts++
 		return testkit.Settings(func(s map[string]any) { s["caps"].(map[string]any)["maxAttempts"] = attempts })
 	}
-	d := deploy(t, settings(), nil)
-	first, _ := d.run()
-	held := open(t, d.listen)
+	d := newDeployment(t, settings(), nil)
+	first, _ := d.start()
+	held := openKeptConn(t, d.listen)
 	release := make(chan bool)
 	d.node.Work(func(testkit.Call) string {
 		<-release
 		return testkit.Done
 	})
-	held.send(t, query("held", 3*time.Second)) // keeps the first one from its end
+	held.send(t, queryRequest("held", 3*time.Second)) // keeps the first process from stopping
 	d.node.Wait(t, "the held query", func() bool { return len(d.node.Calls()) == 2 })
-	d.cfg = edited(t, d.cfg, settings())
-	second, _ := d.run()
+	d.cfg = withSettings(t, d.cfg, settings())
+	second, _ := d.start()
 	_ = first.cmd.Process.Signal(syscall.SIGTERM)
-	d.cfg = edited(t, d.cfg, settings())
-	third, _ := d.run()
+	d.cfg = withSettings(t, d.cfg, settings())
+	third, _ := d.start()
 	_ = second.cmd.Process.Signal(syscall.SIGTERM)
 	close(release)
-	if res := held.answered(t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK {
+	if res := held.readResponse(t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK {
 		t.Errorf("the held query: %d", res.StatusCode)
 	}
 	for i := range 20 {
-		d.serves(fmt.Sprint("third", i))
+		d.checkServed(fmt.Sprint("third", i))
 	}
 	for name, p := range map[string]*process{"first": first, "second": second} {
-		if err := p.end(); err != nil {
-			t.Errorf("the %s: %v\n%s", name, err, p.text())
+		if err := p.wait(); err != nil {
+			t.Errorf("the %s: %v\n%s", name, err, p.output())
 		}
 	}
-	d.serves("alone")
+	d.checkServed("alone")
 	third.stop(t)
 }
 
-// edited is a configuration with other settings.
-func edited(t *testing.T, cfg []byte, settings map[string]any) []byte {
+// withSettings returns the configuration with its settings replaced.
+func withSettings(t *testing.T, cfg []byte, settings map[string]any) []byte {
 	t.Helper()
 	return testkit.Edit(t, cfg, func(file map[string]any) { file["settings"] = settings })
 }
 
-// A folder that cannot be written, or is not there, stops no broker, and a next one finds
-// the address all the same.
-func TestReplacementWithoutAFolder(t *testing.T) {
-	d := deploy(t, testkit.Settings(nil), map[string]any{"hand_over_ms": 550})
-	d.folder = filepath.Join(d.folder, "none")
-	first, _ := d.run()
-	d.serves("alone")
-	second, _ := d.run()
+// A temporary directory that does not exist must keep no broker from starting, and a
+// replacement must get the address all the same.
+func TestReplacementWorksWithoutATempDir(t *testing.T) {
+	d := newDeployment(t, testkit.Settings(nil), map[string]any{"hand_over_ms": 550})
+	d.tempDir = filepath.Join(d.tempDir, "none")
+	first, _ := d.start()
+	d.checkServed("alone")
+	second, _ := d.start()
 	first.stop(t)
-	d.serves("second")
+	d.checkServed("second")
 	second.stop(t)
 }
 
 // A broker is started by mistake at the address of another one, with another name and other
-// classes. Since the address is shared it was not refused: it was given the other one's
-// listening socket and, once it was ready, every other client, whose class it did not know.
-// It ends with an error that names the field and the broker that runs there.
-func TestAnotherBrokerAtATakenAddressIsRefused(t *testing.T) {
-	d := deploy(t, testkit.Settings(nil), nil)
-	first, _ := d.run()
+// classes. As processes of one broker share the address, it was once accepted as a replacement:
+// it was given the listening socket and then every other client, whose class it did not know.
+// It must exit with an error that names the field and the running broker.
+func TestAnotherBrokerAtAUsedAddressIsRefused(t *testing.T) {
+	d := newDeployment(t, testkit.Settings(nil), nil)
+	first, _ := d.start()
 	other := testkit.Edit(t, d.cfg, func(file map[string]any) {
 		file["name"] = "n2"
 		file["settings"].(map[string]any)["classes"].([]any)[0].(map[string]any)["name"] = "prices"
 	})
-	mistaken := start(t, other, d.listen, "TMPDIR="+d.folder, "NODE_CONSOLE="+freeAddr(t))
+	mistaken := startDeployed(t, other, d.listen, "TMPDIR="+d.tempDir, "NODE_CONSOLE="+freeAddr(t))
 	ended := make(chan error, 1)
 	go func() { ended <- mistaken.cmd.Wait() }()
 	select {
 	case err := <-ended:
-		if text := mistaken.text(); err == nil || !strings.Contains(text, `listen: the broker "n1" runs at `+d.listen) {
+		if text := mistaken.output(); err == nil || !strings.Contains(text, `listen: the broker "n1" runs at `+d.listen) {
 			t.Errorf("%v, %s", err, text)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("it runs on beside the other broker")
+		t.Error("the mistaken broker still runs beside the other one")
 		_ = mistaken.cmd.Process.Kill()
 		<-ended
 	}
 	for i := range 20 {
-		d.serves(fmt.Sprint("q", i))
+		d.checkServed(fmt.Sprint("q", i))
 	}
 	first.stop(t)
 }
 
-// Calls of operators, signals and reloads in any order: none hangs, what is taken is
-// answered, and SIGTERM ends the process through a drain.
-func TestOperatorsAndSignalsAtOnce(t *testing.T) {
-	d := deploy(t, testkit.Settings(nil), nil)
-	p, console := d.run()
-	bulk := edited(t, d.cfg, testkit.Settings(func(s map[string]any) {
+// Admin calls, signals and reloads at the same time must not block each other or lose a query,
+// and SIGTERM must still drain and stop the process.
+func TestConcurrentAdminCallsAndSignalsLoseNoQuery(t *testing.T) {
+	d := newDeployment(t, testkit.Settings(nil), nil)
+	p, console := d.start()
+	bulk := withSettings(t, d.cfg, testkit.Settings(func(s map[string]any) {
 		s["classes"].([]any)[3].(map[string]any)["name"] = "bulk"
 	}))
 	var calls sync.WaitGroup
-	over := make(chan bool)
+	done := make(chan bool)
 	stop := sync.OnceFunc(func() {
-		close(over)
+		close(done)
 		calls.Wait()
 	})
-	t.Cleanup(func() { // also where a query has failed the test
+	t.Cleanup(func() { // also after a query has failed the test
 		stop()
 		if t.Failed() {
-			t.Log(p.text())
+			t.Log(p.output())
 		}
 	})
-	again := func(f func(i int)) {
+	repeat := func(f func(i int)) {
 		calls.Go(func() {
 			for i := 0; ; i++ {
 				select {
-				case <-over:
+				case <-done:
 					return
 				default:
 					f(i)
@@ -204,41 +208,42 @@
 			}
 		})
 	}
-	again(func(i int) { operator(console, http.MethodPost, []string{"/-/drain", "/-/resume"}[i%2]) })
-	again(func(int) {
-		if status, text := operator(console, http.MethodGet, "/-/metrics"); status != http.StatusOK {
+	repeat(func(i int) { callAdmin(console, http.MethodPost, []string{"/-/drain", "/-/resume"}[i%2]) })
+	repeat(func(int) {
+		if status, text := callAdmin(console, http.MethodGet, "/-/metrics"); status != http.StatusOK {
 			t.Errorf("metrics: %d, %s", status, text)
 		}
 	})
-	again(func(i int) {
-		if err := os.WriteFile(p.file, [][]byte{bulk, d.cfg, bulk[:i%len(bulk)]}[i%3], 0o600); err != nil {
+	repeat(func(i int) {
+		if err := os.WriteFile(p.configFile, [][]byte{bulk, d.cfg, bulk[:i%len(bulk)]}[i%3], 0o600); err != nil {
 			t.Error(err)
 		}
 		_ = p.cmd.Process.Signal(syscall.SIGHUP)
 		time.Sleep(5 * time.Millisecond)
 	})
 	for i := range 100 {
-		d.serves(fmt.Sprint("busy", i))
+		d.checkServed(fmt.Sprint("busy", i))
 	}
 	stop()
-	if status, text := operator(console, http.MethodPost, "/-/drain"); status != http.StatusOK {
+	if status, text := callAdmin(console, http.MethodPost, "/-/drain"); status != http.StatusOK {
 		t.Errorf("drain: %d, %s", status, text)
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	operator(console, http.MethodPost, "/-/resume") // a stop goes before it; the port may have ended
-	if ready(d.listen) {
-		t.Error("ready while it stops")
+	callAdmin(console, http.MethodPost, "/-/resume") // must not undo the stop; fails if the port is closed
+	if isReady(d.listen) {
+		t.Error("the broker is ready while it stops")
 	}
-	if err := p.end(); err != nil {
-		t.Errorf("exit: %v\n%s", err, p.text())
+	if err := p.wait(); err != nil {
+		t.Errorf("exit: %v\n%s", err, p.output())
 	}
 }
 
-// Idle clients that take all descriptors they can get keep no operator out.
-func TestOperatorsBesideACrowd(t *testing.T) {
+// Idle clients that take all the descriptors they can get must not keep operators from the admin
+// port.
+func TestAdminPortAnswersWhileIdleClientsHoldAllDescriptors(t *testing.T) {
 	const sockets = 192
-	d := deploy(t, testkit.Settings(nil), map[string]any{"limits": map[string]any{"cores": 0.25, "memory_mb": 32, "sockets": sockets}})
-	p, console := d.run()
+	d := newDeployment(t, testkit.Settings(nil), map[string]any{"limits": map[string]any{"cores": 0.25, "memory_mb": 32, "sockets": sockets}})
+	p, console := d.start()
 	for i := range 1000 {
 		if c, err := net.DialTimeout("tcp", d.listen, time.Second); err == nil {
 			defer c.Close()
@@ -246,10 +251,10 @@
 		if i%50 > 0 {
 			continue
 		}
-		if status, text := operator(console, http.MethodGet, "/-/metrics"); status != http.StatusOK {
+		if status, text := callAdmin(console, http.MethodGet, "/-/metrics"); status != http.StatusOK {
 			t.Errorf("beside %d clients: %d, %s", i, status, text)
 		}
-		if _, kb, fds := p.numbers(t); fds > sockets || kb > 32<<10 {
+		if _, kb, fds := p.resourceUsage(t); fds > sockets || kb > 32<<10 {
 			t.Fatalf("%d descriptors, %d KB", fds, kb)
 		}
 	}
@@ -262,7 +267,7 @@
 		}
 	}
 	if err := exec.Command(program, "ready", "--console", freeAddr(t)).Run(); err == nil {
-		t.Error("a command that nobody answers succeeds")
+		t.Error("a command succeeds although its address does not answer")
 	}
 	p.stop(t)
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -20,21 +20,21 @@
 }
 
 // node is one root and what this batch holds for it.
-type node struct {
+type rootState struct {
 	root   *decide.Root
 	events []decide.Event
-	named  bool
+	queued bool
 }
 
 // run serves batches from r until its end.
 func run(r io.Reader, w io.Writer) error {
 	in := wire.NewDecoder(bufio.NewReaderSize(r, 1<<16))
 	out := bufio.NewWriterSize(w, 1<<16)
-	nodes := make(map[uint32]*node)
+	roots := make(map[uint32]*rootState)
 	var (
 		batch   wire.Batch
 		reply   wire.Encoder
-		order   []uint32 // roots named in this batch, in order
+		queue   []uint32 // roots named in this batch, in order
 		actions []decide.Action
 	)
 	for {
@@ -43,40 +43,40 @@
 		} else if err != nil {
 			return err
 		}
-		order = order[:0]
+		queue = queue[:0]
 		for i := range batch.Items {
-			it := &batch.Items[i]
-			n := nodes[it.Root]
+			item := &batch.Items[i]
+			state := roots[item.Root]
 			switch {
-			case it.Op == wire.Halt:
-				if n != nil {
-					n.root, n.events = nil, n.events[:0]
+			case item.Op == wire.OpStop:
+				if state != nil {
+					state.root, state.events = nil, state.events[:0]
 				}
 				continue
-			case it.Op == wire.Begin:
-				if n == nil {
-					n = &node{}
-					nodes[it.Root] = n
+			case item.Op == wire.OpStart:
+				if state == nil {
+					state = &rootState{}
+					roots[item.Root] = state
 				}
-				n.root, n.events = decide.New(it.Settings, it.Seed), n.events[:0]
-			case n == nil || n.root == nil:
+				state.root, state.events = decide.New(item.Settings, item.Seed), state.events[:0]
+			case state == nil || state.root == nil:
 				continue // a stopped root is told no more
 			default:
-				n.events = append(n.events, it.Event)
+				state.events = append(state.events, item.Event)
 			}
-			if !n.named {
-				n.named = true
-				order = append(order, it.Root)
+			if !state.queued {
+				state.queued = true
+				queue = append(queue, item.Root)
 			}
 		}
-		for _, id := range order {
-			n := nodes[id]
-			n.named = false
-			if n.root == nil {
+		for _, id := range queue {
+			state := roots[id]
+			state.queued = false
+			if state.root == nil {
 				continue
 			}
-			actions = n.root.Step(batch.Now, n.events, actions[:0])
-			n.events = n.events[:0]
+			actions = state.root.Step(batch.Now, state.events, actions[:0])
+			state.events = state.events[:0]
 			for _, a := range actions {
 				reply.Add(id, a)
 			}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -8,19 +8,19 @@
 )
 
 // batch builds a frame of records, each padded to 56 bytes, and a tail.
-func batch(seq uint32, tail string, records ...[]byte) []byte {
+func batchFrame(seq uint32, tail string, records ...[]byte) []byte {
 	le := binary.LittleEndian
 	b := le.AppendUint32(nil, uint32(len(records)))
 	b = le.AppendUint32(b, uint32(20+56*len(records)+len(tail)))
 	b = append(b, make([]byte, 8)...)
 	b = le.AppendUint32(b, seq)
-	for _, r := range records {
-		b = append(b, append(r, make([]byte, 56-len(r))...)...)
+	for _, record := range records {
+		b = append(b, append(record, make([]byte, 56-len(record))...)...)
 	}
 	return append(b, tail...)
 }
 
-func TestRun(t *testing.T) {
+func TestRunRepliesOncePerWholeBatch(t *testing.T) {
 	settings := "discovery=on_request"
 	begin := []byte{1, 4, 0, 0, 0, 9, 9, 9, 9, 9, 9, 9, 9, 0, 0, 0, 0, byte(len(settings)), 0, 0, 0}
 	halt := []byte{10, 4, 0, 0, 0}
@@ -29,21 +29,21 @@
 		name    string
 		in      []byte
 		replies []uint32 // records in each reply
-		fault   string
+		wantErr string
 	}{
 		{"no input", nil, nil, ""},
-		{"an empty batch gets an empty reply", batch(1, ""), []uint32{0}, ""},
-		{"a root subscribes at its start", batch(1, settings, begin), []uint32{2}, ""},
-		{"a stopped root stays silent", append(batch(1, settings, begin, halt), batch(2, "", wake)...), []uint32{0, 0}, ""},
-		{"stop and start in one batch", append(batch(1, settings, begin), batch(2, settings, halt, begin)...), []uint32{2, 2}, ""},
-		{"no reply to half a batch", batch(1, "", wake)[:40], nil, "input ended"},
+		{"an empty batch gets an empty reply", batchFrame(1, ""), []uint32{0}, ""},
+		{"a root subscribes at its start", batchFrame(1, settings, begin), []uint32{2}, ""},
+		{"a stopped root stays silent", append(batchFrame(1, settings, begin, halt), batchFrame(2, "", wake)...), []uint32{0, 0}, ""},
+		{"stop and start in one batch", append(batchFrame(1, settings, begin), batchFrame(2, settings, halt, begin)...), []uint32{2, 2}, ""},
+		{"no reply to half a batch", batchFrame(1, "", wake)[:40], nil, "input ended"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var out bytes.Buffer
 			err := run(bytes.NewReader(test.in), &out)
-			if (err != nil) != (test.fault != "") || err != nil && !strings.Contains(err.Error(), test.fault) {
-				t.Fatalf("error %v, want %q", err, test.fault)
+			if (err != nil) != (test.wantErr != "") || err != nil && !strings.Contains(err.Error(), test.wantErr) {
+				t.Fatalf("error %v, want %q", err, test.wantErr)
 			}
 			var got []uint32
 			for b := out.Bytes(); len(b) > 0; b = b[binary.LittleEndian.Uint32(b):] {
--- a/daemon/figures.go
+++ b/daemon/figures.go
@@ -18,26 +18,26 @@
 func (d *Daemon) Ready() bool { return d.front.Ready() }
 
 // SendAway implements admin.Broker.
-func (d *Daemon) SendAway(away bool) { d.front.SendAway(away) }
+func (d *Daemon) SetDraining(away bool) { d.front.SendAway(away) }
 
 // Figures implements admin.Broker.
-func (d *Daemon) Figures() []admin.Figure {
+func (d *Daemon) Metrics() []admin.Metric {
 	ctx, cancel := context.WithTimeout(context.Background(), broker.SurveyWithin)
 	defer cancel()
 	list := d.core.Survey(ctx)
-	var all []admin.Figure
+	var all []admin.Metric
 	for _, c := range d.byClass() {
-		all = append(all, admin.Figure{Name: "fulfilled." + c.name, Value: c.Fulfilled},
-			admin.Figure{Name: "throttled." + c.name, Value: c.Throttled},
-			admin.Figure{Name: "faulted." + c.name, Value: c.Faulted})
+		all = append(all, admin.Metric{Name: "fulfilled." + c.name, Value: c.Fulfilled},
+			admin.Metric{Name: "throttled." + c.name, Value: c.Throttled},
+			admin.Metric{Name: "faulted." + c.name, Value: c.Faulted})
 	}
 	return append(all,
-		admin.Figure{Name: "relayed", Value: d.nodes.Relayed() + d.remote.Relayed()},
-		admin.Figure{Name: "open_requests", Value: d.core.Stats().Open},
-		admin.Figure{Name: "registry_entries", Value: int64(list.Listed)},
-		admin.Figure{Name: "out_of_rotation", Value: int64(list.Avoided)},
-		admin.Figure{Name: "cfg_accepted", Value: d.reloads.accepted.Load()},
-		admin.Figure{Name: "cfg_invalid", Value: d.reloads.invalid.Load()},
+		admin.Metric{Name: "relayed", Value: d.nodes.Relayed() + d.remote.Relayed()},
+		admin.Metric{Name: "open_requests", Value: d.core.Stats().Open},
+		admin.Metric{Name: "registry_entries", Value: int64(list.Listed)},
+		admin.Metric{Name: "out_of_rotation", Value: int64(list.Avoided)},
+		admin.Metric{Name: "cfg_accepted", Value: d.reloads.accepted.Load()},
+		admin.Metric{Name: "cfg_invalid", Value: d.reloads.invalid.Load()},
 	)
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -15,28 +15,28 @@
 
 // Sizes of the parts of a frame, in bytes.
 const (
-	headSize   = 20 // header of a batch
-	eventSize  = 56
-	replySize  = 12 // header of a reply
-	actionSize = 32
-	entrySize  = 24 // one entry of a CENSUS
-	loadMax    = 4  // values in a load report
-	slots      = 16 // CENSUS lists that can be known at once
+	batchHeaderSize = 20 // header of a batch
+	eventSize       = 56
+	replyHeaderSize = 12 // header of a reply
+	actionSize      = 32
+	listEntrySize   = 24 // one entry of a CENSUS
+	maxLoadValues   = 4  // values in a load report
+	listSlots       = 16 // CENSUS lists that can be known at once
 )
 
 // Event codes.
 const (
-	evBegin   = 1
-	evList    = 2
-	evCall    = 3
-	evHeaders = 4
-	evSettled = 5
-	evHangup  = 6
-	evWakeup  = 7
-	evPong    = 8
-	evMail    = 9
-	evHalt    = 10
-	evCensus  = 11
+	eventBegin   = 1
+	eventList    = 2
+	eventCall    = 3
+	eventHeaders = 4
+	eventSettled = 5
+	eventHangup  = 6
+	eventWakeup  = 7
+	eventPong    = 8
+	eventMail    = 9
+	eventHalt    = 10
+	eventCensus  = 11
 )
 
 // Op says what an Item asks of the adapter.
@@ -44,9 +44,9 @@
 
 // The operations.
 const (
-	Deliver Op = iota // hand Event to the root
-	Begin             // start the root with Settings and Seed
-	Halt              // drop the root
+	OpDeliver Op = iota // hand Event to the root
+	OpStart             // start the root with Settings and Seed
+	OpStop              // drop the root
 )
 
 // Item is one thing in a batch, for one root.
@@ -67,11 +67,11 @@
 
 // Decoder reads batches. It keeps the numbered lists between them.
 type Decoder struct {
-	r     io.Reader
-	buf   bytes.Buffer
-	lists [slots][]decide.Member
-	known [slots]bool
-	loads []float64
+	r      io.Reader
+	buf    bytes.Buffer
+	lists  [listSlots][]decide.Member
+	filled [listSlots]bool
+	loads  []float64
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -79,11 +79,11 @@
 
 var le = binary.LittleEndian
 
-func f64(b []byte) float64 { return math.Float64frombits(le.Uint64(b)) }
-func f32(b []byte) float64 { return float64(math.Float32frombits(le.Uint32(b))) }
+func readFloat64(b []byte) float64 { return math.Float64frombits(le.Uint64(b)) }
+func readFloat32(b []byte) float64 { return float64(math.Float32frombits(le.Uint32(b))) }
 
 // addr reads four address bytes and a port.
-func addr(b []byte) decide.Addr {
+func readAddr(b []byte) decide.Addr {
 	return decide.Addr(uint64(le.Uint32(b)) | uint64(le.Uint16(b[4:]))<<32)
 }
 
@@ -91,37 +91,37 @@
 // clean end of input.
 func (d *Decoder) Next(b *Batch) error {
 	d.buf.Reset()
-	if n, err := io.CopyN(&d.buf, d.r, headSize); err != nil {
+	if n, err := io.CopyN(&d.buf, d.r, batchHeaderSize); err != nil {
 		if err == io.EOF && n == 0 {
 			return io.EOF
 		}
-		return short("batch header", n, headSize, err)
+		return truncated("batch header", n, batchHeaderSize, err)
 	}
 	h := d.buf.Bytes()
 	count, size := le.Uint32(h), le.Uint32(h[4:])
-	b.Now, b.Seq = f64(h[8:]), le.Uint32(h[16:])
-	if want := headSize + uint64(count)*eventSize; uint64(size) < want {
+	b.Now, b.Seq = readFloat64(h[8:]), le.Uint32(h[16:])
+	if want := batchHeaderSize + uint64(count)*eventSize; uint64(size) < want {
 		return fmt.Errorf("batch %d: length %d, want at least %d for %d records", b.Seq, size, want, count)
 	}
 	if b.Now != b.Now || math.IsInf(b.Now, 0) {
 		return fmt.Errorf("batch %d: clock is not a finite number", b.Seq)
 	}
-	if n, err := io.CopyN(&d.buf, d.r, int64(size)-headSize); err != nil {
-		return short(fmt.Sprintf("batch %d", b.Seq), n+headSize, int64(size), err)
+	if n, err := io.CopyN(&d.buf, d.r, int64(size)-batchHeaderSize); err != nil {
+		return truncated(fmt.Sprintf("batch %d", b.Seq), n+batchHeaderSize, int64(size), err)
 	}
-	body := d.buf.Bytes()[headSize:]
+	body := d.buf.Bytes()[batchHeaderSize:]
 	tail := body[int(count)*eventSize:]
 	b.Items = b.Items[:0]
 	d.loads = d.loads[:0]
 	for i := range int(count) {
-		if err := d.record(b, body[i*eventSize:(i+1)*eventSize], tail); err != nil {
+		if err := d.decodeRecord(b, body[i*eventSize:(i+1)*eventSize], tail); err != nil {
 			return fmt.Errorf("batch %d, record %d: %w", b.Seq, i, err)
 		}
 	}
 	return nil
 }
 
-func short(what string, got, want int64, err error) error {
+func truncated(what string, got, want int64, err error) error {
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 		return fmt.Errorf("%s: input ended after %d bytes, want %d", what, got, want)
 	}
@@ -129,7 +129,7 @@
 }
 
 // span returns the piece of the tail that an offset and a length name.
-func span(tail, field []byte, unit uint64) ([]byte, error) {
+func tailRange(tail, field []byte, unit uint64) ([]byte, error) {
 	off, n := uint64(le.Uint32(field)), uint64(le.Uint32(field[4:]))*unit
 	if off+n > uint64(len(tail)) {
 		return nil, fmt.Errorf("tail range %d+%d, want within %d bytes", off, n, len(tail))
@@ -137,103 +137,103 @@
 	return tail[off : off+n], nil
 }
 
-func (d *Decoder) record(b *Batch, r, tail []byte) error {
-	it := Item{Root: le.Uint32(r[1:])}
-	e := &it.Event
+func (d *Decoder) decodeRecord(b *Batch, record, tail []byte) error {
+	item := Item{Root: le.Uint32(record[1:])}
+	event := &item.Event
 	var err error
-	switch r[0] {
-	case evCensus:
-		return d.census(r, tail)
-	case evBegin:
-		it.Op, it.Seed = Begin, le.Uint64(r[5:])
-		text, err := span(tail, r[13:], 1)
+	switch record[0] {
+	case eventCensus:
+		return d.decodeCensus(record, tail)
+	case eventBegin:
+		item.Op, item.Seed = OpStart, le.Uint64(record[5:])
+		text, err := tailRange(tail, record[13:], 1)
 		if err != nil {
 			return err
 		}
-		if it.Settings, err = ParseSettings(string(text)); err != nil {
+		if item.Settings, err = ParseSettings(string(text)); err != nil {
 			return err
 		}
-	case evHalt:
-		it.Op = Halt
-	case evList:
-		e.Kind = decide.ListNews
-		slot := le.Uint16(r[14:])
-		switch r[5] {
+	case eventHalt:
+		item.Op = OpStop
+	case eventList:
+		event.Kind = decide.ListNews
+		slot := le.Uint16(record[14:])
+		switch record[5] {
 		case 0:
-			e.List = decide.ListCached
+			event.List = decide.ListCached
 		case 1:
-			e.List = decide.ListFull
+			event.List = decide.ListFull
 		case 2:
-			e.List = decide.ListDelta
+			event.List = decide.ListDelta
 		case 3:
-			e.List = decide.ListFailed
+			event.List = decide.ListFailed
 		default:
-			return fmt.Errorf("list kind %d, want 0 to 3", r[5])
+			return fmt.Errorf("list kind %d, want 0 to 3", record[5])
 		}
-		if e.List != decide.ListFailed {
-			if slot >= slots || !d.known[slot] {
+		if event.List != decide.ListFailed {
+			if slot >= listSlots || !d.filled[slot] {
 				return fmt.Errorf("list slot %d, want one that a census has filled", slot)
 			}
-			e.Members = d.lists[slot]
+			event.Members = d.lists[slot]
 		}
-	case evCall:
-		e.Kind, e.ID = decide.QueryCame, le.Uint64(r[5:])
-		e.Class, e.Tenant, e.Key = int(r[13]), int(le.Uint16(r[14:])), le.Uint64(r[16:])
-		e.LeftMs, e.WorkMs, e.Number = f64(r[24:]), f64(r[32:]), f32(r[40:])
-		shard, measure := f32(r[44:]), f32(r[48:])
-		if !(e.LeftMs >= -1e12 && e.LeftMs <= 1e12) || !(shard > -1e9 && shard < 1e9) || !(measure > -1e9 && measure < 1e9) {
-			return fmt.Errorf("call %d: time left, shard or measure is not a plausible number", e.ID)
+	case eventCall:
+		event.Kind, event.ID = decide.QueryCame, le.Uint64(record[5:])
+		event.Class, event.Tenant, event.Key = int(record[13]), int(le.Uint16(record[14:])), le.Uint64(record[16:])
+		event.LeftMs, event.WorkMs, event.Number = readFloat64(record[24:]), readFloat64(record[32:]), readFloat32(record[40:])
+		shard, measure := readFloat32(record[44:]), readFloat32(record[48:])
+		if !(event.LeftMs >= -1e12 && event.LeftMs <= 1e12) || !(shard > -1e9 && shard < 1e9) || !(measure > -1e9 && measure < 1e9) {
+			return fmt.Errorf("call %d: time left, shard or measure is not a plausible number", event.ID)
 		}
 		if shard >= 0 {
-			e.Kind, e.Shard, e.Weight = decide.PartCame, int(shard), measure
+			event.Kind, event.Shard, event.Weight = decide.PartCame, int(shard), measure
 		} else {
-			e.Parts = int(measure)
+			event.Parts = int(measure)
 		}
-		e.Hinted, e.Retry, e.Write = r[52]&1 != 0, r[52]&2 != 0, r[52]&4 != 0
-	case evHeaders:
-		e.Kind, e.ID = decide.StreamBegan, le.Uint64(r[5:])
-		e.Addr, e.Attempt, e.TookMs = addr(r[13:]), int(le.Uint16(r[19:])), f64(r[21:])
-	case evSettled:
-		e.Kind, e.ID, e.TookMs = decide.AttemptDone, le.Uint64(r[5:]), f64(r[13:])
-		e.Addr, e.Attempt = addr(r[22:]), int(le.Uint16(r[28:]))
-		if e.Outcome, err = outcome(le.Uint16(r[30:])); err == nil {
-			e.Load, err = d.load(r[32:])
+		event.Hinted, event.Retry, event.Write = record[52]&1 != 0, record[52]&2 != 0, record[52]&4 != 0
+	case eventHeaders:
+		event.Kind, event.ID = decide.StreamBegan, le.Uint64(record[5:])
+		event.Addr, event.Attempt, event.TookMs = readAddr(record[13:]), int(le.Uint16(record[19:])), readFloat64(record[21:])
+	case eventSettled:
+		event.Kind, event.ID, event.TookMs = decide.AttemptDone, le.Uint64(record[5:]), readFloat64(record[13:])
+		event.Addr, event.Attempt = readAddr(record[22:]), int(le.Uint16(record[28:]))
+		if event.Outcome, err = parseOutcome(le.Uint16(record[30:])); err == nil {
+			event.Load, err = d.appendLoad(record[32:])
 		}
-	case evHangup:
-		e.Kind, e.ID = decide.ClientLeft, le.Uint64(r[5:])
-	case evWakeup:
-		e.Kind, e.Token = decide.TimerFired, le.Uint64(r[5:])
-	case evPong:
-		e.Kind, e.Addr, e.TookMs = decide.ProbeDone, addr(r[5:]), f64(r[11:])
-		if e.Outcome, err = outcome(le.Uint16(r[19:])); err == nil {
-			e.Load, err = d.load(r[21:])
+	case eventHangup:
+		event.Kind, event.ID = decide.ClientLeft, le.Uint64(record[5:])
+	case eventWakeup:
+		event.Kind, event.Token = decide.TimerFired, le.Uint64(record[5:])
+	case eventPong:
+		event.Kind, event.Addr, event.TookMs = decide.ProbeDone, readAddr(record[5:]), readFloat64(record[11:])
+		if event.Outcome, err = parseOutcome(le.Uint16(record[19:])); err == nil {
+			event.Load, err = d.appendLoad(record[21:])
 		}
-	case evMail:
-		e.Kind, e.Peer = decide.PeerSaid, int(le.Uint16(r[5:]))
+	case eventMail:
+		event.Kind, event.Peer = decide.PeerSaid, int(le.Uint16(record[5:]))
 		var text []byte
-		text, err = span(tail, r[7:], 1)
-		e.Text = bytes.Clone(text)
+		text, err = tailRange(tail, record[7:], 1)
+		event.Text = bytes.Clone(text)
 	default:
-		return fmt.Errorf("event code %d, want 1 to %d", r[0], evCensus)
+		return fmt.Errorf("event code %d, want 1 to %d", record[0], eventCensus)
 	}
-	b.Items = append(b.Items, it)
+	b.Items = append(b.Items, item)
 	return err
 }
 
-func (d *Decoder) census(r, tail []byte) error {
-	slot := le.Uint16(r[1:])
-	if slot >= slots {
-		return fmt.Errorf("census slot %d, want 0 to %d", slot, slots-1)
+func (d *Decoder) decodeCensus(record, tail []byte) error {
+	slot := le.Uint16(record[1:])
+	if slot >= listSlots {
+		return fmt.Errorf("census slot %d, want 0 to %d", slot, listSlots-1)
 	}
-	list, err := span(tail, r[3:], entrySize)
+	list, err := tailRange(tail, record[3:], listEntrySize)
 	if err != nil {
 		return err
 	}
-	members := make([]decide.Member, 0, len(list)/entrySize) // events may hold the old one
-	for ; len(list) > 0; list = list[entrySize:] {
+	members := make([]decide.Member, 0, len(list)/listEntrySize) // events may hold the old one
+	for ; len(list) > 0; list = list[listEntrySize:] {
 		m := decide.Member{
-			Addr: addr(list), Zone: int(le.Uint16(list[6:])), Kind: int(list[8]),
-			Cell: int(le.Uint16(list[9:])), Size: f32(list[12:]), ReadyAt: f64(list[16:]),
+			Addr: readAddr(list), Zone: int(le.Uint16(list[6:])), Kind: int(list[8]),
+			Cell: int(le.Uint16(list[9:])), Size: readFloat32(list[12:]), ReadyAt: readFloat64(list[16:]),
 		}
 		switch list[11] {
 		case 1:
@@ -247,11 +247,11 @@
 		}
 		members = append(members, m)
 	}
-	d.lists[slot], d.known[slot] = members, true
+	d.lists[slot], d.filled[slot] = members, true
 	return nil
 }
 
-func outcome(code uint16) (decide.Outcome, error) {
+func parseOutcome(code uint16) (decide.Outcome, error) {
 	switch code {
 	case 200:
 		return decide.OK, nil
@@ -273,22 +273,22 @@
 	return 0, fmt.Errorf("outcome code %d, want 200, 410, 499, 500, 502, 503, 504 or 598", code)
 }
 
-func (d *Decoder) load(r []byte) ([]float64, error) {
-	n := int(r[0])
-	if n > loadMax {
-		return nil, fmt.Errorf("load report of %d values, want %d at most", n, loadMax)
+func (d *Decoder) appendLoad(report []byte) ([]float64, error) {
+	n := int(report[0])
+	if n > maxLoadValues {
+		return nil, fmt.Errorf("load report of %d values, want %d at most", n, maxLoadValues)
 	}
-	from := len(d.loads)
+	start := len(d.loads)
 	for i := range n {
-		d.loads = append(d.loads, f32(r[1+4*i:]))
+		d.loads = append(d.loads, readFloat32(report[1+4*i:]))
 	}
-	return d.loads[from:len(d.loads):len(d.loads)], nil
+	return d.loads[start:len(d.loads):len(d.loads)], nil
 }
 
 // Encoder builds one reply. It is reset by Bytes.
 type Encoder struct {
-	recs, tail []byte
-	count      uint32
+	records, tail []byte
+	count         uint32
 }
 
 // Action codes, by kind of action.
@@ -308,76 +308,76 @@
 }
 
 // Add appends an action of a root.
-func (w *Encoder) Add(root uint32, a decide.Action) {
-	if w.count == 0 {
-		w.recs = append(w.recs[:0], make([]byte, replySize)...)
-		w.tail = w.tail[:0]
+func (e *Encoder) Add(root uint32, a decide.Action) {
+	if e.count == 0 {
+		e.records = append(e.records[:0], make([]byte, replyHeaderSize)...)
+		e.tail = e.tail[:0]
 	}
-	var r [actionSize]byte
-	r[0] = actionCodes[a.Kind]
-	le.PutUint32(r[1:], root)
+	var record [actionSize]byte
+	record[0] = actionCodes[a.Kind]
+	le.PutUint32(record[1:], root)
 	switch a.Kind {
 	case decide.Send:
-		le.PutUint64(r[5:], a.ID)
-		putAddr(r[13:], a.Addr)
-		le.PutUint64(r[19:], math.Float64bits(a.Ms))
+		le.PutUint64(record[5:], a.ID)
+		putAddr(record[13:], a.Addr)
+		le.PutUint64(record[19:], math.Float64bits(a.Ms))
 	case decide.Cancel:
-		le.PutUint64(r[5:], a.ID)
-		le.PutUint16(r[13:], uint16(a.Attempt))
+		le.PutUint64(record[5:], a.ID)
+		le.PutUint16(record[13:], uint16(a.Attempt))
 	case decide.Timer:
-		le.PutUint64(r[5:], math.Float64bits(a.Ms))
-		le.PutUint64(r[13:], a.Token)
+		le.PutUint64(record[5:], math.Float64bits(a.Ms))
+		le.PutUint64(record[13:], a.Token)
 	case decide.Answer:
-		le.PutUint64(r[5:], a.ID)
-		r[13] = bit(a.Whole)
+		le.PutUint64(record[5:], a.ID)
+		record[13] = boolByte(a.Whole)
 	case decide.Refuse:
-		le.PutUint64(r[5:], a.ID)
-		le.PutUint64(r[13:], math.Float64bits(a.Ms))
+		le.PutUint64(record[5:], a.ID)
+		le.PutUint64(record[13:], math.Float64bits(a.Ms))
 	case decide.Abort:
-		le.PutUint64(r[5:], a.ID)
+		le.PutUint64(record[5:], a.ID)
 	case decide.Probe, decide.CloseIdle:
-		putAddr(r[5:], a.Addr)
+		putAddr(record[5:], a.Addr)
 	case decide.Tell:
-		le.PutUint32(r[5:], uint32(int32(a.Peer)))
-		w.text(r[9:], a.Text)
+		le.PutUint32(record[5:], uint32(int32(a.Peer)))
+		e.putText(record[9:], a.Text)
 	case decide.Log:
-		w.text(r[5:], a.Text)
+		e.putText(record[5:], a.Text)
 	case decide.Subscribe:
-		r[5] = bit(a.Whole)
+		record[5] = boolByte(a.Whole)
 	}
-	w.recs = append(w.recs, r[:]...)
-	w.count++
+	e.records = append(e.records, record[:]...)
+	e.count++
 }
 
-func bit(b bool) byte {
+func boolByte(b bool) byte {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func putAddr(r []byte, a decide.Addr) {
-	le.PutUint32(r, uint32(a))
-	le.PutUint16(r[4:], uint16(a>>32))
+func putAddr(field []byte, a decide.Addr) {
+	le.PutUint32(field, uint32(a))
+	le.PutUint16(field[4:], uint16(a>>32))
 }
 
-func (w *Encoder) text(r []byte, s string) {
-	le.PutUint32(r, uint32(len(w.tail)))
-	le.PutUint32(r[4:], uint32(len(s)))
-	w.tail = append(w.tail, s...)
+func (e *Encoder) putText(field []byte, s string) {
+	le.PutUint32(field, uint32(len(e.tail)))
+	le.PutUint32(field[4:], uint32(len(s)))
+	e.tail = append(e.tail, s...)
 }
 
 // Bytes returns the reply to batch seq and resets the Encoder. The slice is
 // valid until the next Add.
-func (w *Encoder) Bytes(seq uint32) []byte {
-	if w.count == 0 {
-		w.recs = append(w.recs[:0], make([]byte, replySize)...)
-		w.tail = w.tail[:0]
+func (e *Encoder) Bytes(seq uint32) []byte {
+	if e.count == 0 {
+		e.records = append(e.records[:0], make([]byte, replyHeaderSize)...)
+		e.tail = e.tail[:0]
 	}
-	w.recs = append(w.recs, w.tail...)
-	le.PutUint32(w.recs, uint32(len(w.recs)))
-	le.PutUint32(w.recs[4:], w.count)
-	le.PutUint32(w.recs[8:], seq)
-	w.count = 0
-	return w.recs
+	e.records = append(e.records, e.tail...)
+	le.PutUint32(e.records, uint32(len(e.records)))
+	le.PutUint32(e.records[4:], e.count)
+	le.PutUint32(e.records[8:], seq)
+	e.count = 0
+	return e.records
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,9 +11,9 @@
 )
 
 // zeros is n zero bytes in hex.
-func zeros(n int) string { return strings.Repeat("00", n) }
+func hexZeros(n int) string { return strings.Repeat("00", n) }
 
-func frame(t *testing.T, parts ...string) []byte {
+func fromHex(t *testing.T, parts ...string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
 	if err != nil {
@@ -23,24 +23,24 @@
 }
 
 // withHead puts a header before records (hex) and a tail (hex).
-func withHead(t *testing.T, records int, rest ...string) []byte {
+func batchFrame(t *testing.T, records int, rest ...string) []byte {
 	t.Helper()
-	body := frame(t, rest...)
-	b := make([]byte, headSize, headSize+len(body))
+	body := fromHex(t, rest...)
+	b := make([]byte, batchHeaderSize, batchHeaderSize+len(body))
 	le.PutUint32(b, uint32(records))
-	le.PutUint32(b[4:], uint32(headSize+len(body)))
+	le.PutUint32(b[4:], uint32(batchHeaderSize+len(body)))
 	return append(b, body...)
 }
 
 const (
-	callRec   = "03 03000000 c4913a5dcb1f0800 00 0000 640ad2557c3bf091 0000000000006e40 0000000000002840 00005643 00000000 0000003e 01 000000"
-	wakeupRec = "07 03000000 4d00000000000000"
-	hangupRec = "06 05000000 192b6f0e15020100"
+	callRecord   = "03 03000000 c4913a5dcb1f0800 00 0000 640ad2557c3bf091 0000000000006e40 0000000000002840 00005643 00000000 0000003e 01 000000"
+	wakeupRecord = "07 03000000 4d00000000000000"
+	hangupRecord = "06 05000000 192b6f0e15020100"
 )
 
-func TestDecode(t *testing.T) {
-	in := append(frame(t, "00000000 14000000 00000000206ec040 01000000"),
-		frame(t, "03000000 bc000000 00000000206ec040 0c000000", callRec, wakeupRec, zeros(43), hangupRec, zeros(43))...)
+func TestDecodeReadsConsecutiveBatches(t *testing.T) {
+	in := append(fromHex(t, "00000000 14000000 00000000206ec040 01000000"),
+		fromHex(t, "03000000 bc000000 00000000206ec040 0c000000", callRecord, wakeupRecord, hexZeros(43), hangupRecord, hexZeros(43))...)
 	d := NewDecoder(bytes.NewReader(in))
 	var b Batch
 	if err := d.Next(&b); err != nil || len(b.Items) != 0 || b.Seq != 1 || b.Now != 8412.25 {
@@ -65,10 +65,10 @@
 	}
 }
 
-func TestSettled(t *testing.T) {
-	rec := "05 03000000 c4913a5dcb1f0800 0000000000803240 01 0a124a07 5b1b 0100 f401 02 0000803f 00000040 00000000 00000000" + zeros(7)
+func TestDecodeReadsAttemptOutcomeAndLoad(t *testing.T) {
+	record := "05 03000000 c4913a5dcb1f0800 0000000000803240 01 0a124a07 5b1b 0100 f401 02 0000803f 00000040 00000000 00000000" + hexZeros(7)
 	var b Batch
-	if err := NewDecoder(bytes.NewReader(withHead(t, 1, rec))).Next(&b); err != nil {
+	if err := NewDecoder(bytes.NewReader(batchFrame(t, 1, record))).Next(&b); err != nil {
 		t.Fatal(err)
 	}
 	e := b.Items[0].Event
@@ -78,13 +78,13 @@
 	}
 }
 
-func TestCensusSlotsFollowEventOrder(t *testing.T) {
+func TestRefillingAListSlotKeepsTheListOfEarlierEvents(t *testing.T) {
 	one := "0a124a07 5b1b 0000 00 0000 01 0000803f 0000000000000000"
 	two := "0a9011f2 841b 0100 02 0300 03 0000c03f 0000000000d4b740"
-	census := func(offset, n string) string { return "0b 0000 " + offset + n + zeros(45) }
-	list := "02 03000000 00 2900000000000000 0000" + zeros(40)
+	census := func(offset, n string) string { return "0b 0000 " + offset + n + hexZeros(45) }
+	list := "02 03000000 00 2900000000000000 0000" + hexZeros(40)
 	var b Batch
-	in := withHead(t, 4, census("00000000", "01000000"), list, census("18000000", "01000000"), list, one, two)
+	in := batchFrame(t, 4, census("00000000", "01000000"), list, census("18000000", "01000000"), list, one, two)
 	if err := NewDecoder(bytes.NewReader(in)).Next(&b); err != nil {
 		t.Fatal(err)
 	}
@@ -95,26 +95,26 @@
 	}
 }
 
-func TestMalformed(t *testing.T) {
+func TestDecodeRejectsMalformedFrames(t *testing.T) {
 	tests := []struct {
 		name, want string
 		in         []byte
 	}{
 		{"half a header", "batch header: input ended after 3 bytes, want 20", []byte{1, 0, 0}},
-		{"truncated body", "input ended after 20 bytes, want 76", frame(t, "01000000 4c000000", zeros(12))},
-		{"length too short", "want at least 76 for 1 records", frame(t, "01000000 14000000", zeros(12))},
-		{"more records than any frame", "want at least", frame(t, "ffffffff 14000000", zeros(12))},
-		{"unknown event", "event code 99", withHead(t, 1, "63", zeros(55))},
-		{"tail out of range", "tail range 4+8, want within 2 bytes", withHead(t, 1, "09 03000000 0000 04000000 08000000", zeros(41), "6869")},
-		{"begin out of range", "tail range", withHead(t, 1, "01 03000000", zeros(8), "ffffffff ffffffff", zeros(35))},
-		{"bad setting", `setting tickMs: got "x", want a number`, withHead(t, 1, "01 03000000", zeros(8), "00000000 08000000", zeros(35), hex.EncodeToString([]byte("tickMs=x")))},
-		{"setting without value", "want path=value", withHead(t, 1, "01 03000000", zeros(8), "00000000 02000000", zeros(35), "6869")},
-		{"unknown outcome", "outcome code 418", withHead(t, 1, "05 03000000", zeros(25), "a201", zeros(24))},
-		{"oversized load", "load report of 5 values", withHead(t, 1, "05 03000000", zeros(25), "c800 05", zeros(23))},
-		{"unknown list kind", "list kind 9", withHead(t, 1, "02 03000000 09", zeros(50))},
-		{"unfilled slot", "list slot 2", withHead(t, 1, "02 03000000 00", zeros(8), "0200", zeros(40))},
-		{"census slot", "census slot 16", withHead(t, 1, "0b 1000", zeros(53))},
-		{"member state", "state 7", withHead(t, 1, "0b 0000 00000000 01000000", zeros(45), zeros(11), "07", zeros(12))},
+		{"truncated body", "input ended after 20 bytes, want 76", fromHex(t, "01000000 4c000000", hexZeros(12))},
+		{"length too short", "want at least 76 for 1 records", fromHex(t, "01000000 14000000", hexZeros(12))},
+		{"more records than any frame", "want at least", fromHex(t, "ffffffff 14000000", hexZeros(12))},
+		{"unknown event", "event code 99", batchFrame(t, 1, "63", hexZeros(55))},
+		{"tail out of range", "tail range 4+8, want within 2 bytes", batchFrame(t, 1, "09 03000000 0000 04000000 08000000", hexZeros(41), "6869")},
+		{"begin out of range", "tail range", batchFrame(t, 1, "01 03000000", hexZeros(8), "ffffffff ffffffff", hexZeros(35))},
+		{"bad setting", `setting tickMs: got "x", want a number`, batchFrame(t, 1, "01 03000000", hexZeros(8), "00000000 08000000", hexZeros(35), hex.EncodeToString([]byte("tickMs=x")))},
+		{"setting without value", "want path=value", batchFrame(t, 1, "01 03000000", hexZeros(8), "00000000 02000000", hexZeros(35), "6869")},
+		{"unknown outcome", "outcome code 418", batchFrame(t, 1, "05 03000000", hexZeros(25), "a201", hexZeros(24))},
+		{"oversized load", "load report of 5 values", batchFrame(t, 1, "05 03000000", hexZeros(25), "c800 05", hexZeros(23))},
+		{"unknown list kind", "list kind 9", batchFrame(t, 1, "02 03000000 09", hexZeros(50))},
+		{"unfilled slot", "list slot 2", batchFrame(t, 1, "02 03000000 00", hexZeros(8), "0200", hexZeros(40))},
+		{"census slot", "census slot 16", batchFrame(t, 1, "0b 1000", hexZeros(53))},
+		{"member state", "state 7", batchFrame(t, 1, "0b 0000 00000000 01000000", hexZeros(45), hexZeros(11), "07", hexZeros(12))},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -127,18 +127,18 @@
 	}
 }
 
-func TestEncode(t *testing.T) {
+func TestEncodeWritesEachKindOfAction(t *testing.T) {
 	var w Encoder
-	if got, want := w.Bytes(1), frame(t, "0c000000 00000000 01000000"); !bytes.Equal(got, want) {
+	if got, want := w.Bytes(1), fromHex(t, "0c000000 00000000 01000000"); !bytes.Equal(got, want) {
 		t.Errorf("empty reply %x, want %x", got, want)
 	}
 	w.Add(3, decide.Action{Kind: decide.Send, ID: 0x81fcb5d3a91c4, Addr: 0x1b5b074a120a, Ms: 80})
 	w.Add(3, decide.Action{Kind: decide.Timer, Ms: 500, Token: 77})
 	w.Add(5, decide.Action{Kind: decide.Log, Text: "two servers known"})
-	want := frame(t, "7d000000 03000000 0c000000",
+	want := fromHex(t, "7d000000 03000000 0c000000",
 		"41 03000000 c4913a5dcb1f0800 0a124a07 5b1b 0000000000005440 0000000000",
-		"45 03000000 0000000000407f40 4d00000000000000", zeros(11),
-		"49 05000000 00000000 11000000", zeros(19), hex.EncodeToString([]byte("two servers known")))
+		"45 03000000 0000000000407f40 4d00000000000000", hexZeros(11),
+		"49 05000000 00000000 11000000", hexZeros(19), hex.EncodeToString([]byte("two servers known")))
 	if got := w.Bytes(12); !bytes.Equal(got, want) {
 		t.Errorf("reply\n%x, want\n%x", got, want)
 	}
@@ -146,24 +146,24 @@
 		a    decide.Action
 		want string
 	}{
-		{decide.Action{Kind: decide.Cancel, ID: 1, Attempt: 2}, "44 07000000 0100000000000000 0200" + zeros(17)},
-		{decide.Action{Kind: decide.Answer, ID: 1, Whole: true}, "4d 07000000 0100000000000000 01" + zeros(18)},
-		{decide.Action{Kind: decide.Refuse, ID: 1, Ms: 1}, "42 07000000 0100000000000000 000000000000f03f" + zeros(11)},
-		{decide.Action{Kind: decide.Abort, ID: 1}, "43 07000000 0100000000000000" + zeros(19)},
-		{decide.Action{Kind: decide.Probe, Addr: 0x1b5b074a120a}, "46 07000000 0a124a07 5b1b" + zeros(21)},
-		{decide.Action{Kind: decide.CloseIdle, Addr: 0x1b5b074a120a}, "47 07000000 0a124a07 5b1b" + zeros(21)},
-		{decide.Action{Kind: decide.Tell, Peer: decide.AllPeers, Text: "hi"}, "48 07000000 ffffffff 00000000 02000000" + zeros(15) + "6869"},
-		{decide.Action{Kind: decide.Subscribe, Whole: true}, "4b 07000000 01" + zeros(26)},
-		{decide.Action{Kind: decide.FetchList}, "4c 07000000" + zeros(27)},
+		{decide.Action{Kind: decide.Cancel, ID: 1, Attempt: 2}, "44 07000000 0100000000000000 0200" + hexZeros(17)},
+		{decide.Action{Kind: decide.Answer, ID: 1, Whole: true}, "4d 07000000 0100000000000000 01" + hexZeros(18)},
+		{decide.Action{Kind: decide.Refuse, ID: 1, Ms: 1}, "42 07000000 0100000000000000 000000000000f03f" + hexZeros(11)},
+		{decide.Action{Kind: decide.Abort, ID: 1}, "43 07000000 0100000000000000" + hexZeros(19)},
+		{decide.Action{Kind: decide.Probe, Addr: 0x1b5b074a120a}, "46 07000000 0a124a07 5b1b" + hexZeros(21)},
+		{decide.Action{Kind: decide.CloseIdle, Addr: 0x1b5b074a120a}, "47 07000000 0a124a07 5b1b" + hexZeros(21)},
+		{decide.Action{Kind: decide.Tell, Peer: decide.AllPeers, Text: "hi"}, "48 07000000 ffffffff 00000000 02000000" + hexZeros(15) + "6869"},
+		{decide.Action{Kind: decide.Subscribe, Whole: true}, "4b 07000000 01" + hexZeros(26)},
+		{decide.Action{Kind: decide.FetchList}, "4c 07000000" + hexZeros(27)},
 	} {
 		w.Add(7, test.a)
-		if got, want := w.Bytes(1)[replySize:], frame(t, test.want); !bytes.Equal(got, want) {
+		if got, want := w.Bytes(1)[replyHeaderSize:], fromHex(t, test.want); !bytes.Equal(got, want) {
 			t.Errorf("action %v: %x, want %x", test.a.Kind, got, want)
 		}
 	}
 }
 
-func TestParseSettings(t *testing.T) {
+func TestParseSettingsReadsClassesAndDefaults(t *testing.T) {
 	s, err := ParseSettings("classes.count=2\nclasses.0.objectiveMs=30\nclasses.0.idempotency=keyed\nclasses.1.deadlineMs=9\n" +
 		"classes.1.idempotency=unsafe\ndomain.needByClass=0.75,1.0\nunknown.thing=7\ncaps.cancel=true\nreport.fields=backlog,recent_ms\n")
 	if err != nil {
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -118,7 +118,7 @@
 // A reader that follows does not hold up a broker that is told to stop.
 func TestStopEndsFollowers(t *testing.T) {
 	d, _ := start(t, 1, false, map[string]any{}, nil)
-	root := cli.New(&lockedBuffer{}, &lockedBuffer{})
+	root := cli.NewRootCommand(&lockedBuffer{}, &lockedBuffer{})
 	root.SetArgs([]string{"trace", "tail", "--addr", d.FlightAddr().String()})
 	tailed := make(chan error, 1)
 	go func() { tailed <- root.ExecuteContext(context.Background()) }()
@@ -144,7 +144,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var tail lockedBuffer
 	tailed := make(chan error, 1)
-	root := cli.New(&tail, &tail)
+	root := cli.NewRootCommand(&tail, &tail)
 	root.SetArgs([]string{"trace", "tail", "--bad", "--reason", "late", "--json", "--addr", addr})
 	go func() { tailed <- root.ExecuteContext(ctx) }()
 	nodes[0].Work(func(c testkit.Call) string {
