--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,6 @@
-// Package admin is the operators' port: HTTP/1.1 with one call a connection, apart from
-// the clients' front, so that it answers however busy that is.
+// Package admin serves the admin port, on which operators read a broker's state and drain it.
+// It speaks HTTP/1.1 with one call per connection and is separate from the clients' front, so
+// that it answers however busy that is.
 package admin
 
 import (
@@ -20,85 +21,90 @@
 )
 
 const (
-	// maxCallers bounds the connections: the next caller ends the oldest of them. A call
-	// takes milliseconds, so the oldest has not finished its own.
+	// maxConnections bounds the open connections: one more closes the oldest of them. A call
+	// takes milliseconds, so the oldest is one whose caller stalls.
 	maxConnections = 16
-	// callWithin is how long a caller may take with its call, and with reading the answer.
+	// callTimeout is how long a caller may take to send its call, and to read the response.
 	callTimeout    = 5 * time.Second
 	maxHeaderBytes = 4 << 10 // bytes
-	// prefix begins the name of each figure.
+	// metricPrefix begins the name of each metric.
 	metricPrefix = "edge_node."
 )
 
-// Paths of the calls.
+// The paths of the calls.
 const (
-	ReadyPath   = "/-/ready"
+	// ReadyPath is the path of the readiness check, a GET.
+	ReadyPath = "/-/ready"
+	// MetricsPath is the path of the metrics, a GET.
 	MetricsPath = "/-/metrics"
-	DrainPath   = "/-/drain"
-	ResumePath  = "/-/resume"
+	// DrainPath is the path that starts a drain, a POST.
+	DrainPath = "/-/drain"
+	// ResumePath is the path that ends a drain, a POST.
+	ResumePath = "/-/resume"
 )
 
-// Figure is one metric.
+// Metric is a named value.
 type Metric struct {
 	Name  string
 	Value int64
 }
 
-// Broker is what the port shows and steers. Its methods may be called at once and must
-// return within some 0.5 s.
+// Broker is what the admin port reports on and controls. Its methods may be called
+// concurrently and must return within some 0.5 s.
 type Broker interface {
-	// Ready says whether the process takes clients.
+	// Ready reports whether the process accepts clients.
 	Ready() bool
-	// Figures returns the metrics in the order in which they are shown.
+	// Metrics returns the metrics in the order in which they are printed.
 	Metrics() []Metric
-	// SendAway begins an operator's drain, or ends it; doing so twice changes nothing.
+	// SetDraining starts or ends an operator's drain. It is idempotent.
 	SetDraining(draining bool)
 }
 
-// Server is the operators' port.
+// Server serves the admin port.
 type Server struct {
 	server   http.Server
 	listener *boundedListener
 	done     chan struct{}
 }
 
-// Listen opens the port at addr, a host and port, and begins to serve. An error is that of
-// the address.
+// Listen opens the admin port at addr, a host and port, and starts to serve. It fails only if
+// it cannot listen there.
 func Listen(addr string, broker Broker, logger zerolog.Logger) (*Server, error) {
 	inner, err := netio.Listen(addr)
 	if err != nil {
-		return nil, fmt.Errorf("listening for operators: %w", err)
+		return nil, fmt.Errorf("opening the admin port: %w", err)
 	}
 	s := &Server{listener: &boundedListener{Listener: inner}, done: make(chan struct{})}
 	s.server = http.Server{
 		Handler: newHandler(broker, logger), ReadTimeout: callTimeout, WriteTimeout: callTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ErrorLog: log.New(io.Discard, "", 0), // of callers that break off
+		ErrorLog: log.New(io.Discard, "", 0), // the server would log each caller that disconnects
 	}
 	s.server.SetKeepAlivesEnabled(false)
 	go func() {
 		defer close(s.done)
 		if err := s.server.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
-			logger.Error().Str("event", "operators").Err(err).Msg("the operators' port has ended")
+			logger.Error().Str("event", "operators").Err(err).Msg("admin port stopped serving")
 		}
 	}()
 	return s, nil
 }
 
-// Addr is where the port listens.
+// Addr returns the address at which the admin port listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Close ends the port and all calls.
+// Close closes the admin port and all its connections.
 func (s *Server) Close() {
-	_ = s.server.Close() // of sockets that carry nothing more
+	_ = s.server.Close() // an error of closing a socket has no consequence
 	<-s.done
 }
 
+// newHandler returns the handler of all paths.
 func newHandler(broker Broker, logger zerolog.Logger) http.Handler {
 	drainHandler := func(name string, draining bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
-			logger.Info().Str("event", name).Msg("an operator has called")
+			logger.Info().Str("event", name).Msg("operator call")
 			broker.SetDraining(draining)
-			_, _ = io.WriteString(w, name+"\n") // the caller may have gone
+			_, _ = io.WriteString(w, name+"\n") // fails if the caller has disconnected
 		}
 	}
 	mux := http.NewServeMux()
@@ -118,7 +124,7 @@
 	return mux
 }
 
-// Render appends the figures to text, a line each.
+// AppendMetrics appends the metrics to text, one per line.
 func AppendMetrics(text []byte, metrics []Metric) []byte {
 	for _, metric := range metrics {
 		text = append(text, metricPrefix...)
@@ -130,19 +136,20 @@
 	return text
 }
 
-// callers is a listener whose open connections are bounded.
+// boundedListener is a listener with at most maxConnections open connections.
 type boundedListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open []*trackedConn // the oldest first
+	open []*trackedConn // oldest first
 }
 
+// trackedConn is a connection that leaves its listener's open ones when it is closed.
 type trackedConn struct {
 	net.Conn
 	listener *boundedListener
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It closes the oldest connection if there are too many.
 func (l *boundedListener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
@@ -175,8 +182,8 @@
 	return c.Conn.Close()
 }
 
-// Call makes one call to the port at addr and returns its text. An answer that is no yes is
-// an error with that text.
+// Call makes one call to the admin port at addr and returns the response body. A status that is
+// not 2xx is returned as a *StatusError.
 func Call(ctx context.Context, addr, method, path string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
@@ -189,7 +196,7 @@
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return "", fmt.Errorf("reading the answer of %s: %w", addr, err)
+		return "", fmt.Errorf("reading the response of %s: %w", addr, err)
 	}
 	if resp.StatusCode/100 != 2 {
 		return "", &StatusError{resp.StatusCode, string(body)}
@@ -197,10 +204,12 @@
 	return string(body), nil
 }
 
-// RefusedError is an answer that is no yes.
+// StatusError is a response with a status that is not 2xx.
 type StatusError struct {
 	Status int
 	Body   string
 }
 
-func (e *StatusError) Error() string { return fmt.Sprintf("refused with %d: %s", e.Status, e.Body) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("the broker responded with status %d: %s", e.Status, e.Body)
+}
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -14,6 +14,7 @@
 	"github.com/rs/zerolog"
 )
 
+// fakeBroker is a Broker whose readiness the test sets.
 type fakeBroker struct{ ready, draining atomic.Bool }
 
 func (f *fakeBroker) Ready() bool               { return f.ready.Load() }
@@ -22,6 +23,7 @@
 	return []Metric{{"fulfilled.screen", 812}, {"open_requests", 14}}
 }
 
+// startServer serves a fake broker and returns it with the address of its admin port.
 func startServer(t *testing.T) (*fakeBroker, string) {
 	t.Helper()
 	f := &fakeBroker{}
@@ -33,16 +35,18 @@
 	return f, s.Addr().String()
 }
 
+// Each call must reach the broker, and a repeated drain or resume must change nothing. A broker
+// that is not ready must give a StatusError, which the command line turns into a failure.
 func TestCallsReportReadinessAndMetricsAndSetDraining(t *testing.T) {
 	broker, addr := startServer(t)
 	call := func(method, path string) (string, error) { return Call(context.Background(), addr, method, path) }
 	var statusErr *StatusError
 	if _, err := call(http.MethodGet, ReadyPath); !errors.As(err, &statusErr) || statusErr.Status != http.StatusServiceUnavailable {
-		t.Errorf("not ready: %v", err)
+		t.Errorf("broker that is not ready: %v, want status 503", err)
 	}
 	broker.ready.Store(true)
 	if _, err := call(http.MethodGet, ReadyPath); err != nil {
-		t.Errorf("ready: %v", err)
+		t.Errorf("broker that is ready: %v", err)
 	}
 	if text, err := call(http.MethodGet, MetricsPath); err != nil || text != "edge_node.fulfilled.screen=812\nedge_node.open_requests=14\n" {
 		t.Errorf("metrics: %q, %v", text, err)
@@ -53,12 +57,13 @@
 			path = DrainPath
 		}
 		if _, err := call(http.MethodPost, path); err != nil || broker.draining.Load() != draining {
-			t.Errorf("%s: away %v, %v", path, broker.draining.Load(), err)
+			t.Errorf("%s: draining %v, %v", path, broker.draining.Load(), err)
 		}
 	}
 }
 
-// Callers that finish no call keep none out, however many they are, and are ended.
+// Callers that never finish a call must not keep others out, however many they are: their
+// connections are closed, the oldest first.
 func TestStalledCallersDoNotKeepOthersOut(t *testing.T) {
 	broker, addr := startServer(t)
 	broker.ready.Store(true)
@@ -72,15 +77,15 @@
 		if first == nil {
 			first = c
 		}
-		_, _ = io.WriteString(c, "GET /-/ready HTTP/1.1\r\n"[:i%20]) // it may have been ended
+		_, _ = io.WriteString(c, "GET /-/ready HTTP/1.1\r\n"[:i%20]) // fails if the server has closed the connection
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		if _, err := Call(ctx, addr, http.MethodGet, ReadyPath); err != nil {
-			t.Errorf("beside %d callers: %v", i+1, err)
+			t.Errorf("beside %d stalled callers: %v", i+1, err)
 		}
 		cancel()
 	}
 	_ = first.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := first.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("the first caller is kept")
+		t.Error("the connection of the first stalled caller is still open")
 	}
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter plays the roots of a simulated fleet: it reads batches of
-// events on standard input and writes one reply to each on standard output.
+// Command adapter runs the roots of a simulated fleet of brokers: it reads batches of events
+// from standard input and writes one reply to each to standard output.
 package main
 
 import (
@@ -19,14 +19,14 @@
 	}
 }
 
-// node is one root and what this batch holds for it.
+// rootState is one root and its events of the current batch.
 type rootState struct {
-	root   *decide.Root
+	root   *decide.Root // nil: stopped
 	events []decide.Event
-	queued bool
+	queued bool // whether it is in the current batch's queue
 }
 
-// run serves batches from r until its end.
+// run reads batches from r until its end and writes the replies to w.
 func run(r io.Reader, w io.Writer) error {
 	in := wire.NewDecoder(bufio.NewReaderSize(r, 1<<16))
 	out := bufio.NewWriterSize(w, 1<<16)
@@ -34,7 +34,7 @@
 	var (
 		batch   wire.Batch
 		reply   wire.Encoder
-		queue   []uint32 // roots named in this batch, in order
+		queue   []uint32 // roots that this batch has events for, in order of their first one
 		actions []decide.Action
 	)
 	for {
@@ -60,7 +60,7 @@
 				}
 				state.root, state.events = decide.New(item.Settings, item.Seed), state.events[:0]
 			case state == nil || state.root == nil:
-				continue // a stopped root is told no more
+				continue // a stopped root gets no events
 			default:
 				state.events = append(state.events, item.Event)
 			}
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// batch builds a frame of records, each padded to 56 bytes, and a tail.
+// batchFrame builds the frame of a batch: its records, each padded to 56 bytes, and a tail.
 func batchFrame(seq uint32, tail string, records ...[]byte) []byte {
 	le := binary.LittleEndian
 	b := le.AppendUint32(nil, uint32(len(records)))
@@ -20,6 +20,8 @@
 	return append(b, tail...)
 }
 
+// Each whole batch must get exactly one reply, with the actions of the roots that run, also when
+// a root stops and starts in one batch; a truncated batch must get an error and no reply.
 func TestRunRepliesOncePerWholeBatch(t *testing.T) {
 	settings := "discovery=on_request"
 	begin := []byte{1, 4, 0, 0, 0, 9, 9, 9, 9, 9, 9, 9, 9, 0, 0, 0, 0, byte(len(settings)), 0, 0, 0}
@@ -33,10 +35,10 @@
 	}{
 		{"no input", nil, nil, ""},
 		{"an empty batch gets an empty reply", batchFrame(1, ""), []uint32{0}, ""},
-		{"a root subscribes at its start", batchFrame(1, settings, begin), []uint32{2}, ""},
+		{"a root subscribes when it starts", batchFrame(1, settings, begin), []uint32{2}, ""},
 		{"a stopped root stays silent", append(batchFrame(1, settings, begin, halt), batchFrame(2, "", wake)...), []uint32{0, 0}, ""},
 		{"stop and start in one batch", append(batchFrame(1, settings, begin), batchFrame(2, settings, halt, begin)...), []uint32{2, 2}, ""},
-		{"no reply to half a batch", batchFrame(1, "", wake)[:40], nil, "input ended"},
+		{"a truncated batch gets no reply", batchFrame(1, "", wake)[:40], nil, "input ended"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/cmd/gannetchute/main.go
+++ b/cmd/gannetchute/main.go
@@ -1,4 +1,4 @@
-// Command gannetchute is the broker.
+// Command gannetchute is the query broker and its command line.
 package main
 
 import (
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,8 @@
 	"onyxsail/decide"
 )
 
-// loadNames gives the interface's word for each value of a load report.
+// loadFields maps the simulator's name of each value of a load report to that of package
+// decide.
 var loadFields = map[string]string{
 	"outstanding":  decide.LoadHeld,
 	"backlog":      decide.LoadWaiting,
@@ -18,18 +19,20 @@
 	"errors_per_s": decide.LoadErrors,
 }
 
-// pairs reads path=value lines and remembers the first fault.
+// settingsReader converts settings, given as text by path, and keeps the first error.
 type settingsReader struct {
 	values map[string]string
 	err    error
 }
 
+// reject records that the value at path is not what is wanted, unless there is an error already.
 func (r *settingsReader) reject(path, value, want string) {
 	if r.err == nil {
 		r.err = fmt.Errorf("setting %s: got %q, want %s", path, value, want)
 	}
 }
 
+// float returns the number at path, or fallback if it is absent or invalid.
 func (r *settingsReader) float(path string, fallback float64) float64 {
 	v, ok := r.values[path]
 	if !ok || v == "" {
@@ -43,6 +46,7 @@
 	return f
 }
 
+// integer returns the whole number at path, or fallback if it is absent or invalid.
 func (r *settingsReader) integer(path string, fallback int) int {
 	f := r.float(path, float64(fallback))
 	if f != float64(int(f)) {
@@ -52,15 +56,18 @@
 	return int(f)
 }
 
+// count returns the number of items at path. More items than there are settings cannot exist,
+// so a greater number is rejected before it costs memory.
 func (r *settingsReader) count(path string) int {
 	n := r.integer(path, 0)
 	if n < 0 || n > len(r.values) {
-		r.reject(path, r.values[path], "a count of items that follow")
+		r.reject(path, r.values[path], "the count of items that the settings hold")
 		return 0
 	}
 	return n
 }
 
+// boolean returns the flag at path, false if it is absent or invalid.
 func (r *settingsReader) boolean(path string) bool {
 	switch v := r.values[path]; v {
 	case "true", "1":
@@ -72,7 +79,8 @@
 	return false
 }
 
-// each reads a comma-joined list of numbers; a missing item is def.
+// floats returns the n first numbers of the comma-separated list at path; a missing one is
+// fallback.
 func (r *settingsReader) floats(path string, n int, fallback float64) []float64 {
 	out := make([]float64, n)
 	var items []string
@@ -84,7 +92,7 @@
 		if i < len(items) {
 			f, err := strconv.ParseFloat(items[i], 64)
 			if err != nil || f != f {
-				r.reject(path, r.values[path], "numbers joined by commas")
+				r.reject(path, r.values[path], "numbers separated by commas")
 				continue
 			}
 			out[i] = f
@@ -93,6 +101,7 @@
 	return out
 }
 
+// choice returns the index of the value at path among the choices, 0 if it is absent or invalid.
 func (r *settingsReader) choice(path string, choices ...string) int {
 	v := r.values[path]
 	for i, name := range choices {
@@ -106,8 +115,8 @@
 	return 0
 }
 
-// ParseSettings reads the text of a BEGIN event. Unknown settings are ignored;
-// absent ones mean that the thing is not there.
+// ParseSettings parses the settings text of a BEGIN event, lines of path=value. Unknown settings
+// are ignored; an absent one means that the feature is off or the limit does not exist.
 func ParseSettings(text string) (decide.Settings, error) {
 	reader := &settingsReader{values: make(map[string]string)}
 	for i, line := range strings.Split(text, "\n") {
@@ -187,7 +196,7 @@
 			Fetch:      int(fetches[i]),
 		}
 		if _, present := reader.values[prefix+"idempotency"]; !present {
-			c.Effect = decide.Unsafe // nothing vouches for a repeat
+			c.Effect = decide.Unsafe // no setting says that a retry is safe
 		}
 		c.AimMs = reader.float(prefix+"objectiveMs", c.DeadlineMs)
 		s.Classes = append(s.Classes, c)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's binary frames and the
-// events and actions of package decide. It decides nothing.
+// Package wire translates between the simulator's binary frames and the events and actions of
+// package decide, and makes no decisions of its own. All numbers in a frame are little-endian.
 package wire
 
 import (
@@ -15,63 +15,66 @@
 
 // Sizes of the parts of a frame, in bytes.
 const (
-	batchHeaderSize = 20 // header of a batch
+	batchHeaderSize = 20
 	eventSize       = 56
-	replyHeaderSize = 12 // header of a reply
+	replyHeaderSize = 12
 	actionSize      = 32
-	listEntrySize   = 24 // one entry of a CENSUS
-	maxLoadValues   = 4  // values in a load report
-	listSlots       = 16 // CENSUS lists that can be known at once
+	listEntrySize   = 24 // a node in the list of a CENSUS event
+	maxLoadValues   = 4  // the count of values in a load report, not bytes
+	listSlots       = 16 // the count of numbered lists, not bytes
 )
 
-// Event codes.
+// The codes of the events, named as in the simulator's protocol.
 const (
-	eventBegin   = 1
-	eventList    = 2
-	eventCall    = 3
-	eventHeaders = 4
-	eventSettled = 5
-	eventHangup  = 6
-	eventWakeup  = 7
-	eventPong    = 8
-	eventMail    = 9
-	eventHalt    = 10
-	eventCensus  = 11
+	eventBegin   = 1  // a root starts
+	eventList    = 2  // a root receives the node list of a numbered slot
+	eventCall    = 3  // a root receives a query or a part
+	eventHeaders = 4  // the response stream of an attempt has begun
+	eventSettled = 5  // an attempt has ended
+	eventHangup  = 6  // a client has disconnected
+	eventWakeup  = 7  // a timer has fired
+	eventPong    = 8  // a probe has ended
+	eventMail    = 9  // a root receives a message of a peer
+	eventHalt    = 10 // a root stops
+	eventCensus  = 11 // fills a numbered slot with a node list, for the LIST events that follow
 )
 
-// Op says what an Item asks of the adapter.
+// Op is what the adapter must do with an Item.
 type Op uint8
 
 // The operations.
 const (
-	OpDeliver Op = iota // hand Event to the root
-	OpStart             // start the root with Settings and Seed
-	OpStop              // drop the root
+	// OpDeliver passes Event to the root.
+	OpDeliver Op = iota
+	// OpStart starts the root, anew if it runs, with Settings and Seed.
+	OpStart
+	// OpStop stops the root.
+	OpStop
 )
 
-// Item is one thing in a batch, for one root.
+// Item is one decoded event of a batch, for one root.
 type Item struct {
 	Op       Op
 	Root     uint32
-	Event    decide.Event
-	Settings decide.Settings
-	Seed     uint64
+	Event    decide.Event    // for OpDeliver
+	Settings decide.Settings // for OpStart
+	Seed     uint64          // for OpStart
 }
 
 // Batch is one decoded frame.
 type Batch struct {
-	Now   float64
-	Seq   uint32
+	Now   float64 // the simulator's clock, in milliseconds
+	Seq   uint32  // the number that the reply must repeat
 	Items []Item
 }
 
-// Decoder reads batches. It keeps the numbered lists between them.
+// Decoder reads batches. It keeps the node lists of the numbered slots between them.
 type Decoder struct {
 	r      io.Reader
 	buf    bytes.Buffer
 	lists  [listSlots][]decide.Member
 	filled [listSlots]bool
-	loads  []float64
+	loads  []float64 // the storage of the current batch's load reports
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -82,13 +85,13 @@
 func readFloat64(b []byte) float64 { return math.Float64frombits(le.Uint64(b)) }
 func readFloat32(b []byte) float64 { return float64(math.Float32frombits(le.Uint32(b))) }
 
-// addr reads four address bytes and a port.
+// readAddr reads an IPv4 address of four bytes and a port of two.
 func readAddr(b []byte) decide.Addr {
 	return decide.Addr(uint64(le.Uint32(b)) | uint64(le.Uint16(b[4:]))<<32)
 }
 
-// Next reads one batch into b, whose slices are reused. It returns io.EOF at a
-// clean end of input.
+// Next reads one batch into b, whose slices are reused. It returns io.EOF if the input ends
+// between two batches.
 func (d *Decoder) Next(b *Batch) error {
 	d.buf.Reset()
 	if n, err := io.CopyN(&d.buf, d.r, batchHeaderSize); err != nil {
@@ -97,9 +100,9 @@
 		}
 		return truncated("batch header", n, batchHeaderSize, err)
 	}
-	h := d.buf.Bytes()
-	count, size := le.Uint32(h), le.Uint32(h[4:])
-	b.Now, b.Seq = readFloat64(h[8:]), le.Uint32(h[16:])
+	header := d.buf.Bytes()
+	count, size := le.Uint32(header), le.Uint32(header[4:])
+	b.Now, b.Seq = readFloat64(header[8:]), le.Uint32(header[16:])
 	if want := batchHeaderSize + uint64(count)*eventSize; uint64(size) < want {
 		return fmt.Errorf("batch %d: length %d, want at least %d for %d records", b.Seq, size, want, count)
 	}
@@ -121,6 +124,7 @@
 	return nil
 }
 
+// truncated returns the error for a read that ended after got of want bytes.
 func truncated(what string, got, want int64, err error) error {
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 		return fmt.Errorf("%s: input ended after %d bytes, want %d", what, got, want)
@@ -128,15 +132,17 @@
 	return fmt.Errorf("%s: %w", what, err)
 }
 
-// span returns the piece of the tail that an offset and a length name.
+// tailRange returns the part of the tail that the field gives, as an offset in bytes and a
+// length in units.
 func tailRange(tail, field []byte, unit uint64) ([]byte, error) {
-	off, n := uint64(le.Uint32(field)), uint64(le.Uint32(field[4:]))*unit
-	if off+n > uint64(len(tail)) {
-		return nil, fmt.Errorf("tail range %d+%d, want within %d bytes", off, n, len(tail))
+	offset, length := uint64(le.Uint32(field)), uint64(le.Uint32(field[4:]))*unit
+	if offset+length > uint64(len(tail)) {
+		return nil, fmt.Errorf("tail range %d+%d, want within %d bytes", offset, length, len(tail))
 	}
-	return tail[off : off+n], nil
+	return tail[offset : offset+length], nil
 }
 
+// decodeRecord decodes one record and appends its item to b, unless it is a CENSUS.
 func (d *Decoder) decodeRecord(b *Batch, record, tail []byte) error {
 	item := Item{Root: le.Uint32(record[1:])}
 	event := &item.Event
@@ -172,7 +178,7 @@
 		}
 		if event.List != decide.ListFailed {
 			if slot >= listSlots || !d.filled[slot] {
-				return fmt.Errorf("list slot %d, want one that a census has filled", slot)
+				return fmt.Errorf("list slot %d, want one that a CENSUS event has filled", slot)
 			}
 			event.Members = d.lists[slot]
 		}
@@ -182,7 +188,7 @@
 		event.LeftMs, event.WorkMs, event.Number = readFloat64(record[24:]), readFloat64(record[32:]), readFloat32(record[40:])
 		shard, measure := readFloat32(record[44:]), readFloat32(record[48:])
 		if !(event.LeftMs >= -1e12 && event.LeftMs <= 1e12) || !(shard > -1e9 && shard < 1e9) || !(measure > -1e9 && measure < 1e9) {
-			return fmt.Errorf("call %d: time left, shard or measure is not a plausible number", event.ID)
+			return fmt.Errorf("call %d: time left, shard or measure is out of range or not a number", event.ID)
 		}
 		if shard >= 0 {
 			event.Kind, event.Shard, event.Weight = decide.PartCame, int(shard), measure
@@ -220,37 +226,39 @@
 	return err
 }
 
+// decodeCensus decodes a node list into its slot.
 func (d *Decoder) decodeCensus(record, tail []byte) error {
 	slot := le.Uint16(record[1:])
 	if slot >= listSlots {
-		return fmt.Errorf("census slot %d, want 0 to %d", slot, listSlots-1)
+		return fmt.Errorf("CENSUS slot %d, want 0 to %d", slot, listSlots-1)
 	}
 	list, err := tailRange(tail, record[3:], listEntrySize)
 	if err != nil {
 		return err
 	}
-	members := make([]decide.Member, 0, len(list)/listEntrySize) // events may hold the old one
+	members := make([]decide.Member, 0, len(list)/listEntrySize) // a new slice, since earlier events of the batch may refer to the old one
 	for ; len(list) > 0; list = list[listEntrySize:] {
-		m := decide.Member{
+		member := decide.Member{
 			Addr: readAddr(list), Zone: int(le.Uint16(list[6:])), Kind: int(list[8]),
 			Cell: int(le.Uint16(list[9:])), Size: readFloat32(list[12:]), ReadyAt: readFloat64(list[16:]),
 		}
 		switch list[11] {
 		case 1:
-			m.State = decide.Ready
+			member.State = decide.Ready
 		case 2:
-			m.State = decide.Gone
+			member.State = decide.Gone
 		case 3:
-			m.State = decide.Draining
+			member.State = decide.Draining
 		default:
-			return fmt.Errorf("census slot %d: state %d, want 1 to 3", slot, list[11])
+			return fmt.Errorf("CENSUS slot %d: state %d, want 1 to 3", slot, list[11])
 		}
-		members = append(members, m)
+		members = append(members, member)
 	}
 	d.lists[slot], d.filled[slot] = members, true
 	return nil
 }
 
+// parseOutcome maps an outcome code, which resembles an HTTP status, to an outcome.
 func parseOutcome(code uint16) (decide.Outcome, error) {
 	switch code {
 	case 200:
@@ -273,6 +281,7 @@
 	return 0, fmt.Errorf("outcome code %d, want 200, 410, 499, 500, 502, 503, 504 or 598", code)
 }
 
+// appendLoad appends the values of a load report to d.loads and returns them.
 func (d *Decoder) appendLoad(report []byte) ([]float64, error) {
 	n := int(report[0])
 	if n > maxLoadValues {
@@ -285,13 +294,13 @@
 	return d.loads[start:len(d.loads):len(d.loads)], nil
 }
 
-// Encoder builds one reply. It is reset by Bytes.
+// Encoder builds one reply at a time. Bytes ends a reply, and the next Add begins another.
 type Encoder struct {
 	records, tail []byte
 	count         uint32
 }
 
-// Action codes, by kind of action.
+// actionCodes has the code of each kind of action.
 var actionCodes = [...]byte{
 	decide.Send:      65,
 	decide.Refuse:    66,
@@ -307,7 +316,7 @@
 	decide.Answer:    77,
 }
 
-// Add appends an action of a root.
+// Add appends an action of a root to the reply.
 func (e *Encoder) Add(root uint32, a decide.Action) {
 	if e.count == 0 {
 		e.records = append(e.records[:0], make([]byte, replyHeaderSize)...)
@@ -349,6 +358,7 @@
 	e.count++
 }
 
+// boolByte returns 1 for true and 0 for false.
 func boolByte(b bool) byte {
 	if b {
 		return 1
@@ -356,19 +366,21 @@
 	return 0
 }
 
+// putAddr writes an IPv4 address of four bytes and a port of two.
 func putAddr(field []byte, a decide.Addr) {
 	le.PutUint32(field, uint32(a))
 	le.PutUint16(field[4:], uint16(a>>32))
 }
 
-func (e *Encoder) putText(field []byte, s string) {
+// putText appends the text to the tail and writes its offset and length to the field.
+func (e *Encoder) putText(field []byte, text string) {
 	le.PutUint32(field, uint32(len(e.tail)))
-	le.PutUint32(field[4:], uint32(len(s)))
-	e.tail = append(e.tail, s...)
+	le.PutUint32(field[4:], uint32(len(text)))
+	e.tail = append(e.tail, text...)
 }
 
-// Bytes returns the reply to batch seq and resets the Encoder. The slice is
-// valid until the next Add.
+// Bytes returns the reply to batch seq and resets the Encoder. The slice is valid until the
+// next call of Add or Bytes.
 func (e *Encoder) Bytes(seq uint32) []byte {
 	if e.count == 0 {
 		e.records = append(e.records[:0], make([]byte, replyHeaderSize)...)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,9 +10,10 @@
 	"onyxsail/decide"
 )
 
-// zeros is n zero bytes in hex.
+// hexZeros returns n zero bytes in hex.
 func hexZeros(n int) string { return strings.Repeat("00", n) }
 
+// fromHex decodes the parts, hex digits with spaces, to one slice.
 func fromHex(t *testing.T, parts ...string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
@@ -22,7 +23,7 @@
 	return b
 }
 
-// withHead puts a header before records (hex) and a tail (hex).
+// batchFrame returns a frame of records and a tail, both in hex, after a header for them.
 func batchFrame(t *testing.T, records int, rest ...string) []byte {
 	t.Helper()
 	body := fromHex(t, rest...)
@@ -32,12 +33,16 @@
 	return append(b, body...)
 }
 
+// The records of three events, in hex, without their padding.
 const (
 	callRecord   = "03 03000000 c4913a5dcb1f0800 00 0000 640ad2557c3bf091 0000000000006e40 0000000000002840 00005643 00000000 0000003e 01 000000"
 	wakeupRecord = "07 03000000 4d00000000000000"
 	hangupRecord = "06 05000000 192b6f0e15020100"
 )
 
+// A batch follows the last one without a separator, so a wrong length would shift all that
+// follow. The fields of each record must arrive in its event, and the end of the input between
+// two batches must be io.EOF.
 func TestDecodeReadsConsecutiveBatches(t *testing.T) {
 	in := append(fromHex(t, "00000000 14000000 00000000206ec040 01000000"),
 		fromHex(t, "03000000 bc000000 00000000206ec040 0c000000", callRecord, wakeupRecord, hexZeros(43), hangupRecord, hexZeros(43))...)
@@ -61,10 +66,12 @@
 		t.Errorf("hangup: %+v", it)
 	}
 	if err := d.Next(&b); err != io.EOF {
-		t.Errorf("at the end: %v, want io.EOF", err)
+		t.Errorf("at the end of input: %v, want io.EOF", err)
 	}
 }
 
+// The outcome, attempt and load report of a SETTLED event are at unaligned offsets, which must
+// be read as the simulator writes them.
 func TestDecodeReadsAttemptOutcomeAndLoad(t *testing.T) {
 	record := "05 03000000 c4913a5dcb1f0800 0000000000803240 01 0a124a07 5b1b 0100 f401 02 0000803f 00000040 00000000 00000000" + hexZeros(7)
 	var b Batch
@@ -78,6 +85,8 @@
 	}
 }
 
+// A CENSUS event may refill a slot within the batch whose earlier LIST event refers to it: the earlier event
+// must keep the list that the slot had then.
 func TestRefillingAListSlotKeepsTheListOfEarlierEvents(t *testing.T) {
 	one := "0a124a07 5b1b 0000 00 0000 01 0000803f 0000000000000000"
 	two := "0a9011f2 841b 0100 02 0300 03 0000c03f 0000000000d4b740"
@@ -95,6 +104,8 @@
 	}
 }
 
+// Input that is truncated, inconsistent or out of range must give a one-line error that says
+// what was got and wanted, and must not panic or be taken for the end of input.
 func TestDecodeRejectsMalformedFrames(t *testing.T) {
 	tests := []struct {
 		name, want string
@@ -103,17 +114,17 @@
 		{"half a header", "batch header: input ended after 3 bytes, want 20", []byte{1, 0, 0}},
 		{"truncated body", "input ended after 20 bytes, want 76", fromHex(t, "01000000 4c000000", hexZeros(12))},
 		{"length too short", "want at least 76 for 1 records", fromHex(t, "01000000 14000000", hexZeros(12))},
-		{"more records than any frame", "want at least", fromHex(t, "ffffffff 14000000", hexZeros(12))},
+		{"more records than a frame can hold", "want at least", fromHex(t, "ffffffff 14000000", hexZeros(12))},
 		{"unknown event", "event code 99", batchFrame(t, 1, "63", hexZeros(55))},
 		{"tail out of range", "tail range 4+8, want within 2 bytes", batchFrame(t, 1, "09 03000000 0000 04000000 08000000", hexZeros(41), "6869")},
 		{"begin out of range", "tail range", batchFrame(t, 1, "01 03000000", hexZeros(8), "ffffffff ffffffff", hexZeros(35))},
-		{"bad setting", `setting tickMs: got "x", want a number`, batchFrame(t, 1, "01 03000000", hexZeros(8), "00000000 08000000", hexZeros(35), hex.EncodeToString([]byte("tickMs=x")))},
+		{"invalid setting", `setting tickMs: got "x", want a number`, batchFrame(t, 1, "01 03000000", hexZeros(8), "00000000 08000000", hexZeros(35), hex.EncodeToString([]byte("tickMs=x")))},
 		{"setting without value", "want path=value", batchFrame(t, 1, "01 03000000", hexZeros(8), "00000000 02000000", hexZeros(35), "6869")},
 		{"unknown outcome", "outcome code 418", batchFrame(t, 1, "05 03000000", hexZeros(25), "a201", hexZeros(24))},
 		{"oversized load", "load report of 5 values", batchFrame(t, 1, "05 03000000", hexZeros(25), "c800 05", hexZeros(23))},
 		{"unknown list kind", "list kind 9", batchFrame(t, 1, "02 03000000 09", hexZeros(50))},
 		{"unfilled slot", "list slot 2", batchFrame(t, 1, "02 03000000 00", hexZeros(8), "0200", hexZeros(40))},
-		{"census slot", "census slot 16", batchFrame(t, 1, "0b 1000", hexZeros(53))},
+		{"CENSUS slot out of range", "CENSUS slot 16", batchFrame(t, 1, "0b 1000", hexZeros(53))},
 		{"member state", "state 7", batchFrame(t, 1, "0b 0000 00000000 01000000", hexZeros(45), hexZeros(11), "07", hexZeros(12))},
 	}
 	for _, test := range tests {
@@ -127,6 +138,8 @@
 	}
 }
 
+// The simulator reads replies by offset: each kind of action must be encoded byte for byte, and
+// texts must go to the tail with their offset and length.
 func TestEncodeWritesEachKindOfAction(t *testing.T) {
 	var w Encoder
 	if got, want := w.Bytes(1), fromHex(t, "0c000000 00000000 01000000"); !bytes.Equal(got, want) {
@@ -163,6 +176,8 @@
 	}
 }
 
+// A setting that is not given must have its default: no capability, no budget, one root, one cell,
+// and a class's own defaults. Unknown settings must be ignored.
 func TestParseSettingsReadsClassesAndDefaults(t *testing.T) {
 	s, err := ParseSettings("classes.count=2\nclasses.0.objectiveMs=30\nclasses.0.idempotency=keyed\nclasses.1.deadlineMs=9\n" +
 		"classes.1.idempotency=unsafe\ndomain.needByClass=0.75,1.0\nunknown.thing=7\ncaps.cancel=true\nreport.fields=backlog,recent_ms\n")
@@ -178,6 +193,7 @@
 	}
 }
 
+// No input may panic the decoder or make it return more items than the input has room for.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{0, 0, 0, 0, 20, 0, 0, 0, 0, 0, 0, 0, 0x20, 0x6e, 0xc0, 0x40, 1, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, in []byte) {
