--- a/admin/admin.go
+++ b/admin/admin.go
@@ -26,7 +26,7 @@
 	maxConnections = 16
 	// callTimeout is how long a caller may take to send its call, and to read the response.
 	callTimeout    = 5 * time.Second
-	maxHeaderBytes = 4 << 10 // bytes
+	maxHeaderBytes = 4 << 10
 	// metricPrefix begins the name of each metric.
 	metricPrefix = "edge_node."
 )
--- a/cli/addresses.go
+++ b/cli/addresses.go
@@ -57,8 +57,8 @@
 }
 
 // addresses returns a broker's view of the addresses of its nodes, by node id.
-func (r *brokerClient) addresses(ctx context.Context) (map[string][]reach.View, error) {
-	addr, err := r.address()
+func (c *brokerClient) addresses(ctx context.Context) (map[string][]reach.View, error) {
+	addr, err := c.address()
 	if err != nil {
 		return nil, err
 	}
--- a/cli/ci_test.go
+++ b/cli/ci_test.go
@@ -18,7 +18,7 @@
 		return name + "; go test -run " + name + " ./...; none; red; a; issue 1\n"
 	}
 	for _, c := range []struct {
-		name, list, pattern, fault string
+		name, list, pattern, wantErr string
 	}{
 		{"an empty list", "", "", ""},
 		{"one test", good, "^(TestKnownRedListIsValidated)$\n", ""},
@@ -38,7 +38,7 @@
 		var out, errs strings.Builder
 		cmd.Stdout, cmd.Stderr = &out, &errs
 		err := cmd.Run()
-		if out.String() != c.pattern || (err != nil) != (c.fault != "") || !strings.Contains(errs.String(), c.fault) {
+		if out.String() != c.pattern || (err != nil) != (c.wantErr != "") || !strings.Contains(errs.String(), c.wantErr) {
 			t.Errorf("%s: %q, %v, %s", c.name, out.String(), err, errs.String())
 		}
 		if c.pattern != "" && !strings.Contains(errs.String(), "known red: TestKnownRedListIsValidated; go test -run TestKnownRedListIsValidated ./cli; 7; it was red; a cause in words") {
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -217,9 +217,9 @@
 	good := testkit.WriteFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), nil))
 	bad := testkit.WriteFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), map[string]any{"listen": "x"}))
 	for _, c := range []struct {
-		args []string
-		code int
-		says string
+		args       []string
+		code       int
+		wantOutput string
 	}{
 		{[]string{"version"}, 0, "gannetchute "},
 		{[]string{"check-config", "--config", good}, 0, "ok (4 classes, 18 shards)"},
@@ -229,7 +229,7 @@
 		{[]string{"config", "set", "--addr", "127.0.0.1:1", "open"}, 1, "FIELD=VALUE"},
 		{[]string{"dance"}, 1, "unknown command"},
 	} {
-		if code, out, errs := runCLI(c.args...); code != c.code || !strings.Contains(out+errs, c.says) {
+		if code, out, errs := runCLI(c.args...); code != c.code || !strings.Contains(out+errs, c.wantOutput) {
 			t.Errorf("%q: exit %d, %s%s", c.args, code, out, errs)
 		}
 	}
@@ -269,8 +269,8 @@
 	for i := range names {
 		testkit.Eventually(t, "each instance has the last write", has(i, `"max_open": 102`))
 	}
-	for _, c := range []struct{ arg, says string }{{"max_open=-1", "max_open"}, {"colour=red", "colour"}, {"log_level=loud", "log_level"}} {
-		if code, _, errs := runCLI("config", "set", "--addr", flightAddr(0), c.arg); code == 0 || !strings.Contains(errs, c.says) {
+	for _, c := range []struct{ arg, wantError string }{{"max_open=-1", "max_open"}, {"colour=red", "colour"}, {"log_level=loud", "log_level"}} {
+		if code, _, errs := runCLI("config", "set", "--addr", flightAddr(0), c.arg); code == 0 || !strings.Contains(errs, c.wantError) {
 			t.Errorf("%s: exit %d, %s", c.arg, code, errs)
 		}
 	}
--- a/cli/kill_test.go
+++ b/cli/kill_test.go
@@ -36,7 +36,7 @@
 
 // SIGKILL may follow SIGTERM as early as after the longest deadline, counted as 3 s at most,
 // plus 0.7 s. Every accepted request must be answered by then, even if the nodes hang: one
-// accepted before SIGTERM, one sent after it on a kept connection, and one whose body is
+// accepted before SIGTERM, one sent after it on a keep-alive connection, and one whose body is
 // complete only when little time is left.
 func TestAcceptedRequestsAreAnsweredBeforeTheEarliestKill(t *testing.T) {
 	for _, c := range []struct {
@@ -57,7 +57,7 @@
 			listen := freeAddr(t)
 			p := startDeployed(t, testkit.Config(d.Addr, []testkit.Entry{n.Entry()}, settingsWithDeadline(c.deadline), map[string]any{"hand_over_ms": 550}), listen)
 			testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
-			conn, half := openKeptConn(t, listen), openKeptConn(t, listen)
+			conn, half := openKeepAlive(t, listen), openKeepAlive(t, listen)
 			terminate := func() {
 				if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
@@ -92,41 +92,41 @@
 // rawClient is an HTTP client that writes its requests to the connection itself, as text.
 type rawClient struct {
 	net.Conn
-	in *bufio.Reader
+	reader *bufio.Reader
 }
 
 // newRawClient returns a client on the connection c.
-func newRawClient(c net.Conn) *rawClient { return &rawClient{c, bufio.NewReader(c)} }
+func newRawClient(conn net.Conn) *rawClient { return &rawClient{conn, bufio.NewReader(conn)} }
 
-// openKeptConn connects to addr and completes one request, so that the connection is one that
-// the broker keeps.
-func openKeptConn(t *testing.T, addr string) *rawClient {
+// openKeepAlive connects to addr and completes one request on the connection, which the broker
+// then keeps open.
+func openKeepAlive(t *testing.T, addr string) *rawClient {
 	t.Helper()
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	p := newRawClient(c)
-	p.send(t, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-	p.readResponse(t, time.Now().Add(5*time.Second))
-	return p
+	t.Cleanup(func() { conn.Close() })
+	client := newRawClient(conn)
+	client.send(t, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+	client.readResponse(t, time.Now().Add(5*time.Second))
+	return client
 }
 
-func (p *rawClient) send(t *testing.T, text string) {
+func (c *rawClient) send(t *testing.T, text string) {
 	t.Helper()
-	if _, err := io.WriteString(p, text); err != nil {
+	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
 }
 
 // readResponse reads one response and fails the test if it is not complete at the time by.
-func (p *rawClient) readResponse(t *testing.T, by time.Time) *http.Response {
+func (c *rawClient) readResponse(t *testing.T, by time.Time) *http.Response {
 	t.Helper()
-	if err := p.SetReadDeadline(by); err != nil {
+	if err := c.SetReadDeadline(by); err != nil {
 		t.Fatal(err)
 	}
-	res, err := http.ReadResponse(p.in, nil)
+	res, err := http.ReadResponse(c.reader, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, res.Body)
 	}
--- a/cli/operate.go
+++ b/cli/operate.go
@@ -26,7 +26,7 @@
 	for _, spec := range []struct{ name, short, method, path string }{
 		{"ready", "Check whether a broker accepts clients", http.MethodGet, admin.ReadyPath},
 		{"metrics", "Print a broker's metrics", http.MethodGet, admin.MetricsPath},
-		{"drain", "Start draining a broker's clients", http.MethodPost, admin.DrainPath},
+		{"drain", "Start draining a broker", http.MethodPost, admin.DrainPath},
 		{"resume", "End the drain of a broker", http.MethodPost, admin.ResumePath},
 	} {
 		var console string
--- a/cli/operate_test.go
+++ b/cli/operate_test.go
@@ -104,7 +104,7 @@
 		defer c.Close()
 		_, _ = io.WriteString(c, "POST /-/drain HTTP/1.1\r\nHost: a\r\n\r\n"[:2*i]) // fails if the broker has closed the connection
 	}
-	idle, used := openKeptConn(t, listen), openKeptConn(t, listen)
+	idle, used := openKeepAlive(t, listen), openKeepAlive(t, listen)
 	ask := func(id string) *http.Response {
 		used.send(t, queryRequest(id, 3*time.Second))
 		return used.readResponse(t, time.Now().Add(4*time.Second))
@@ -149,20 +149,20 @@
 	}
 	for name, c := range map[string]*rawClient{"idle": idle, "used": used} {
 		_ = c.SetReadDeadline(time.Now().Add(drainTimeout))
-		if _, err := c.in.ReadByte(); !errors.Is(err, io.EOF) {
+		if _, err := c.reader.ReadByte(); !errors.Is(err, io.EOF) {
 			t.Errorf("the %s connection is still open: %v", name, err)
 		}
 	}
-	late := openKeptConn(t, listen) // the front may not have polled the readiness path yet
+	late := openKeepAlive(t, listen) // the front may not have polled the readiness path yet
 	_ = late.SetReadDeadline(time.Now().Add(drainTimeout))
-	if _, err := late.in.ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := late.reader.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("a connection opened during the drain is still open: %v", err)
 	}
 	if status, text := callAdmin(console, http.MethodPost, "/-/resume"); status/100 != 2 {
 		t.Fatalf("resume: %d, %s", status, text)
 	}
 	eventuallyWithin(t, resumeTimeout, "the readiness path reports ready", func() bool { return isReady(listen) })
-	back := openKeptConn(t, listen)
+	back := openKeepAlive(t, listen)
 	back.send(t, queryRequest("d", 3*time.Second))
 	if res := back.readResponse(t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK || res.Close {
 		t.Errorf("after the drain: status %d, closes the connection: %v", res.StatusCode, res.Close)
@@ -207,7 +207,7 @@
 		return strings.NewReplacer("/screen", "/"+class, "X-Class: screen", "X-Class: "+class).Replace(queryRequest(id, 3*time.Second))
 	}
 	ask := func(class, id string) int {
-		c := openKeptConn(t, listen)
+		c := openKeepAlive(t, listen)
 		defer c.Close()
 		c.send(t, requestOf(class, id))
 		return c.readResponse(t, time.Now().Add(4*time.Second)).StatusCode
@@ -218,7 +218,7 @@
 		<-release
 		return testkit.Done
 	})
-	inFlight := openKeptConn(t, listen)
+	inFlight := openKeepAlive(t, listen)
 	inFlight.send(t, requestOf("quote", "kept"))
 	<-arrived
 	reload(configFor(settings(1, "bulk", "screen")))
@@ -279,7 +279,7 @@
 }
 
 // A second process starts beside the first and takes over its address. Clients must lose no
-// query on kept and on new connections, and both processes must share one limit of descriptors.
+// query on keep-alive and on new connections, and both processes must share one limit of descriptors.
 func TestProcessReplacementLosesNoQuery(t *testing.T) {
 	const sockets = 256
 	n := testkit.NewNode(t, "s-1", false)
@@ -329,7 +329,7 @@
 		upgrades = n
 	}
 	for i := range upgrades {
-		slow, resting := openKeptConn(t, listen), openKeptConn(t, listen)
+		slow, resting := openKeepAlive(t, listen), openKeepAlive(t, listen)
 		text := queryRequest(fmt.Sprint("slow", i), 3*time.Second)
 		slow.send(t, text[:len(text)/2])
 		began := time.Now()
@@ -391,7 +391,7 @@
 		return 0, true, err
 	}
 	_ = (*conn).SetReadDeadline(time.Now().Add(4 * time.Second)) // if the connection has ended this fails, and so does the read
-	res, err := http.ReadResponse((*conn).in, nil)
+	res, err := http.ReadResponse((*conn).reader, nil)
 	if err != nil {
 		return 0, true, err
 	}
--- a/cli/remote.go
+++ b/cli/remote.go
@@ -33,16 +33,17 @@
 	addr       string // the flag --addr, "" without it
 }
 
-func (r *brokerClient) addAddrFlag(cmd *cobra.Command) *cobra.Command {
-	cmd.Flags().StringVar(&r.addr, "addr", "", "the broker's Flight address (default: flight.listen of the configuration)")
+func (c *brokerClient) addAddrFlag(cmd *cobra.Command) *cobra.Command {
+	cmd.Flags().StringVar(&c.addr, "addr", "", "the broker's Flight address (default: flight.listen of the configuration)")
 	return cmd
 }
 
-func (r *brokerClient) address() (string, error) {
-	if r.addr != "" {
-		return r.addr, nil
+// address returns the Flight address to call: that of --addr, else the configuration's.
+func (c *brokerClient) address() (string, error) {
+	if c.addr != "" {
+		return c.addr, nil
 	}
-	cfg, err := config.Load(*r.configPath, os.Getenv)
+	cfg, err := config.Load(*c.configPath, os.Getenv)
 	if err != nil {
 		return "", fmt.Errorf("no --addr, and the configuration cannot be loaded: %w", err)
 	}
@@ -54,8 +55,8 @@
 
 // runAction runs a Flight action and prints its JSON result, indented. If a follower
 // answers with the leader's address, the action is run there instead.
-func (r *brokerClient) runAction(cmd *cobra.Command, action string, body []byte) error {
-	addr, err := r.address()
+func (c *brokerClient) runAction(cmd *cobra.Command, action string, body []byte) error {
+	addr, err := c.address()
 	if err != nil {
 		return err
 	}
--- a/cli/soak_test.go
+++ b/cli/soak_test.go
@@ -262,7 +262,7 @@
 // closes it, and abandons some of them.
 func (s *soakRun) client(c int, rng *rand.Rand, done <-chan struct{}) {
 	var conn net.Conn
-	var in *bufio.Reader
+	var reader *bufio.Reader
 	var opened time.Time
 	ordinal := 0
 	for i := 0; ; i++ {
@@ -282,7 +282,7 @@
 			if conn, err = net.Dial("tcp", s.listen); err != nil {
 				return // the listener is closed
 			}
-			in, ordinal, opened = bufio.NewReader(conn), 0, time.Now()
+			reader, ordinal, opened = bufio.NewReader(conn), 0, time.Now()
 		}
 		ordinal++
 		r := &soakRequest{id: fmt.Sprintf("c%d-%d", c, i), keyed: rng.IntN(3) == 0, ordinal: ordinal, opened: opened, timeout: s.deadline * time.Duration(60+rng.IntN(41)) / 100}
@@ -303,7 +303,7 @@
 		} else {
 			_ = conn.SetReadDeadline(r.sent.Add(r.timeout + time.Second))
 			var res *http.Response
-			if res, r.err = http.ReadResponse(in, nil); r.err == nil {
+			if res, r.err = http.ReadResponse(reader, nil); r.err == nil {
 				closing = res.Close
 				if _, r.err = io.Copy(io.Discard, res.Body); r.err == nil {
 					r.status = res.StatusCode
--- a/cli/start_test.go
+++ b/cli/start_test.go
@@ -101,7 +101,7 @@
 		}
 		return all
 	}
-	oldList, newList := list("old", nodeServers[:4]), list("young", nodeServers[4:])
+	oldList, newList := list("old", nodeServers[:4]), list("new", nodeServers[4:])
 	d := testkit.NewDiscovery(t, oldList...)
 	settings := testkit.Settings(func(s map[string]any) {
 		s["balancers"] = 1024
--- a/cli/trace.go
+++ b/cli/trace.go
@@ -41,6 +41,7 @@
 	warnings    io.Writer
 }
 
+// addFilterFlags adds the flags that select traces, and --addr.
 func (s *traceSource) addFilterFlags(cmd *cobra.Command) *cobra.Command {
 	s.brokerClient.addAddrFlag(cmd)
 	flags := cmd.Flags()
@@ -48,7 +49,7 @@
 	flags.StringVar(&s.reason, "reason", "", "only queries with one of these reasons, joined by + ("+strings.Join(record.AllReasons(), ", ")+")")
 	flags.StringVar(&s.node, "node", "", "only queries with an attempt at this node")
 	flags.DurationVar(&s.minDuration, "longer", 0, "only queries that took at least this long")
-	flags.BoolVar(&s.onlyBad, "bad", false, "only queries with a reason besides asked and usual")
+	flags.BoolVar(&s.onlyBad, "bad", false, "only bad queries: those with a reason besides asked and usual")
 	flags.BoolVar(&s.asJSON, "json", false, "print JSON, one object per line")
 	return cmd
 }
@@ -65,6 +66,7 @@
 	return cmd
 }
 
+// filter returns the filter that the flags give, with times relative to now.
 func (s *traceSource) filter(now time.Time) (record.Filter, error) {
 	filter := record.Filter{Class: s.class, Node: s.node, Longer: int64(s.minDuration), Bad: s.onlyBad, Limit: s.limit}
 	if err := filter.Reason.UnmarshalText([]byte(s.reason)); err != nil {
@@ -100,6 +102,8 @@
 	return traces, err
 }
 
+// readSpool returns the matching traces of the spool directory and, with --open, those of its
+// open queries, marked as interrupted.
 func (s *traceSource) readSpool(filter record.Filter) ([]*record.Trace, error) {
 	if _, err := os.Stat(s.spoolDir); err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
@@ -108,8 +112,8 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, file := range damaged {
-		fmt.Fprintf(s.warnings, "%s: %v\n", file.File, file.Err)
+	for _, damage := range damaged {
+		fmt.Fprintf(s.warnings, "%s: %v\n", damage.File, damage.Err)
 	}
 	if !s.includeOpen {
 		return traces, nil
@@ -172,6 +176,7 @@
 	}
 }
 
+// printJSON writes v to w as one line of JSON.
 func printJSON(w io.Writer, v any) error {
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		return fmt.Errorf("printing: %w", err)
--- a/cli/upgrade_test.go
+++ b/cli/upgrade_test.go
@@ -54,7 +54,7 @@
 	c := newRawClient(conn)
 	c.send(d.t, queryRequest(id, 3*time.Second))
 	if res := c.readResponse(d.t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK {
-		d.t.Errorf("%s: %d", id, res.StatusCode)
+		d.t.Errorf("%s: status %d", id, res.StatusCode)
 	}
 }
 
@@ -76,7 +76,7 @@
 		next := startDeployed(t, d.cfg, d.listen, "TMPDIR="+d.tempDir, "NODE_CONSOLE="+freeAddr(t))
 		kill(next)
 		_ = next.cmd.Wait()
-		d.checkServed(fmt.Sprint("young", round))
+		d.checkServed(fmt.Sprint("round", round))
 	}
 	next, _ := d.start()
 	_ = next.cmd.Process.Kill()
@@ -97,7 +97,7 @@
 	}
 	d := newDeployment(t, settings(), nil)
 	first, _ := d.start()
-	held := openKeptConn(t, d.listen)
+	held := openKeepAlive(t, d.listen)
 	release := make(chan bool)
 	d.node.Work(func(testkit.Call) string {
 		<-release
@@ -113,7 +113,7 @@
 	_ = second.cmd.Process.Signal(syscall.SIGTERM)
 	close(release)
 	if res := held.readResponse(t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK {
-		t.Errorf("the held query: %d", res.StatusCode)
+		t.Errorf("the held query: status %d", res.StatusCode)
 	}
 	for i := range 20 {
 		d.checkServed(fmt.Sprint("third", i))
