--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -14,15 +14,19 @@
 	"github.com/rs/zerolog"
 )
 
-type fake struct{ ready, away atomic.Bool }
+// fakeBroker is a Broker whose readiness the test sets.
+type fakeBroker struct{ ready, draining atomic.Bool }
 
-func (f *fake) Ready() bool        { return f.ready.Load() }
-func (f *fake) SendAway(away bool) { f.away.Store(away) }
-func (f *fake) Figures() []Figure  { return []Figure{{"fulfilled.screen", 812}, {"open_requests", 14}} }
+func (f *fakeBroker) Ready() bool               { return f.ready.Load() }
+func (f *fakeBroker) SetDraining(draining bool) { f.draining.Store(draining) }
+func (f *fakeBroker) Metrics() []Metric {
+	return []Metric{{"fulfilled.screen", 812}, {"open_requests", 14}}
+}
 
-func serve(t *testing.T) (*fake, string) {
+// startServer serves a fake broker and returns it with the address of its admin port.
+func startServer(t *testing.T) (*fakeBroker, string) {
 	t.Helper()
-	f := &fake{}
+	f := &fakeBroker{}
 	s, err := Listen("127.0.0.1:0", f, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -31,37 +35,40 @@
 	return f, s.Addr().String()
 }
 
-func TestCalls(t *testing.T) {
-	f, addr := serve(t)
+// Each call must reach the broker, and a repeated drain or resume must change nothing. A broker
+// that is not ready must give a StatusError, which the command line turns into a failure.
+func TestCallsReportReadinessAndMetricsAndSetDraining(t *testing.T) {
+	broker, addr := startServer(t)
 	call := func(method, path string) (string, error) { return Call(context.Background(), addr, method, path) }
-	var refused *RefusedError
-	if _, err := call(http.MethodGet, ReadyPath); !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable {
-		t.Errorf("not ready: %v", err)
+	var statusErr *StatusError
+	if _, err := call(http.MethodGet, ReadyPath); !errors.As(err, &statusErr) || statusErr.Status != http.StatusServiceUnavailable {
+		t.Errorf("broker that is not ready: %v, want status 503", err)
 	}
-	f.ready.Store(true)
+	broker.ready.Store(true)
 	if _, err := call(http.MethodGet, ReadyPath); err != nil {
-		t.Errorf("ready: %v", err)
+		t.Errorf("broker that is ready: %v", err)
 	}
 	if text, err := call(http.MethodGet, MetricsPath); err != nil || text != "edge_node.fulfilled.screen=812\nedge_node.open_requests=14\n" {
 		t.Errorf("metrics: %q, %v", text, err)
 	}
-	for _, away := range []bool{true, true, false, false} {
+	for _, draining := range []bool{true, true, false, false} {
 		path := ResumePath
-		if away {
+		if draining {
 			path = DrainPath
 		}
-		if _, err := call(http.MethodPost, path); err != nil || f.away.Load() != away {
-			t.Errorf("%s: away %v, %v", path, f.away.Load(), err)
+		if _, err := call(http.MethodPost, path); err != nil || broker.draining.Load() != draining {
+			t.Errorf("%s: draining %v, %v", path, broker.draining.Load(), err)
 		}
 	}
 }
 
-// Callers that finish no call keep none out, however many they are, and are ended.
-func TestCallersThatFinishNoCall(t *testing.T) {
-	f, addr := serve(t)
-	f.ready.Store(true)
+// Callers that never finish a call must not keep others out, however many they are: their
+// connections are closed, the oldest first.
+func TestStalledCallersDoNotKeepOthersOut(t *testing.T) {
+	broker, addr := startServer(t)
+	broker.ready.Store(true)
 	var first net.Conn
-	for i := range 3 * maxCallers {
+	for i := range 3 * maxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -70,15 +77,15 @@
 		if first == nil {
 			first = c
 		}
-		_, _ = io.WriteString(c, "GET /-/ready HTTP/1.1\r\n"[:i%20]) // it may have been ended
+		_, _ = io.WriteString(c, "GET /-/ready HTTP/1.1\r\n"[:i%20]) // fails if the server has closed the connection
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		if _, err := Call(ctx, addr, http.MethodGet, ReadyPath); err != nil {
-			t.Errorf("beside %d callers: %v", i+1, err)
+			t.Errorf("beside %d stalled callers: %v", i+1, err)
 		}
 		cancel()
 	}
 	_ = first.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := first.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Error("the first caller is kept")
+		t.Error("the connection of the first stalled caller is still open")
 	}
 }
--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter plays the roots of a simulated fleet: it reads batches of
-// events on standard input and writes one reply to each on standard output.
+// Command adapter runs the roots of a simulated fleet of brokers: it reads batches of events
+// from standard input and writes one reply to each to standard output.
 package main
 
 import (
@@ -19,22 +19,22 @@
 	}
 }
 
-// node is one root and what this batch holds for it.
-type node struct {
-	root   *decide.Root
+// rootState is one root and its events of the current batch.
+type rootState struct {
+	root   *decide.Root // nil: stopped
 	events []decide.Event
-	named  bool
+	queued bool // whether it is in the current batch's queue
 }
 
-// run serves batches from r until its end.
+// run reads batches from r until its end and writes the replies to w.
 func run(r io.Reader, w io.Writer) error {
 	in := wire.NewDecoder(bufio.NewReaderSize(r, 1<<16))
 	out := bufio.NewWriterSize(w, 1<<16)
-	nodes := make(map[uint32]*node)
+	roots := make(map[uint32]*rootState)
 	var (
 		batch   wire.Batch
 		reply   wire.Encoder
-		order   []uint32 // roots named in this batch, in order
+		queue   []uint32 // roots that this batch has events for, in order of their first one
 		actions []decide.Action
 	)
 	for {
@@ -43,40 +43,40 @@
 		} else if err != nil {
 			return err
 		}
-		order = order[:0]
+		queue = queue[:0]
 		for i := range batch.Items {
-			it := &batch.Items[i]
-			n := nodes[it.Root]
+			item := &batch.Items[i]
+			state := roots[item.Root]
 			switch {
-			case it.Op == wire.Halt:
-				if n != nil {
-					n.root, n.events = nil, n.events[:0]
+			case item.Op == wire.OpStop:
+				if state != nil {
+					state.root, state.events = nil, state.events[:0]
 				}
 				continue
-			case it.Op == wire.Begin:
-				if n == nil {
-					n = &node{}
-					nodes[it.Root] = n
+			case item.Op == wire.OpStart:
+				if state == nil {
+					state = &rootState{}
+					roots[item.Root] = state
 				}
-				n.root, n.events = decide.New(it.Settings, it.Seed), n.events[:0]
-			case n == nil || n.root == nil:
-				continue // a stopped root is told no more
+				state.root, state.events = decide.New(item.Settings, item.Seed), state.events[:0]
+			case state == nil || state.root == nil:
+				continue // a stopped root gets no events
 			default:
-				n.events = append(n.events, it.Event)
+				state.events = append(state.events, item.Event)
 			}
-			if !n.named {
-				n.named = true
-				order = append(order, it.Root)
+			if !state.queued {
+				state.queued = true
+				queue = append(queue, item.Root)
 			}
 		}
-		for _, id := range order {
-			n := nodes[id]
-			n.named = false
-			if n.root == nil {
+		for _, id := range queue {
+			state := roots[id]
+			state.queued = false
+			if state.root == nil {
 				continue
 			}
-			actions = n.root.Step(batch.Now, n.events, actions[:0])
-			n.events = n.events[:0]
+			actions = state.root.Step(batch.Now, state.events, actions[:0])
+			state.events = state.events[:0]
 			for _, a := range actions {
 				reply.Add(id, a)
 			}
--- a/daemon/figures.go
+++ b/daemon/figures.go
@@ -18,26 +18,26 @@
 func (d *Daemon) Ready() bool { return d.httpFront.Ready() }
 
 // SendAway implements admin.Broker.
-func (d *Daemon) SendAway(away bool) { d.httpFront.SetOperatorDrain(away) }
+func (d *Daemon) SetDraining(away bool) { d.httpFront.SetOperatorDrain(away) }
 
 // Figures implements admin.Broker.
-func (d *Daemon) Figures() []admin.Figure {
+func (d *Daemon) Metrics() []admin.Metric {
 	ctx, cancel := context.WithTimeout(context.Background(), broker.RosterCountsTimeout)
 	defer cancel()
 	survey := d.core.RosterCounts(ctx)
-	var figures []admin.Figure
+	var figures []admin.Metric
 	for _, c := range d.countsByClassName() {
-		figures = append(figures, admin.Figure{Name: "fulfilled." + c.name, Value: c.Fulfilled},
-			admin.Figure{Name: "throttled." + c.name, Value: c.Throttled},
-			admin.Figure{Name: "faulted." + c.name, Value: c.Faulted})
+		figures = append(figures, admin.Metric{Name: "fulfilled." + c.name, Value: c.Fulfilled},
+			admin.Metric{Name: "throttled." + c.name, Value: c.Throttled},
+			admin.Metric{Name: "faulted." + c.name, Value: c.Faulted})
 	}
 	return append(figures,
-		admin.Figure{Name: "relayed", Value: d.frameNodes.WrittenAttempts() + d.flightNodes.WrittenAttempts()},
-		admin.Figure{Name: "open_requests", Value: d.core.Stats().Open},
-		admin.Figure{Name: "registry_entries", Value: int64(survey.Listed)},
-		admin.Figure{Name: "out_of_rotation", Value: int64(survey.OutOfRotation)},
-		admin.Figure{Name: "cfg_accepted", Value: d.reloadCounts.accepted.Load()},
-		admin.Figure{Name: "cfg_invalid", Value: d.reloadCounts.invalid.Load()},
+		admin.Metric{Name: "relayed", Value: d.frameNodes.WrittenAttempts() + d.flightNodes.WrittenAttempts()},
+		admin.Metric{Name: "open_requests", Value: d.core.Stats().Open},
+		admin.Metric{Name: "registry_entries", Value: int64(survey.Listed)},
+		admin.Metric{Name: "out_of_rotation", Value: int64(survey.OutOfRotation)},
+		admin.Metric{Name: "cfg_accepted", Value: d.reloadCounts.accepted.Load()},
+		admin.Metric{Name: "cfg_invalid", Value: d.reloadCounts.invalid.Load()},
 	)
 }
 
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the simulator's binary frames and the
-// events and actions of package decide. It decides nothing.
+// Package wire translates between the simulator's binary frames and the events and actions of
+// package decide, and makes no decisions of its own. All numbers in a frame are little-endian.
 package wire
 
 import (
@@ -15,63 +15,66 @@
 
 // Sizes of the parts of a frame, in bytes.
 const (
-	headSize   = 20 // header of a batch
-	eventSize  = 56
-	replySize  = 12 // header of a reply
-	actionSize = 32
-	entrySize  = 24 // one entry of a CENSUS
-	loadMax    = 4  // values in a load report
-	slots      = 16 // CENSUS lists that can be known at once
+	batchHeaderSize = 20
+	eventSize       = 56
+	replyHeaderSize = 12
+	actionSize      = 32
+	listEntrySize   = 24 // a node in the list of a CENSUS event
+	maxLoadValues   = 4  // the count of values in a load report, not bytes
+	listSlots       = 16 // the count of numbered lists, not bytes
 )
 
-// Event codes.
+// The codes of the events, named as in the simulator's protocol.
 const (
-	evBegin   = 1
-	evList    = 2
-	evCall    = 3
-	evHeaders = 4
-	evSettled = 5
-	evHangup  = 6
-	evWakeup  = 7
-	evPong    = 8
-	evMail    = 9
-	evHalt    = 10
-	evCensus  = 11
+	eventBegin   = 1  // a root starts
+	eventList    = 2  // a root receives the node list of a numbered slot
+	eventCall    = 3  // a root receives a query or a part
+	eventHeaders = 4  // the response stream of an attempt has begun
+	eventSettled = 5  // an attempt has ended
+	eventHangup  = 6  // a client has disconnected
+	eventWakeup  = 7  // a timer has fired
+	eventPong    = 8  // a probe has ended
+	eventMail    = 9  // a root receives a message of a peer
+	eventHalt    = 10 // a root stops
+	eventCensus  = 11 // fills a numbered slot with a node list, for the LIST events that follow
 )
 
-// Op says what an Item asks of the adapter.
+// Op is what the adapter must do with an Item.
 type Op uint8
 
 // The operations.
 const (
-	Deliver Op = iota // hand Event to the root
-	Begin             // start the root with Settings and Seed
-	Halt              // drop the root
+	// OpDeliver passes Event to the root.
+	OpDeliver Op = iota
+	// OpStart starts the root, anew if it runs, with Settings and Seed.
+	OpStart
+	// OpStop stops the root.
+	OpStop
 )
 
-// Item is one thing in a batch, for one root.
+// Item is one decoded event of a batch, for one root.
 type Item struct {
 	Op       Op
 	Root     uint32
-	Event    decide.Event
-	Settings decide.Settings
-	Seed     uint64
+	Event    decide.Event    // for OpDeliver
+	Settings decide.Settings // for OpStart
+	Seed     uint64          // for OpStart
 }
 
 // Batch is one decoded frame.
 type Batch struct {
-	Now   float64
-	Seq   uint32
+	Now   float64 // the simulator's clock, in milliseconds
+	Seq   uint32  // the number that the reply must repeat
 	Items []Item
 }
 
-// Decoder reads batches. It keeps the numbered lists between them.
+// Decoder reads batches. It keeps the node lists of the numbered slots between them.
 type Decoder struct {
-	r     io.Reader
-	buf   bytes.Buffer
-	lists [slots][]decide.Member
-	known [slots]bool
-	loads []float64
+	r      io.Reader
+	buf    bytes.Buffer
+	lists  [listSlots][]decide.Member
+	filled [listSlots]bool
+	loads  []float64 // the storage of the current batch's load reports
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -79,179 +82,184 @@
 
 var le = binary.LittleEndian
 
-func f64(b []byte) float64 { return math.Float64frombits(le.Uint64(b)) }
-func f32(b []byte) float64 { return float64(math.Float32frombits(le.Uint32(b))) }
+func readFloat64(b []byte) float64 { return math.Float64frombits(le.Uint64(b)) }
+func readFloat32(b []byte) float64 { return float64(math.Float32frombits(le.Uint32(b))) }
 
-// addr reads four address bytes and a port.
-func addr(b []byte) decide.Addr {
+// readAddr reads an IPv4 address of four bytes and a port of two.
+func readAddr(b []byte) decide.Addr {
 	return decide.Addr(uint64(le.Uint32(b)) | uint64(le.Uint16(b[4:]))<<32)
 }
 
-// Next reads one batch into b, whose slices are reused. It returns io.EOF at a
-// clean end of input.
+// Next reads one batch into b, whose slices are reused. It returns io.EOF if the input ends
+// between two batches.
 func (d *Decoder) Next(b *Batch) error {
 	d.buf.Reset()
-	if n, err := io.CopyN(&d.buf, d.r, headSize); err != nil {
+	if n, err := io.CopyN(&d.buf, d.r, batchHeaderSize); err != nil {
 		if err == io.EOF && n == 0 {
 			return io.EOF
 		}
-		return short("batch header", n, headSize, err)
+		return truncated("batch header", n, batchHeaderSize, err)
 	}
-	h := d.buf.Bytes()
-	count, size := le.Uint32(h), le.Uint32(h[4:])
-	b.Now, b.Seq = f64(h[8:]), le.Uint32(h[16:])
-	if want := headSize + uint64(count)*eventSize; uint64(size) < want {
+	header := d.buf.Bytes()
+	count, size := le.Uint32(header), le.Uint32(header[4:])
+	b.Now, b.Seq = readFloat64(header[8:]), le.Uint32(header[16:])
+	if want := batchHeaderSize + uint64(count)*eventSize; uint64(size) < want {
 		return fmt.Errorf("batch %d: length %d, want at least %d for %d records", b.Seq, size, want, count)
 	}
 	if b.Now != b.Now || math.IsInf(b.Now, 0) {
 		return fmt.Errorf("batch %d: clock is not a finite number", b.Seq)
 	}
-	if n, err := io.CopyN(&d.buf, d.r, int64(size)-headSize); err != nil {
-		return short(fmt.Sprintf("batch %d", b.Seq), n+headSize, int64(size), err)
+	if n, err := io.CopyN(&d.buf, d.r, int64(size)-batchHeaderSize); err != nil {
+		return truncated(fmt.Sprintf("batch %d", b.Seq), n+batchHeaderSize, int64(size), err)
 	}
-	body := d.buf.Bytes()[headSize:]
+	body := d.buf.Bytes()[batchHeaderSize:]
 	tail := body[int(count)*eventSize:]
 	b.Items = b.Items[:0]
 	d.loads = d.loads[:0]
 	for i := range int(count) {
-		if err := d.record(b, body[i*eventSize:(i+1)*eventSize], tail); err != nil {
+		if err := d.decodeRecord(b, body[i*eventSize:(i+1)*eventSize], tail); err != nil {
 			return fmt.Errorf("batch %d, record %d: %w", b.Seq, i, err)
 		}
 	}
 	return nil
 }
 
-func short(what string, got, want int64, err error) error {
+// truncated returns the error for a read that ended after got of want bytes.
+func truncated(what string, got, want int64, err error) error {
 	if err == io.EOF || errors.Is(err, io.ErrUnexpectedEOF) {
 		return fmt.Errorf("%s: input ended after %d bytes, want %d", what, got, want)
 	}
 	return fmt.Errorf("%s: %w", what, err)
 }
 
-// span returns the piece of the tail that an offset and a length name.
-func span(tail, field []byte, unit uint64) ([]byte, error) {
-	off, n := uint64(le.Uint32(field)), uint64(le.Uint32(field[4:]))*unit
-	if off+n > uint64(len(tail)) {
-		return nil, fmt.Errorf("tail range %d+%d, want within %d bytes", off, n, len(tail))
+// tailRange returns the part of the tail that the field gives, as an offset in bytes and a
+// length in units.
+func tailRange(tail, field []byte, unit uint64) ([]byte, error) {
+	offset, length := uint64(le.Uint32(field)), uint64(le.Uint32(field[4:]))*unit
+	if offset+length > uint64(len(tail)) {
+		return nil, fmt.Errorf("tail range %d+%d, want within %d bytes", offset, length, len(tail))
 	}
-	return tail[off : off+n], nil
+	return tail[offset : offset+length], nil
 }
 
-func (d *Decoder) record(b *Batch, r, tail []byte) error {
-	it := Item{Root: le.Uint32(r[1:])}
-	e := &it.Event
+// decodeRecord decodes one record and appends its item to b, unless it is a CENSUS.
+func (d *Decoder) decodeRecord(b *Batch, record, tail []byte) error {
+	item := Item{Root: le.Uint32(record[1:])}
+	event := &item.Event
 	var err error
-	switch r[0] {
-	case evCensus:
-		return d.census(r, tail)
-	case evBegin:
-		it.Op, it.Seed = Begin, le.Uint64(r[5:])
-		text, err := span(tail, r[13:], 1)
+	switch record[0] {
+	case eventCensus:
+		return d.decodeCensus(record, tail)
+	case eventBegin:
+		item.Op, item.Seed = OpStart, le.Uint64(record[5:])
+		text, err := tailRange(tail, record[13:], 1)
 		if err != nil {
 			return err
 		}
-		if it.Settings, err = ParseSettings(string(text)); err != nil {
+		if item.Settings, err = ParseSettings(string(text)); err != nil {
 			return err
 		}
-	case evHalt:
-		it.Op = Halt
-	case evList:
-		e.Kind = decide.ListNews
-		slot := le.Uint16(r[14:])
-		switch r[5] {
+	case eventHalt:
+		item.Op = OpStop
+	case eventList:
+		event.Kind = decide.ListNews
+		slot := le.Uint16(record[14:])
+		switch record[5] {
 		case 0:
-			e.List = decide.ListCached
+			event.List = decide.ListCached
 		case 1:
-			e.List = decide.ListFull
+			event.List = decide.ListFull
 		case 2:
-			e.List = decide.ListDelta
+			event.List = decide.ListDelta
 		case 3:
-			e.List = decide.ListFailed
+			event.List = decide.ListFailed
 		default:
-			return fmt.Errorf("list kind %d, want 0 to 3", r[5])
+			return fmt.Errorf("list kind %d, want 0 to 3", record[5])
 		}
-		if e.List != decide.ListFailed {
-			if slot >= slots || !d.known[slot] {
-				return fmt.Errorf("list slot %d, want one that a census has filled", slot)
+		if event.List != decide.ListFailed {
+			if slot >= listSlots || !d.filled[slot] {
+				return fmt.Errorf("list slot %d, want one that a CENSUS event has filled", slot)
 			}
-			e.Members = d.lists[slot]
+			event.Members = d.lists[slot]
 		}
-	case evCall:
-		e.Kind, e.ID = decide.QueryCame, le.Uint64(r[5:])
-		e.Class, e.Tenant, e.Key = int(r[13]), int(le.Uint16(r[14:])), le.Uint64(r[16:])
-		e.LeftMs, e.WorkMs, e.Number = f64(r[24:]), f64(r[32:]), f32(r[40:])
-		shard, measure := f32(r[44:]), f32(r[48:])
-		if !(e.LeftMs >= -1e12 && e.LeftMs <= 1e12) || !(shard > -1e9 && shard < 1e9) || !(measure > -1e9 && measure < 1e9) {
-			return fmt.Errorf("call %d: time left, shard or measure is not a plausible number", e.ID)
+	case eventCall:
+		event.Kind, event.ID = decide.QueryCame, le.Uint64(record[5:])
+		event.Class, event.Tenant, event.Key = int(record[13]), int(le.Uint16(record[14:])), le.Uint64(record[16:])
+		event.LeftMs, event.WorkMs, event.Number = readFloat64(record[24:]), readFloat64(record[32:]), readFloat32(record[40:])
+		shard, measure := readFloat32(record[44:]), readFloat32(record[48:])
+		if !(event.LeftMs >= -1e12 && event.LeftMs <= 1e12) || !(shard > -1e9 && shard < 1e9) || !(measure > -1e9 && measure < 1e9) {
+			return fmt.Errorf("call %d: time left, shard or measure is out of range or not a number", event.ID)
 		}
 		if shard >= 0 {
-			e.Kind, e.Shard, e.Weight = decide.PartCame, int(shard), measure
+			event.Kind, event.Shard, event.Weight = decide.PartCame, int(shard), measure
 		} else {
-			e.Parts = int(measure)
+			event.Parts = int(measure)
 		}
-		e.Hinted, e.Retry, e.Write = r[52]&1 != 0, r[52]&2 != 0, r[52]&4 != 0
-	case evHeaders:
-		e.Kind, e.ID = decide.StreamBegan, le.Uint64(r[5:])
-		e.Addr, e.Attempt, e.TookMs = addr(r[13:]), int(le.Uint16(r[19:])), f64(r[21:])
-	case evSettled:
-		e.Kind, e.ID, e.TookMs = decide.AttemptDone, le.Uint64(r[5:]), f64(r[13:])
-		e.Addr, e.Attempt = addr(r[22:]), int(le.Uint16(r[28:]))
-		if e.Outcome, err = outcome(le.Uint16(r[30:])); err == nil {
-			e.Load, err = d.load(r[32:])
+		event.Hinted, event.Retry, event.Write = record[52]&1 != 0, record[52]&2 != 0, record[52]&4 != 0
+	case eventHeaders:
+		event.Kind, event.ID = decide.StreamBegan, le.Uint64(record[5:])
+		event.Addr, event.Attempt, event.TookMs = readAddr(record[13:]), int(le.Uint16(record[19:])), readFloat64(record[21:])
+	case eventSettled:
+		event.Kind, event.ID, event.TookMs = decide.AttemptDone, le.Uint64(record[5:]), readFloat64(record[13:])
+		event.Addr, event.Attempt = readAddr(record[22:]), int(le.Uint16(record[28:]))
+		if event.Outcome, err = parseOutcome(le.Uint16(record[30:])); err == nil {
+			event.Load, err = d.appendLoad(record[32:])
 		}
-	case evHangup:
-		e.Kind, e.ID = decide.ClientLeft, le.Uint64(r[5:])
-	case evWakeup:
-		e.Kind, e.Token = decide.TimerFired, le.Uint64(r[5:])
-	case evPong:
-		e.Kind, e.Addr, e.TookMs = decide.ProbeDone, addr(r[5:]), f64(r[11:])
-		if e.Outcome, err = outcome(le.Uint16(r[19:])); err == nil {
-			e.Load, err = d.load(r[21:])
+	case eventHangup:
+		event.Kind, event.ID = decide.ClientLeft, le.Uint64(record[5:])
+	case eventWakeup:
+		event.Kind, event.Token = decide.TimerFired, le.Uint64(record[5:])
+	case eventPong:
+		event.Kind, event.Addr, event.TookMs = decide.ProbeDone, readAddr(record[5:]), readFloat64(record[11:])
+		if event.Outcome, err = parseOutcome(le.Uint16(record[19:])); err == nil {
+			event.Load, err = d.appendLoad(record[21:])
 		}
-	case evMail:
-		e.Kind, e.Peer = decide.PeerSaid, int(le.Uint16(r[5:]))
+	case eventMail:
+		event.Kind, event.Peer = decide.PeerSaid, int(le.Uint16(record[5:]))
 		var text []byte
-		text, err = span(tail, r[7:], 1)
-		e.Text = bytes.Clone(text)
+		text, err = tailRange(tail, record[7:], 1)
+		event.Text = bytes.Clone(text)
 	default:
-		return fmt.Errorf("event code %d, want 1 to %d", r[0], evCensus)
+		return fmt.Errorf("event code %d, want 1 to %d", record[0], eventCensus)
 	}
-	b.Items = append(b.Items, it)
+	b.Items = append(b.Items, item)
 	return err
 }
 
-func (d *Decoder) census(r, tail []byte) error {
-	slot := le.Uint16(r[1:])
-	if slot >= slots {
-		return fmt.Errorf("census slot %d, want 0 to %d", slot, slots-1)
+// decodeCensus decodes a node list into its slot.
+func (d *Decoder) decodeCensus(record, tail []byte) error {
+	slot := le.Uint16(record[1:])
+	if slot >= listSlots {
+		return fmt.Errorf("CENSUS slot %d, want 0 to %d", slot, listSlots-1)
 	}
-	list, err := span(tail, r[3:], entrySize)
+	list, err := tailRange(tail, record[3:], listEntrySize)
 	if err != nil {
 		return err
 	}
-	members := make([]decide.Member, 0, len(list)/entrySize) // events may hold the old one
-	for ; len(list) > 0; list = list[entrySize:] {
-		m := decide.Member{
-			Addr: addr(list), Zone: int(le.Uint16(list[6:])), Kind: int(list[8]),
-			Cell: int(le.Uint16(list[9:])), Size: f32(list[12:]), ReadyAt: f64(list[16:]),
+	members := make([]decide.Member, 0, len(list)/listEntrySize) // a new slice, since earlier events of the batch may refer to the old one
+	for ; len(list) > 0; list = list[listEntrySize:] {
+		member := decide.Member{
+			Addr: readAddr(list), Zone: int(le.Uint16(list[6:])), Kind: int(list[8]),
+			Cell: int(le.Uint16(list[9:])), Size: readFloat32(list[12:]), ReadyAt: readFloat64(list[16:]),
 		}
 		switch list[11] {
 		case 1:
-			m.State = decide.Ready
+			member.State = decide.Ready
 		case 2:
-			m.State = decide.Gone
+			member.State = decide.Gone
 		case 3:
-			m.State = decide.Draining
+			member.State = decide.Draining
 		default:
-			return fmt.Errorf("census slot %d: state %d, want 1 to 3", slot, list[11])
+			return fmt.Errorf("CENSUS slot %d: state %d, want 1 to 3", slot, list[11])
 		}
-		members = append(members, m)
+		members = append(members, member)
 	}
-	d.lists[slot], d.known[slot] = members, true
+	d.lists[slot], d.filled[slot] = members, true
 	return nil
 }
 
-func outcome(code uint16) (decide.Outcome, error) {
+// parseOutcome maps an outcome code, which resembles an HTTP status, to an outcome.
+func parseOutcome(code uint16) (decide.Outcome, error) {
 	switch code {
 	case 200:
 		return decide.OK, nil
@@ -273,25 +281,26 @@
 	return 0, fmt.Errorf("outcome code %d, want 200, 410, 499, 500, 502, 503, 504 or 598", code)
 }
 
-func (d *Decoder) load(r []byte) ([]float64, error) {
-	n := int(r[0])
-	if n > loadMax {
-		return nil, fmt.Errorf("load report of %d values, want %d at most", n, loadMax)
+// appendLoad appends the values of a load report to d.loads and returns them.
+func (d *Decoder) appendLoad(report []byte) ([]float64, error) {
+	n := int(report[0])
+	if n > maxLoadValues {
+		return nil, fmt.Errorf("load report of %d values, want %d at most", n, maxLoadValues)
 	}
-	from := len(d.loads)
+	start := len(d.loads)
 	for i := range n {
-		d.loads = append(d.loads, f32(r[1+4*i:]))
+		d.loads = append(d.loads, readFloat32(report[1+4*i:]))
 	}
-	return d.loads[from:len(d.loads):len(d.loads)], nil
+	return d.loads[start:len(d.loads):len(d.loads)], nil
 }
 
-// Encoder builds one reply. It is reset by Bytes.
+// Encoder builds one reply at a time. Bytes ends a reply, and the next Add begins another.
 type Encoder struct {
-	recs, tail []byte
-	count      uint32
+	records, tail []byte
+	count         uint32
 }
 
-// Action codes, by kind of action.
+// actionCodes has the code of each kind of action.
 var actionCodes = [...]byte{
 	decide.Send:      65,
 	decide.Refuse:    66,
@@ -307,77 +316,80 @@
 	decide.Answer:    77,
 }
 
-// Add appends an action of a root.
-func (w *Encoder) Add(root uint32, a decide.Action) {
-	if w.count == 0 {
-		w.recs = append(w.recs[:0], make([]byte, replySize)...)
-		w.tail = w.tail[:0]
+// Add appends an action of a root to the reply.
+func (e *Encoder) Add(root uint32, a decide.Action) {
+	if e.count == 0 {
+		e.records = append(e.records[:0], make([]byte, replyHeaderSize)...)
+		e.tail = e.tail[:0]
 	}
-	var r [actionSize]byte
-	r[0] = actionCodes[a.Kind]
-	le.PutUint32(r[1:], root)
+	var record [actionSize]byte
+	record[0] = actionCodes[a.Kind]
+	le.PutUint32(record[1:], root)
 	switch a.Kind {
 	case decide.Send:
-		le.PutUint64(r[5:], a.ID)
-		putAddr(r[13:], a.Addr)
-		le.PutUint64(r[19:], math.Float64bits(a.Ms))
+		le.PutUint64(record[5:], a.ID)
+		putAddr(record[13:], a.Addr)
+		le.PutUint64(record[19:], math.Float64bits(a.Ms))
 	case decide.Cancel:
-		le.PutUint64(r[5:], a.ID)
-		le.PutUint16(r[13:], uint16(a.Attempt))
+		le.PutUint64(record[5:], a.ID)
+		le.PutUint16(record[13:], uint16(a.Attempt))
 	case decide.Timer:
-		le.PutUint64(r[5:], math.Float64bits(a.Ms))
-		le.PutUint64(r[13:], a.Token)
+		le.PutUint64(record[5:], math.Float64bits(a.Ms))
+		le.PutUint64(record[13:], a.Token)
 	case decide.Answer:
-		le.PutUint64(r[5:], a.ID)
-		r[13] = bit(a.Whole)
+		le.PutUint64(record[5:], a.ID)
+		record[13] = boolByte(a.Whole)
 	case decide.Refuse:
-		le.PutUint64(r[5:], a.ID)
-		le.PutUint64(r[13:], math.Float64bits(a.Ms))
+		le.PutUint64(record[5:], a.ID)
+		le.PutUint64(record[13:], math.Float64bits(a.Ms))
 	case decide.Abort:
-		le.PutUint64(r[5:], a.ID)
+		le.PutUint64(record[5:], a.ID)
 	case decide.Probe, decide.CloseIdle:
-		putAddr(r[5:], a.Addr)
+		putAddr(record[5:], a.Addr)
 	case decide.Tell:
-		le.PutUint32(r[5:], uint32(int32(a.Peer)))
-		w.text(r[9:], a.Text)
+		le.PutUint32(record[5:], uint32(int32(a.Peer)))
+		e.putText(record[9:], a.Text)
 	case decide.Log:
-		w.text(r[5:], a.Text)
+		e.putText(record[5:], a.Text)
 	case decide.Subscribe:
-		r[5] = bit(a.Whole)
+		record[5] = boolByte(a.Whole)
 	}
-	w.recs = append(w.recs, r[:]...)
-	w.count++
+	e.records = append(e.records, record[:]...)
+	e.count++
 }
 
-func bit(b bool) byte {
+// boolByte returns 1 for true and 0 for false.
+func boolByte(b bool) byte {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func putAddr(r []byte, a decide.Addr) {
-	le.PutUint32(r, uint32(a))
-	le.PutUint16(r[4:], uint16(a>>32))
+// putAddr writes an IPv4 address of four bytes and a port of two.
+func putAddr(field []byte, a decide.Addr) {
+	le.PutUint32(field, uint32(a))
+	le.PutUint16(field[4:], uint16(a>>32))
 }
 
-func (w *Encoder) text(r []byte, s string) {
-	le.PutUint32(r, uint32(len(w.tail)))
-	le.PutUint32(r[4:], uint32(len(s)))
-	w.tail = append(w.tail, s...)
+// putText appends the text to the tail and writes its offset and length to the field.
+func (e *Encoder) putText(field []byte, text string) {
+	le.PutUint32(field, uint32(len(e.tail)))
+	le.PutUint32(field[4:], uint32(len(text)))
+	e.tail = append(e.tail, text...)
 }
 
-// Bytes returns the reply to batch seq and resets the Encoder. The slice is
-// valid until the next Add.
-func (w *Encoder) Bytes(seq uint32) []byte {
-	if w.count == 0 {
-		w.recs = append(w.recs[:0], make([]byte, replySize)...)
-		w.tail = w.tail[:0]
+// Bytes returns the reply to batch seq and resets the Encoder. The slice is valid until the
+// next call of Add or Bytes.
+func (e *Encoder) Bytes(seq uint32) []byte {
+	if e.count == 0 {
+		e.records = append(e.records[:0], make([]byte, replyHeaderSize)...)
+		e.tail = e.tail[:0]
 	}
-	w.recs = append(w.recs, w.tail...)
-	le.PutUint32(w.recs, uint32(len(w.recs)))
-	le.PutUint32(w.recs[4:], w.count)
-	le.PutUint32(w.recs[8:], seq)
-	w.count = 0
-	return w.recs
+	e.records = append(e.records, e.tail...)
+	le.PutUint32(e.records, uint32(len(e.records)))
+	le.PutUint32(e.records[4:], e.count)
+	le.PutUint32(e.records[8:], seq)
+	e.count = 0
+	return e.records
 }
