--- a/broker/answers.go
+++ b/broker/answers.go
@@ -21,7 +21,7 @@
 		if share := q.share(); share < floor || share == 0 { // never from less than the least share
 			break
 		}
-		r.Verdict, r.Whole = Served, a.Whole
+		r.Verdict, r.Whole = Served, a.Complete
 		for _, p := range q.parts {
 			if p.in {
 				r.Values = append(r.Values, Value{Shard: p.shard, Data: p.value})
@@ -43,7 +43,7 @@
 // outOfTime says whether a query's time is over, less the reserve that the module keeps.
 func (c *Core) outOfTime(q *query, now time.Time) bool {
 	budgetMs := float64(q.Budget.Microseconds()) / 1000
-	return now.Sub(q.Came) >= duration(c.opts.Settings.GivenUpAfter(budgetMs))-lateTimer
+	return now.Sub(q.Came) >= duration(c.opts.Settings.GiveUpAfterMs(budgetMs))-lateTimer
 }
 
 // shareSlack is how much the parts' shares may fall short of a sum, as they are rounded.
@@ -55,7 +55,7 @@
 		return 1 - shareSlack, 1 - shareSlack
 	}
 	class := &c.opts.Settings.Classes[q.Class]
-	return class.Need - shareSlack, class.Floor - shareSlack
+	return class.CompleteShare - shareSlack, class.MinShare - shareSlack
 }
 
 // share is the share of the answer that is in.
@@ -117,7 +117,7 @@
 		if c.opts.Settings.Classes[q.Class].Effect == decide.Unsafe && q.mayHaveRun() {
 			r.Verdict = Expired
 		}
-		c.events = append(c.events, decide.Event{Kind: decide.ClientLeft, ID: q.event})
+		c.events = append(c.events, decide.Event{Kind: decide.ClientDisconnected, ID: q.event})
 		c.drop(q, now)
 		c.finish(q, r, now)
 	}
--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -32,7 +32,7 @@
 	}
 	c.events = append(c.events, decide.Event{
 		Kind: decide.AttemptDone, ID: a.part.id, Attempt: a.n, Addr: a.addr, Outcome: o,
-		TookMs: float64(now.Sub(a.sent).Microseconds()) / 1000,
+		ElapsedMs: float64(now.Sub(a.sent).Microseconds()) / 1000,
 	})
 }
 
@@ -50,7 +50,7 @@
 	n, q := c.nodes[a.Addr], p.q
 	left := q.Budget - now.Sub(q.Came)
 	if c.opts.Observer != nil {
-		c.observe(t, n, a.Doubt, min(left, cmp.Or(duration(a.Ms), left)))
+		c.observe(t, n, a.Unhealthy, min(left, cmp.Or(duration(a.Ms), left)))
 	}
 	attempts := c.opts.Settings.MaxAttempts
 	latest := c.latest(t, now.Add(left))
@@ -106,7 +106,7 @@
 		case decide.Unsafe:
 			return time.Time{}
 		case decide.Keyed:
-			if over := earlier.sent.Add(duration(class.WindowMs - c.opts.Settings.TickMs)); over.Before(end) {
+			if over := earlier.sent.Add(duration(class.DedupWindowMs - c.opts.Settings.TickMs)); over.Before(end) {
 				return over
 			}
 		}
@@ -137,7 +137,7 @@
 // flush hands this turn's attempts to the node client, those of one node as
 // calls of the settings' size.
 func (c *Core) flush() {
-	size := max(1, c.opts.Settings.BundleMax)
+	size := max(1, c.opts.Settings.MaxPartsPerCall)
 	out := slices.DeleteFunc(c.batch, func(a Attempt) bool { // given up in the turn that sent it
 		t := c.tries[a.ID]
 		return t == nil || t.off
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -98,7 +98,7 @@
 	now := time.Now()
 	c := &Core{
 		opts: o, root: decide.New(o.Settings, o.Seed), queue: newQueue(o.Limits.QueueLimit),
-		start: now, startMs: float64(now.UnixMicro()) / 1000, starts: startTimes{warmUp: duration(o.Settings.ColdMs)},
+		start: now, startMs: float64(now.UnixMicro()) / 1000, starts: startTimes{warmUp: duration(o.Settings.WarmUpMs)},
 		names: map[string]decide.Addr{}, nodes: map[decide.Addr]*node{},
 		queries: map[QueryID]*query{}, open: map[string]*query{}, byEvent: map[uint64]*query{}, parts: map[uint64]*part{}, tries: map[AttemptID]*try{},
 	}
@@ -227,7 +227,7 @@
 	case inLeave:
 		if q := c.queries[in.id]; q != nil {
 			c.stats.left.Add(1)
-			c.events = append(c.events, decide.Event{Kind: decide.ClientLeft, ID: q.event})
+			c.events = append(c.events, decide.Event{Kind: decide.ClientDisconnected, ID: q.event})
 			c.drop(q, now)
 			if c.opts.Observer != nil {
 				c.opts.Observer.Final(q.id, &Reply{Verdict: Left}, now)
@@ -247,7 +247,7 @@
 	case inProbed:
 		if addr, ok := c.names[in.node]; ok {
 			c.events = append(c.events, decide.Event{Kind: decide.ProbeDone, Addr: addr, Outcome: in.outcome,
-				TookMs: float64(in.took.Microseconds()) / 1000})
+				ElapsedMs: float64(in.took.Microseconds()) / 1000})
 		}
 	case inRoster:
 		c.roster(in.roster, now)
@@ -265,7 +265,7 @@
 	case inLimits:
 		c.opts.Limits = in.limits
 		c.queue.setLimit(in.limits.QueueLimit)
-		c.root.Beside(in.limits.Processes)
+		c.root.SetProcesses(in.limits.Processes)
 	}
 }
 
@@ -306,15 +306,15 @@
 	q.event = c.lastID
 	c.byEvent[q.event] = q
 	e := decide.Event{
-		Kind: decide.QueryCame, ID: q.event, Class: q.Class, Number: c.number, Retry: q.Retry,
-		LeftMs: float64(left.Microseconds()) / 1000, Parts: len(q.Parts), Hinted: true,
+		Kind: decide.QueryArrived, ID: q.event, Class: q.Class, Number: c.number, Retry: q.Retry,
+		TimeLeftMs: float64(left.Microseconds()) / 1000, Parts: len(q.Parts), HasEstimate: true,
 	}
 	for _, p := range q.Parts {
-		e.WorkMs += p.WorkMs
-		e.Hinted = e.Hinted && p.Hinted
+		e.EstimatedWorkMs += p.WorkMs
+		e.HasEstimate = e.HasEstimate && p.Hinted
 	}
-	if !e.Hinted {
-		e.WorkMs = 0
+	if !e.HasEstimate {
+		e.EstimatedWorkMs = 0
 	}
 	c.events = append(c.events, e)
 	for _, p := range q.Parts {
@@ -322,8 +322,8 @@
 		own := &part{id: c.lastID, q: q, shard: p.Shard}
 		c.parts[own.id] = own
 		q.parts = append(q.parts, own)
-		e.Kind, e.ID, e.Parts, e.Shard, e.Weight, e.Key = decide.PartCame, own.id, 0, p.Shard, p.Share, p.Route
-		e.WorkMs, e.Hinted = p.WorkMs, p.Hinted
+		e.Kind, e.ID, e.Parts, e.Shard, e.Weight, e.Key = decide.PartArrived, own.id, 0, p.Shard, p.Share, p.Route
+		e.EstimatedWorkMs, e.HasEstimate = p.WorkMs, p.Hinted
 		c.events = append(c.events, e)
 	}
 }
@@ -351,11 +351,11 @@
 	case decide.Log:
 		c.opts.Log.Info().Str("event", "decision").Msg(a.Text)
 		if n := c.nodes[a.Addr]; n != nil && c.opts.Observer != nil {
-			c.opts.Observer.Doubted(n.ID, a.Doubt, now)
+			c.opts.Observer.Doubted(n.ID, a.Unhealthy, now)
 		}
 	case decide.Subscribe:
 		if c.opts.Lister != nil {
-			c.opts.Lister.Subscribe(a.Whole)
+			c.opts.Lister.Subscribe(a.Complete)
 		}
 	case decide.FetchList:
 		if c.opts.Lister != nil {
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -44,9 +44,9 @@
 func newCore(attempts int) (*Core, *fakeNodes) {
 	nodes := &fakeNodes{seen: make(chan struct{}, 100)}
 	c := New(Options{Nodes: nodes, Log: zerolog.New(io.Discard), Settings: decide.Settings{
-		Cells: 1, InARow: 1, Shards: 8, TickMs: 5, MaxAttempts: attempts, SecondCopies: true, MayCancel: true, RetryAfter: true,
-		MaxRetryAfterMs: 2000, BundleMax: 1, ColdFrom: 1, FallTimes: 3, FallMs: 2000, DrainMs: 500,
-		Classes: []decide.Class{{AimMs: 1000, DeadlineMs: 2000, Worth: 1, Need: 1, Floor: 1}},
+		Cells: 1, CellsPerShard: 1, Shards: 8, TickMs: 5, MaxAttempts: attempts, AllowCopies: true, AllowCancel: true, SendRetryAfter: true,
+		MaxRetryAfterMs: 2000, MaxPartsPerCall: 1, ColdCapacityShare: 1, ColdOverloadFactor: 3, ColdOverloadMs: 2000, DrainGraceMs: 500,
+		Classes: []decide.Class{{ObjectiveMs: 1000, DeadlineMs: 2000, Worth: 1, CompleteShare: 1, MinShare: 1}},
 	}})
 	c.Roster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y"}}})
 	return c, nodes
@@ -162,8 +162,8 @@
 	whole := make(replies, 1)
 	c.queries[1].replier = whole
 	p.in, p.value = true, []byte("1")
-	c.opts.Settings.Classes[0].Floor = 0.5 // an answer of one part may be given, but not as a whole one
-	c.conclude(&decide.Action{Kind: decide.Answer, ID: c.queries[1].event, Whole: true}, now)
+	c.opts.Settings.Classes[0].MinShare = 0.5 // an answer of one part may be given, but not as a whole one
+	c.conclude(&decide.Action{Kind: decide.Answer, ID: c.queries[1].event, Complete: true}, now)
 	if r := <-whole; r.Whole || len(r.Values) != 1 {
 		t.Errorf("an answer that misses a part is called whole: %+v", r)
 	}
@@ -239,7 +239,7 @@
 func TestCallWithoutThePartsThatAreGivenUp(t *testing.T) {
 	for _, off := range [][]int{{0}, {1}, {2}, {0, 1}, {0, 1, 2}} {
 		c, nodes := newCore(3)
-		c.opts.Settings.BundleMax = 4
+		c.opts.Settings.MaxPartsPerCall = 4
 		c.turn()
 		now := time.Now()
 		want := map[AttemptID]bool{}
@@ -277,17 +277,17 @@
 		want   time.Duration // after the first attempt; 0: as long as the query has time
 		never  bool
 	}{
-		{decide.Safe, decide.Broken, 0, false},
-		{decide.Keyed, decide.Broken, window - 5*time.Millisecond, false},
+		{decide.Safe, decide.ConnectionLost, 0, false},
+		{decide.Keyed, decide.ConnectionLost, window - 5*time.Millisecond, false},
 		{decide.Keyed, decide.TimedOut, window - 5*time.Millisecond, false},
 		{decide.Keyed, decide.Unreachable, 0, false},
 		{decide.Keyed, decide.Rejected, 0, false},
 		{decide.Unsafe, decide.Rejected, 0, false},
-		{decide.Unsafe, decide.Broken, 0, true},
+		{decide.Unsafe, decide.ConnectionLost, 0, true},
 	} {
 		core, _ := newCore(3)
 		class := &core.opts.Settings.Classes[0]
-		class.Effect, class.WindowMs = c.effect, float64(window.Milliseconds())
+		class.Effect, class.DedupWindowMs = c.effect, float64(window.Milliseconds())
 		core.turn()
 		first := time.Now()
 		q := ask()
@@ -335,7 +335,7 @@
 	for grace, guard := range map[float64]time.Duration{500: drainGuard, 1000: drainGuard, 100: 50 * time.Millisecond} {
 		c, nodes := newCore(3)
 		heard := &heardNodes{fakeNodes: nodes}
-		c.opts.Nodes, c.opts.Settings.DrainMs = heard, grace
+		c.opts.Nodes, c.opts.Settings.DrainGraceMs = heard, grace
 		now := time.Now()
 		c.roster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y", State: decide.Draining}}}, now)
 		c.roster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y", State: decide.Draining}}}, now.Add(time.Second))
@@ -446,7 +446,7 @@
 func TestNoAnswerUnderTheLeastShare(t *testing.T) {
 	for in, want := range []Verdict{Failed, Failed, Served} { // parts that are in, of two
 		c, _ := newCore(3)
-		c.opts.Settings.Classes[0].Floor = 0.7
+		c.opts.Settings.Classes[0].MinShare = 0.7
 		c.turn()
 		now, got := time.Now(), make(replies, 1)
 		c.take(input{id: 1, query: ask(), replier: got}, now)
@@ -464,7 +464,7 @@
 // drain among it is told anew. What a whole list leaves out is gone, though a change that
 // was on its way names it: that one is newer and brings it back.
 func TestEntriesInARow(t *testing.T) {
-	in, draining, gone := Node{ID: "a", Addr: "x"}, Node{ID: "a", Addr: "x", State: decide.Draining}, Node{ID: "a", Addr: "x", State: decide.Gone}
+	in, draining, gone := Node{ID: "a", Addr: "x"}, Node{ID: "a", Addr: "x", State: decide.Draining}, Node{ID: "a", Addr: "x", State: decide.Removed}
 	moved := Node{ID: "a", Addr: "z"}
 	c, nodes := newCore(3)
 	heard := &heardNodes{fakeNodes: nodes}
@@ -481,9 +481,9 @@
 		{decide.ListDelta, []Node{draining, in}, decide.Ready, "x", false},
 		{decide.ListDelta, []Node{in, draining}, decide.Draining, "x", true},
 		{decide.ListDelta, []Node{gone, in, draining, moved}, decide.Ready, "z", false},
-		{decide.ListDelta, []Node{moved, gone}, decide.Gone, "", false},
+		{decide.ListDelta, []Node{moved, gone}, decide.Removed, "", false},
 		{decide.ListDelta, []Node{in}, decide.Ready, "x", false},
-		{decide.ListFull, []Node{{ID: "b", Addr: "y"}}, decide.Gone, "", false},
+		{decide.ListFull, []Node{{ID: "b", Addr: "y"}}, decide.Removed, "", false},
 		{decide.ListDelta, []Node{draining}, decide.Draining, "x", true},
 		{decide.ListFull, []Node{draining, in}, decide.Ready, "x", false},
 	} {
--- a/broker/counts.go
+++ b/broker/counts.go
@@ -93,11 +93,11 @@
 // survey is the answer to Survey.
 func (c *Core) survey(now time.Time) (s Survey) {
 	for addr, n := range c.nodes {
-		if n.State == decide.Gone {
+		if n.State == decide.Removed {
 			continue
 		}
 		s.Listed++
-		if n.State != decide.Ready || c.root.InDoubt(addr) && now.Sub(n.sent) > avoidedFor {
+		if n.State != decide.Ready || c.root.Unhealthy(addr) && now.Sub(n.sent) > avoidedFor {
 			s.Avoided++
 		}
 	}
--- a/broker/counts_test.go
+++ b/broker/counts_test.go
@@ -48,19 +48,19 @@
 // A node in doubt counts as avoided once it has been sent nothing for a while; one that
 // drains does at once, and one that is gone is not on the list.
 func TestSurvey(t *testing.T) {
-	safe := decide.Class{AimMs: 1000, DeadlineMs: 3000, Effect: decide.Safe, Worth: 1, Need: 1, Floor: 1}
-	c := New(Options{Settings: decide.Settings{Roots: 1, TickMs: 1, Cells: 1, InARow: 1, MaxAttempts: 3, Classes: []decide.Class{safe}}})
+	safe := decide.Class{ObjectiveMs: 1000, DeadlineMs: 3000, Effect: decide.Safe, Worth: 1, CompleteShare: 1, MinShare: 1}
+	c := New(Options{Settings: decide.Settings{Roots: 1, TickMs: 1, Cells: 1, CellsPerShard: 1, MaxAttempts: 3, Classes: []decide.Class{safe}}})
 	now := time.Now()
-	for addr, state := range map[decide.Addr]decide.State{1: decide.Ready, 2: decide.Draining, 3: decide.Gone} {
+	for addr, state := range map[decide.Addr]decide.State{1: decide.Ready, 2: decide.Draining, 3: decide.Removed} {
 		c.nodes[addr] = &node{Node: Node{State: state}, sent: now}
 	}
 	c.root.Step(1000, []decide.Event{
-		{Kind: decide.ListNews, List: decide.ListFull, Members: []decide.Member{{Addr: 1, Size: 1}}},
-		{Kind: decide.QueryCame, ID: 10, LeftMs: 2000, Number: 10, Parts: 1},
-		{Kind: decide.PartCame, ID: 11, LeftMs: 2000, Number: 10, Weight: 1},
+		{Kind: decide.ListUpdate, List: decide.ListFull, Members: []decide.Member{{Addr: 1, Size: 1}}},
+		{Kind: decide.QueryArrived, ID: 10, TimeLeftMs: 2000, Number: 10, Parts: 1},
+		{Kind: decide.PartArrived, ID: 11, TimeLeftMs: 2000, Number: 10, Weight: 1},
 	}, nil)
-	c.root.Step(1001, []decide.Event{{Kind: decide.AttemptDone, ID: 11, Addr: 1, Outcome: decide.Rejected, TookMs: 1}}, nil)
-	if !c.root.InDoubt(1) {
+	c.root.Step(1001, []decide.Event{{Kind: decide.AttemptDone, ID: 11, Addr: 1, Outcome: decide.Rejected, ElapsedMs: 1}}, nil)
+	if !c.root.Unhealthy(1) {
 		t.Fatal("a node that fails is not in doubt")
 	}
 	for ago, avoided := range map[time.Duration]int{0: 1, avoidedFor: 1, avoidedFor + time.Millisecond: 2} {
--- a/broker/observe_test.go
+++ b/broker/observe_test.go
@@ -130,12 +130,12 @@
 	c.queries[1] = q
 	p := &part{id: 5, q: q, shard: 3}
 	c.parts[5] = p
-	c.send(&decide.Action{ID: 5, Addr: 1, Doubt: true}, now)
+	c.send(&decide.Action{ID: 5, Addr: 1, Unhealthy: true}, now)
 	c.send(&decide.Action{ID: 5, Addr: 2}, now)
 	c.giveUp(p.tries[0], now)
 	c.ended(p.tries[1], decide.Failed, ByNode, now, now)
 	c.send(&decide.Action{ID: 5, Addr: 2}, now)
-	c.carryOut(&decide.Action{Kind: decide.Log, Addr: 2, Doubt: true, Text: "x"}, now)
+	c.carryOut(&decide.Action{Kind: decide.Log, Addr: 2, Unhealthy: true, Text: "x"}, now)
 	want := []string{
 		fmt.Sprintf("opened 1 shard 3 n 0 why %d", Trial), fmt.Sprintf("opened 2 shard 3 n 1 why %d", Copy), "cancelled 1",
 		fmt.Sprintf("ended 2 %d by 0", decide.Failed), fmt.Sprintf("opened 3 shard 3 n 2 why %d", Retry), "doubted b true",
--- a/broker/roster.go
+++ b/broker/roster.go
@@ -25,7 +25,7 @@
 }
 
 func (c *Core) roster(r Roster, now time.Time) {
-	e := decide.Event{Kind: decide.ListNews, List: r.Kind}
+	e := decide.Event{Kind: decide.ListUpdate, List: r.Kind}
 	if r.Kind == decide.ListFailed {
 		c.events = append(c.events, e)
 		return
@@ -37,7 +37,7 @@
 		}
 		for _, n := range c.nodes {
 			if !listed[n.ID] {
-				n.depart(decide.Gone, now)
+				n.depart(decide.Removed, now)
 			}
 		}
 	}
@@ -65,7 +65,7 @@
 	var all []Node
 	for addr, n := range c.nodes {
 		switch {
-		case n.State != decide.Gone:
+		case n.State != decide.Removed:
 			if n.Latest = (time.Time{}); !n.left.IsZero() {
 				n.Latest = n.left.Add(c.drainGuard())
 			}
@@ -82,7 +82,7 @@
 }
 
 func (c *Core) drainGuard() time.Duration {
-	return min(drainGuard, duration(c.opts.Settings.DrainMs/2))
+	return min(drainGuard, duration(c.opts.Settings.DrainGraceMs/2))
 }
 
 func (n *node) depart(s decide.State, now time.Time) {
--- a/config/config.go
+++ b/config/config.go
@@ -369,9 +369,9 @@
 	// the list and the clients name things as they stand here.
 	c.Zones, c.Kinds = names(tree["zones"]), names(tree["kinds"])
 	for i := range s.Classes {
-		if s.Classes[i].Fetch > 0 { // the protocol has no form for it: the first answer is the last
+		if s.Classes[i].SecondStepParts > 0 { // the protocol has no form for it: the first answer is the last
 			c.Notes = append(c.Notes, Field{"settings.domain.classFetch", errors.New("second steps have no form on this protocol, left out")})
-			s.Classes[i].Fetch = 0
+			s.Classes[i].SecondStepParts = 0
 		}
 		name := ""
 		if all, ok := tree["classes"].([]any); ok && i < len(all) {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -26,8 +26,8 @@
 		c.ConnectTimeout != 250*time.Millisecond || c.ConnIdle != 30*time.Second || len(c.Known.Nodes) != 1 || c.Known.Nodes[0].Zone != 1 {
 		t.Errorf("got %+v", c)
 	}
-	if len(s.Classes) != 4 || s.Classes[1].Effect != decide.Keyed || s.Classes[3].Floor != 0.5 || s.MaxAttempts != 3 ||
-		!s.SecondCopies || s.Shards != 18 || c.Classes[1].Name != "edit" || !c.Classes[1].Keyed || c.Classes[0].Keyed {
+	if len(s.Classes) != 4 || s.Classes[1].Effect != decide.Keyed || s.Classes[3].MinShare != 0.5 || s.MaxAttempts != 3 ||
+		!s.AllowCopies || s.Shards != 18 || c.Classes[1].Name != "edit" || !c.Classes[1].Keyed || c.Classes[0].Keyed {
 		t.Errorf("settings %+v", s)
 	}
 }
@@ -46,7 +46,7 @@
 	} {
 		data := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), extra)
 		c, err := Parse(data, none)
-		if err != nil || len(c.Notes) != 1 || c.Notes[0].Path != path || c.Settings.Classes[1].Fetch != 0 {
+		if err != nil || len(c.Notes) != 1 || c.Notes[0].Path != path || c.Settings.Classes[1].SecondStepParts != 0 {
 			t.Errorf("%s: got %+v, %v", path, c, err)
 		}
 		if _, err := Check(testkit.WriteFile(t, data), none); err == nil || !strings.Contains(err.Error(), path) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -178,7 +178,7 @@
 	d.nodes = nodeclient.New(nodeclient.Options{
 		Loop: loop, Dialer: dialer, Sink: s, StreamsPerConn: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
 		ConnIdle: cfg.ConnIdle, MaxConns: frames, Observer: wire,
-		Probes: cfg.Settings.MayProbe, NoCancel: !cfg.Settings.MayCancel, Log: log,
+		Probes: cfg.Settings.AllowProbes, NoCancel: !cfg.Settings.AllowCancel, Log: log,
 	})
 	d.remote = flightnode.New(flightnode.Options{
 		Sink: s, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ConnIdle: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wire, Log: log,
@@ -280,11 +280,11 @@
 func (d *Daemon) followAt(addr string, known *int64) {
 	ctx, end := context.WithCancel(context.Background())
 	brokers := 0
-	if d.cfg.Settings.AskForList {
+	if d.cfg.Settings.MustSubscribe {
 		brokers = d.cfg.Settings.Roots
 	}
 	told := toldWithin
-	if ms := d.cfg.Settings.AskWithinMs; ms > 0 {
+	if ms := d.cfg.Settings.MaxSubscribeIntervalMs; ms > 0 {
 		told = min(told, time.Duration(ms*float64(time.Millisecond)))
 	}
 	heard, deliver := d.seen.source(end)
@@ -392,7 +392,7 @@
 	all := make([]tracing.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
 		s := &cfg.Settings.Classes[i]
-		all[i] = tracing.Class{Name: c.Name, Wanted: ms(s.AimMs), Stretch: s.AimStretch, Most: ms(s.DeadlineMs)}
+		all[i] = tracing.Class{Name: c.Name, Wanted: ms(s.ObjectiveMs), Stretch: s.ObjectiveWorkFactor, Most: ms(s.DeadlineMs)}
 	}
 	return all
 }
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -128,7 +128,7 @@
 		clear(r.nodes)
 	}
 	for _, n := range news.Nodes {
-		if r.nodes[n.ID] = n; n.State == decide.Gone {
+		if r.nodes[n.ID] = n; n.State == decide.Removed {
 			delete(r.nodes, n.ID)
 		}
 	}
--- a/decide/api.go
+++ b/decide/api.go
@@ -1,115 +1,115 @@
-// Package decide makes the decisions of an aggregator (a root) that serves
-// queries from many shards: which replica each part of a query is sent to,
-// when a straggling part gets a copy, when a part is tried elsewhere, when the
-// query is answered, and which queries are turned away.
+// Package decide is the decision module of a root, the aggregator that serves
+// queries from many shards. It chooses the replica for each part of a query,
+// copies parts that straggle, retries parts that fail, decides when a query is
+// answered, and sheds queries that are not expected to meet their objective.
 //
-// The package does no input or output and reads no clock. A caller makes one
-// Root per aggregator with New, hands it the events of each turn with
+// The package does no input or output and reads no clock. A caller creates one
+// Root per aggregator with New, passes it the events of each turn with
 // Root.Step, and carries out the actions that Step returns.
 //
-// This file is the interface; every decision stands in decide.go.
+// This file holds the types of the interface; the decisions are in decide.go.
 package decide
 
-// Addr names a replica. It is opaque: it is compared and given back unchanged.
+// Addr identifies a replica. It is opaque: it is only compared and returned unchanged.
 type Addr uint64
 
-// Effect says what a repeat of a part may do.
+// Effect says under which conditions a part may be repeated.
 type Effect uint8
 
-// The kinds of class.
+// The effects of a class of query.
 const (
-	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // repeats are dropped for WindowMs after the first attempt
+	Safe   Effect = iota // may be repeated and refused at any time
+	Keyed                // replicas drop repeats for DedupWindowMs after the first attempt
 	Unsafe               // repeated or refused only if no attempt can have run
 )
 
 // Class describes one class of query.
 type Class struct {
-	AimMs      float64 // an answer within this earns its full worth
-	AimStretch float64 // the aim grows by this multiple of the query's own work
-	DeadlineMs float64 // the client waits no longer, over all its tries
-	LateShare  float64 // share of the worth earned between aim and deadline
-	Worth      float64
-	Effect     Effect
-	WindowMs   float64 // for Keyed
-	Stream     bool
-	Need       float64 // share of the first step's weight that makes a whole answer
-	Floor      float64 // least share an answer may rest on
-	Partial    float64 // a partial answer earns this times share / Need
-	Fetch      int     // parts of the second step; 0 for one step only
+	ObjectiveMs         float64 // latency target: an answer within this time earns the full worth
+	ObjectiveWorkFactor float64 // the objective is extended by this multiple of the query's own work
+	DeadlineMs          float64 // the client gives up after this time, over all its tries
+	LateWorthShare      float64 // share of the worth that an answer between objective and deadline earns
+	Worth               float64
+	Effect              Effect
+	DedupWindowMs       float64 // for Keyed
+	Stream              bool
+	CompleteShare       float64 // share of the first step's weight that makes a complete answer
+	MinShare            float64 // least share of the weight that an answer may be built from
+	PartialWorth        float64 // a partial answer earns this times share / CompleteShare
+	SecondStepParts     int     // parts of the second step; 0 for queries of one step
 }
 
 // Tenant describes one tenant.
 type Tenant struct {
-	PerS  float64 // queries a second, over all roots, within its share
-	Share float64
+	QueriesPerSecond float64 // the allowance within the tenant's share, over all roots
+	Share            float64
 }
 
-// Settings is what a root is told at its start. Times are in milliseconds.
+// Settings is the configuration of a root at its start. Times are in milliseconds.
 type Settings struct {
-	Index, Roots   int // this root's number, and how many roots there are
+	Index, Roots   int // number of this root, and how many roots there are
 	Zone           int
-	TickMs         float64 // turns come at most this often
-	AskForList     bool    // list changes come only to those who subscribe
+	TickMs         float64 // shortest time between two turns
+	MustSubscribe  bool    // list changes are sent to subscribers only
 	Classes        []Class
 	Tenants        []Tenant
-	OverShareWorth float64 // part of its worth a query keeps beyond its tenant's share
-	WorthByWork    bool
-
-	Cells, InARow int     // shard s is held by cells s to s+InARow-1, modulo Cells
-	Shards        int     // number of shards
-	BundleMax     int     // parts of one call at most
-	CallWorkMs    float64 // work of a call beside that of its parts
-	WarmKeys      bool    // a replica serves a key it has met lately with less work
-
-	MaxAttempts     int // for one part; 0: unlimited
-	MaxOpen         int // queries and parts held at once; 0: unlimited
-	MaxRetryAfterMs float64
-	RetryAfter      bool // clients are told retry hints
-	SecondCopies    bool // a part may have two attempts out at once
-	MayCancel       bool
-	MayProbe        bool
-	MayTell         bool
-
-	ReportFields []string // names of the values of a load report, as in Load*
-	ReportInline bool     // load reports come with outcomes, not only probes
-
-	GraceMs     float64 // a final answer still counts this long after the deadline
-	AskWithinMs float64 // with AskForList: the longest silence allowed
-	DrainMs     float64 // sends to a draining replica must end within this
-	ColdFrom    float64 // share of its capacity a replica starts at
-	ColdMs      float64 // it is warm after this
-	FallTimes   float64 // sent more than this times its capacity ...
-	FallMs      float64 // ... for this long, a cold replica falls over
-	HasBudget   bool    // further attempts are rationed
-	ExtraFloor  float64 // further attempts that need not be earned
-	ExtraShare  float64 // further attempts earned by a query or part taken in
-	ExtraSpanMs float64 // the window over which both are counted
-
-	PriceCross     float64 // price of a part that crosses zones
-	PriceHandshake float64 // price of a new connection, for each part
-	PriceProbe     float64 // price of a probe a part
-	PriceWaste     float64 // price of wasted work
+	OverShareWorth float64 // factor on the worth of a query beyond its tenant's allowance
+	WorthIsPerWork bool    // Class.Worth is per unit of work, not per query
+
+	Cells, CellsPerShard int     // shard s is held by cells s to s+CellsPerShard-1, modulo Cells
+	Shards               int     // number of shards
+	MaxPartsPerCall      int     // most parts that leave in one call
+	CallOverheadMs       float64 // work of a call in addition to that of its parts
+	ReplicasCacheKeys    bool    // a key that a replica has served recently takes it less work
+
+	MaxAttempts       int // most attempts of one part; 0: unlimited
+	MaxOpen           int // most queries and parts held at once; 0: unlimited
+	MaxRetryAfterMs   float64
+	SendRetryAfter    bool // refusals carry a hint when to retry
+	AllowCopies       bool // a part may have two attempts open at once
+	AllowCancel       bool
+	AllowProbes       bool
+	AllowPeerMessages bool
+
+	LoadReportFields []string // names of the values of a load report, as in Load*
+	LoadReportInline bool     // load reports come with every outcome, not only with probes
+
+	AnswerGraceMs          float64 // a final answer still counts this long after the deadline
+	MaxSubscribeIntervalMs float64 // with MustSubscribe: longest time between two requests for the list
+	DrainGraceMs           float64 // attempts at a draining replica must end within this time
+	ColdCapacityShare      float64 // share of its capacity that a replica starts with
+	WarmUpMs               float64 // time from its start until a replica is warm
+	ColdOverloadFactor     float64 // a cold replica fails if sent more than this times its capacity ...
+	ColdOverloadMs         float64 // ... for this long
+	HasRetryBudget         bool    // further attempts, retries and copies alike, are limited by the next three
+	RetryBudgetFloor       float64 // further attempts in the window that are always allowed
+	RetryBudgetRatio       float64 // further attempts allowed for each query or part that arrives
+	RetryBudgetWindowMs    float64 // window over which both are counted
+
+	CrossZonePenalty float64 // penalty of a part that crosses zones
+	HandshakePenalty float64 // penalty of a new connection, for each part
+	ProbePenalty     float64 // penalty of one probe for each part
+	WastePenalty     float64 // penalty of wasted work
 }
 
 // Names of the values in a load report.
 const (
-	LoadHeld    = "held"    // requests in hand
-	LoadWaiting = "waiting" // requests waiting
-	LoadBusy    = "busy"    // share of the processors busy
-	LoadTime    = "time"    // recent service time, milliseconds
-	LoadRate    = "rate"    // requests a second
-	LoadErrors  = "errors"  // errors a second
+	LoadInFlight    = "held"    // requests in progress
+	LoadQueued      = "waiting" // requests that wait
+	LoadUtilization = "busy"    // share of the processors in use
+	LoadServiceTime = "time"    // recent service time in milliseconds
+	LoadRequestRate = "rate"    // requests per second
+	LoadErrorRate   = "errors"  // errors per second
 )
 
-// State is what the list says of a replica.
+// State is the state of a replica according to the list.
 type State uint8
 
 // The states of a replica.
 const (
 	Ready State = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Member is one entry of the list of replicas.
@@ -119,19 +119,19 @@
 	Kind    int
 	Cell    int
 	State   State
-	Size    float64
-	ReadyAt float64 // time of its last start; 0: long past
+	Size    float64 // relative capacity
+	ReadyAt float64 // time of its last start in milliseconds; 0: long ago
 }
 
-// ListKind says how a list event is to be read.
+// ListKind says how the members of a list update relate to the list that is known.
 type ListKind uint8
 
-// The kinds of list event.
+// The kinds of list update.
 const (
-	ListCached ListKind = iota // the whole list, maybe old
-	ListFull                   // the whole list
+	ListCached ListKind = iota // the complete list, perhaps outdated
+	ListFull                   // the complete list
 	ListDelta                  // changed entries only
-	ListFailed                 // asking failed; the old list stands
+	ListFailed                 // the request for the list failed; the known list stays in use
 )
 
 // Outcome says how an attempt ended.
@@ -139,92 +139,92 @@
 
 // The outcomes of an attempt.
 const (
-	OK          Outcome = iota
-	Failed              // answered with an error; may have run
-	Rejected            // turned away unseen; never ran
-	TimedOut            // no answer in time; may have run
-	Unreachable         // no connection; never ran
-	Broken              // connection lost; may have run
-	Cancelled           // called off; may have run
-	NotSent             // never sent
+	OK             Outcome = iota
+	Failed                 // answered with an error; may have run
+	Rejected               // refused by the replica before any work; never ran
+	TimedOut               // no answer in time; may have run
+	Unreachable            // no connection; never ran
+	ConnectionLost         // the connection broke during the attempt; may have run
+	Cancelled              // cancelled by the root; may have run
+	NotSent                // never sent
 )
 
-// EventKind says which fields of an Event count.
+// EventKind says which fields of an Event are set.
 type EventKind uint8
 
-// The kinds of event.
+// The kinds of event, each with the fields that it sets.
 const (
-	QueryCame   EventKind = iota // ID Class Tenant Key LeftMs WorkMs Number Parts Hinted Retry Write
-	PartCame                     // as QueryCame, with Shard and Weight
-	AttemptDone                  // ID Attempt Addr Outcome TookMs Load
-	StreamBegan                  // ID Attempt Addr TookMs; carried only, no decision uses it
-	ClientLeft                   // ID
-	TimerFired                   // Token
-	ListNews                     // List Members
-	ProbeDone                    // Addr Outcome TookMs Load
-	PeerSaid                     // Peer Text
+	QueryArrived       EventKind = iota // ID Class Tenant Key TimeLeftMs EstimatedWorkMs Number Parts HasEstimate Retry Write
+	PartArrived                         // as QueryArrived, with Shard and Weight
+	AttemptDone                         // ID Attempt Addr Outcome ElapsedMs Load
+	StreamStarted                       // ID Attempt Addr ElapsedMs; no decision uses it
+	ClientDisconnected                  // ID
+	TimerFired                          // Token
+	ListUpdate                          // List Members
+	ProbeDone                           // Addr Outcome ElapsedMs Load
+	PeerMessage                         // Peer Text
 )
 
-// Event is one thing that happened. Which fields count depends on Kind.
+// Event is one input of a turn. Its Kind says which fields are set.
 type Event struct {
-	Kind    EventKind
-	ID      uint64 // the query or part
-	Addr    Addr
-	Class   int
-	Tenant  int
-	Key     uint64  // 0: none
-	LeftMs  float64 // how long the client still waits for this try
-	WorkMs  float64 // guess of the cost, if Hinted
-	Number  float64 // number of the query at this root; its parts bear the same
-	Shard   int
-	Weight  float64 // a part's share of its step
-	Parts   int     // how many parts follow the query
-	Hinted  bool
-	Retry   bool // the client marked this as a further try
-	Write   bool
-	Attempt int
-	Outcome Outcome
-	TookMs  float64
-	Load    []float64 // values as in Settings.ReportFields; empty: none
-	Token   uint64
-	List    ListKind
-	Members []Member
-	Peer    int
-	Text    []byte
+	Kind            EventKind
+	ID              uint64 // of the query or part
+	Addr            Addr
+	Class           int     // index in Settings.Classes
+	Tenant          int     // index in Settings.Tenants
+	Key             uint64  // 0: none
+	TimeLeftMs      float64 // how much longer the client waits for this try
+	EstimatedWorkMs float64 // estimate of the work, if HasEstimate
+	Number          float64 // number of the query at this root; its parts carry the same
+	Shard           int
+	Weight          float64 // share of a part in the weight of its step
+	Parts           int     // number of parts that follow the query
+	HasEstimate     bool
+	Retry           bool // the client marked the query as a retry
+	Write           bool
+	Attempt         int // number of the attempt of its part, from 0
+	Outcome         Outcome
+	ElapsedMs       float64
+	Load            []float64 // values of the Settings.LoadReportFields; empty: no report
+	Token           uint64
+	List            ListKind
+	Members         []Member
+	Peer            int
+	Text            []byte
 }
 
-// ActionKind says which fields of an Action count.
+// ActionKind says which fields of an Action are set.
 type ActionKind uint8
 
-// The kinds of action.
+// The kinds of action, each with the fields that it sets.
 const (
-	Send      ActionKind = iota // ID Addr Ms (time-out; 0: until the client gives up) Doubt (the replica is in doubt)
-	Cancel                      // ID Attempt
-	Timer                       // Ms Token
-	Answer                      // ID Whole
-	Refuse                      // ID Ms (retry hint; 0: none)
-	Abort                       // ID
-	Probe                       // Addr
-	Tell                        // Peer (AllPeers: every other root) Text
-	Log                         // Text Addr (0: none) Doubt (Addr is in doubt from now on)
-	Subscribe                   // Whole (false: end the subscription)
-	FetchList                   // no field
-	CloseIdle                   // Addr
+	Send        ActionKind = iota // ID Addr Ms (timeout; 0: until the client gives up) Unhealthy (the replica is)
+	Cancel                        // ID Attempt
+	Timer                         // Ms Token
+	Answer                        // ID Complete
+	Refuse                        // ID Ms (when to retry; 0: no hint)
+	Abort                         // ID
+	Probe                         // Addr
+	MessagePeer                   // Peer (AllPeers: every other root) Text
+	Log                           // Text Addr (0: none) Unhealthy (the replica at Addr is from now on)
+	Subscribe                     // Complete (false: end the subscription)
+	FetchList                     // no field
+	CloseIdle                     // Addr
 )
 
-// AllPeers addresses every other root in a Tell action.
+// AllPeers addresses every other root in a MessagePeer action.
 const AllPeers = -1
 
-// Action is one thing to do. Which fields count depends on Kind.
+// Action is one output of a turn, for the caller to carry out. Its Kind says which fields are set.
 type Action struct {
-	Kind    ActionKind
-	ID      uint64
-	Addr    Addr
-	Attempt int
-	Ms      float64
-	Token   uint64
-	Whole   bool
-	Doubt   bool
-	Peer    int
-	Text    string
+	Kind      ActionKind
+	ID        uint64 // of the query or part
+	Addr      Addr
+	Attempt   int // number of the attempt of its part, from 0
+	Ms        float64
+	Token     uint64
+	Complete  bool
+	Unhealthy bool
+	Peer      int
+	Text      string
 }
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -11,7 +11,7 @@
 // than the N parts that the settings allow then, in the worst window that begins after
 // from, N being reckoned from what a warm replica bears; and how much it got in all.
 func (f *fleet) coldExcess(cold Addr, back, from, warm float64) (worst float64, all int) {
-	s := &f.roots[0].s
+	s := &f.roots[0].settings
 	var at []float64
 	for _, x := range f.sends {
 		if x.to == cold && x.at >= from {
@@ -20,10 +20,10 @@
 	}
 	first := 0
 	for last, now := range at {
-		for now-at[first] > s.FallMs {
+		for now-at[first] > s.ColdOverloadMs {
 			first++
 		}
-		n := s.FallTimes * warm * min(1, s.ColdFrom+(1-s.ColdFrom)*(at[first]-back)/s.ColdMs) * s.FallMs
+		n := s.ColdOverloadFactor * warm * min(1, s.ColdCapacityShare+(1-s.ColdCapacityShare)*(at[first]-back)/s.WarmUpMs) * s.ColdOverloadMs
 		worst = max(worst, (float64(last-first+1)-n)/(2*math.Sqrt(n)+2))
 	}
 	return worst, len(at)
@@ -55,7 +55,7 @@
 				t.Run(fmt.Sprintf("%d roots, calls of %d, %s, draw %d", roots, bundle, c.name, draw), func(t *testing.T) {
 					t.Parallel()
 					s := large(roots, cells)
-					s.BundleMax = bundle
+					s.MaxPartsPerCall = bundle
 					f := newFleet(t, s, members(nodes, cells))
 					f.rng = rand.New(rand.NewPCG(draw, draw+1))
 					fails := math.Inf(1)
@@ -79,10 +79,10 @@
 					fails = back + c.fails
 					load(told - 200)
 					for i := range f.roots {
-						e := Event{Kind: ListNews, List: ListDelta, Members: all[cold-1 : cold]}
+						e := Event{Kind: ListUpdate, List: ListDelta, Members: all[cold-1 : cold]}
 						if c.restart && i%2 == 0 {
 							f.restart(i, s)
-							e = Event{Kind: ListNews, List: ListCached, Members: all}
+							e = Event{Kind: ListUpdate, List: ListCached, Members: all}
 						}
 						f.push(happening{at: f.now + 200*f.rng.Float64(), root: i, event: e})
 					}
--- a/decide/deadline.go
+++ b/decide/deadline.go
@@ -1,20 +1,22 @@
 package decide
 
-// A final answer has its way to go: the root's turn, the socket, and the client's own turn,
-// each of which may wait on a busy machine. A client that stops waiting at its deadline has
-// no answer when one comes behind it. What a root gives up for want of time it therefore
-// gives up a reserve before the deadline.
+// A final answer passes through the root's turn, the socket and the client's own turn, and
+// each of these may be delayed on a busy machine. A client that stops waiting at its deadline
+// does not see an answer that arrives later, so a root that runs out of time gives a query up
+// some time before the deadline.
 const (
-	reserveMostMs = 50   // as much as the protocol lengthens each time limit on sockets
-	reserveShare  = 0.02 // of the time that a query has, where deadlines are short
+	maxReserveMs = 50   // as much as the protocol extends each time limit on sockets
+	reserveShare = 0.02 // share of the time that a query has, for short deadlines
 )
 
-// reserve is how long before its deadline a query of so much time, in milliseconds, is given
-// up. It is endTicks turns at least.
-func (s *Settings) reserve(leftMs float64) float64 {
-	return max(endTicks*s.TickMs, min(reserveMostMs, reserveShare*leftMs))
+// reserveMs returns how long before its deadline a query with the given time is given up, in
+// milliseconds. It is at least minReserveTicks turns.
+func (s *Settings) reserveMs(timeLeftMs float64) float64 {
+	return max(minReserveTicks*s.TickMs, min(maxReserveMs, reserveShare*timeLeftMs))
 }
 
-// GivenUpAfter is how long after it came a query of so much time is given up for want of
-// time, both in milliseconds.
-func (s *Settings) GivenUpAfter(leftMs float64) float64 { return leftMs - s.reserve(leftMs) }
+// GiveUpAfterMs returns how long after its arrival a query with the given time is given up,
+// in milliseconds.
+func (s *Settings) GiveUpAfterMs(timeLeftMs float64) float64 {
+	return timeLeftMs - s.reserveMs(timeLeftMs)
+}
--- a/decide/deadline_test.go
+++ b/decide/deadline_test.go
@@ -12,7 +12,7 @@
 		{4000, 50}, {3000, 50}, {2500, 50}, {1000, 20}, {480, 10}, {60, 10},
 	} {
 		s := settings()
-		s.Classes[0].Effect, s.Classes[0].DeadlineMs, s.Classes[0].AimMs = Unsafe, c.deadline, c.deadline/2
+		s.Classes[0].Effect, s.Classes[0].DeadlineMs, s.Classes[0].ObjectiveMs = Unsafe, c.deadline, c.deadline/2
 		b := start(t, s, 2, 5)
 		q, parts := b.query(0, 1)
 		b.step(0)
@@ -33,7 +33,7 @@
 // aim, two turns before that and no sooner.
 func TestReserveIsOfTheDeadlineNotOfTheAim(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateShare = 0
+	s.Classes[0].LateWorthShare = 0
 	b := start(t, s, 2, 5)
 	q, parts := b.query(0, 1)
 	b.step(0)
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,6 +1,7 @@
 package decide
 
-// Every decision, in reading order, from the tuned values to the list. The interface stands in api.go.
+// The decisions, in the order in which a turn takes them after the constants and types. The types of the
+// interface are in api.go.
 
 import (
 	"cmp"
@@ -11,667 +12,758 @@
 	"slices"
 )
 
-// The tuned values. All but the design's own are ratios, to follow what a deployment shows of itself.
+// Tuning constants. Apart from those that the design prescribes, they are ratios wherever possible, so that
+// they follow the latencies and rates of a deployment.
 const (
-	pMax     = 0.1  // the design's cap on p, and p until samples exist
-	mu       = 0.1  // the design's bound on extra busy time in rule (19)
-	pSteps   = 5    // candidates above zero for p: a fine grid gains nothing over noise
-	pSamples = 200  // first-send times kept per class: some tens of seconds at usual rates
-	pDraws   = 60   // bootstrap rounds: enough to rank six candidates, cheap
-	pEveryMs = 3000 // between looks at p: a few seconds, as the design asks
-
-	smooth   = 0.12 // weight of one answer in a replica's latency: parts differ, some eight make a change
-	fade     = 30   // old news of a replica fades over this many typical latencies
-	fadeNews = 8    // or, where we are one root among many, over as many sends to it
-	fadeMost = 40   // shortest aims over which it does at most
-	rareMost = 0.4  // weight of one answer where they are rare: what it tells is old before eight have come
-	rareFrom = 1    // they are where this share of news has faded between two sends
-
-	priceCare = 20   // latency we would pay for each unit of a told price, of another zone or a new connection
-	silent    = 5.0  // answers overdue by this many typical latencies make a replica suspect or slow
-	overdue   = 1.5  // a part this many typical latencies old at a suspect replica is tried elsewhere
-	blame     = 0.35 // how far one failure moves the evidence towards certainty
-	suspectAt = 0.5  // two failures close together pass it, one does not
-	groupBad  = 0.7  // share of a zone and kind's attempts without answer at which all of it is doubted
-	trustAt   = 0.2  // two or three answers in a row restore trust
-	livedMin  = 1.5  // so many broken connections, each with an answer after it,
-	livedPer  = 4.0  // and so many for each that was refused next, tell nothing of the query
-	warySpan  = 20   // shortest aims for which what a replica died of may come again
-	letIn     = 5    // shortest aims without news over which latencies fade to calm: few tries go in vain
-	trialPart = 10   // one part in so many, and one, may try a replica in doubt
-	trialGap  = 8.0  // typical latencies before a suspect replica is tried again
-	trialNews = 4.0  // or, where we are one root among many, so many sends to one
-	fullRest  = 4.0  // typical latencies, half of them to one and a half times, that a full replica is spared
-	rareBlame = 0.7  // blame where answers are rare: one tells as much as will be known
-	flakyMost = 0.95 // a replica that fails parts at once may be asked first while it fails no larger share
-
-	roomAim   = 0.8  // on a pressed fleet a query of usual worth must be predicted within this share of its aim
-	roomLeast = 0.5  // and one of little worth within this share: the first to go
-	givenMax  = 20   // times given to tries, kept to tell a habit from what is left to one client
-	lateMost  = 0.15 // share of late queries at which predictions are scaled in full
-	slipMax   = 3    // one query's time counts as this many times its predicted at most
-	usualOver = 50   // queries over which the usual worth for work is smoothed
-
-	copyShare  = 0.5   // copies leave the rest of the budget to tries after failures
-	ownShare   = 0.15  // further attempts a part earns where no budget is told: modest
-	ownFloor   = 10    // and those that need no earning
-	ownSpanMs  = 10000 // over this window
-	coldShare  = 0.75  // of the told fall budget: other roots may carry more traffic than we do
-	coldSaved  = 0.25  // of the told fall time, over which a root saves up what it does not send
-	rateSpanMs = 5000  // window of the usual send rate: long beside gaps between sends
-	askFirstMs = 100   // first pause before asking for the list again; doubles, with jitter
-	calmRise   = 0.05  // the calm level is relearned upwards by this share at each look at p
-	sweepTicks = 4     // ticks between looks at what is open
-	endTicks   = 2     // ticks kept between the final answer and the end of a query's use, at least
-	fetchTimes = 2     // usual second steps' times, or typical latencies, kept for a second step
+	maxCopyFraction        = 0.1  // bound of the design on p, the fraction of parts that is copied; used until there are samples
+	maxExtraWork           = 0.1  // fraction of the work without copies: the design's bound in its rule (19)
+	copyFractionSteps      = 5    // number of candidates for p above zero; a finer grid gains nothing over the noise
+	maxLatencySamples      = 200  // first-send times kept per class: some tens of seconds at usual rates
+	bootstrapRounds        = 60   // number of rounds: enough to rank six candidates, and cheap
+	copyFractionIntervalMs = 3000 // between two choices of p; the design asks for a few seconds
+
+	// Measurements of a replica lose weight with a time constant of decayLatencies mean latencies. At one root
+	// among many it is decaySends intervals between sends to a replica, if that is longer, up to
+	// maxDecayObjectives shortest objectives.
+	smoothingFactor    = 0.12 // weight of one answer: parts differ in work, so some eight answers make a change
+	decayLatencies     = 30   // mean latencies
+	decaySends         = 8    // intervals between sends to one replica
+	maxDecayObjectives = 40   // shortest objectives
+	maxSparseSmoothing = 0.4  // weight of one answer if they are sparse: the first of eight would be outdated
+	sparseThreshold    = 1    // time constants (decayLatencies) between two sends from which answers are fully sparse
+
+	penaltyWeight          = 20   // share added to a latency for each unit of a zone or connection penalty
+	silenceLatencies       = 5.0  // expected latencies without an answer that make a replica suspected or slow
+	overdueLatencies       = 1.5  // expected latencies after which a part at an unhealthy replica is sent elsewhere
+	failureWeight          = 0.35 // weight of one failure in a replica's suspicion
+	suspectThreshold       = 0.5  // suspicion from 0 to 1: two failures in quick succession exceed it, one does not
+	groupFailureThreshold  = 0.7  // share of attempts without answer above which all of a zone and kind is unhealthy
+	trustThreshold         = 0.2  // suspicion from 0 to 1: two or three successive answers restore trust
+	minSurvivals           = 1.5  // lost connections followed by an answer: above this count, and
+	survivalsPerDeath      = 4.0  // above this count per loss followed by a refused connection, no query is blamed
+	cautionObjectives      = 20   // shortest objectives for which the cause of a replica's crash may recur
+	idleDecayObjectives    = 5    // shortest objectives without any answer: the time constant back to the baseline
+	partsPerTrial          = 10   // parts of a query: one in this many, and one more, may be a trial
+	trialIntervalLatencies = 8.0  // median latencies between two trials of a suspected replica,
+	trialIntervalSends     = 4.0  // or this many intervals between sends to one replica, at one root among many
+	fullBackoffLatencies   = 4.0  // median latencies, with a jitter of half, for which a full replica gets no parts
+	sparseFailureWeight    = 0.7  // weight of one failure if outcomes are sparse: there will hardly be further evidence
+	maxFlakyFailureRate    = 0.95 // share of failed attempts up to which a replica that fails fast may be tried first
+
+	usualAdmissionShare    = 0.8  // share of its objective that a query of mean worth must be predicted within under load
+	minAdmissionShare      = 0.5  // the same share for a query of little worth, which is shed first
+	maxTimeoutSamples      = 20   // latest client timeouts kept, to tell a usual timeout from the rest of a deadline
+	fullCorrectionLateRate = 0.15 // share of late queries from which predictions are corrected in full
+	maxOverrun             = 3    // highest ratio of actual to predicted time that one query counts with
+	worthSamples           = 50   // number of queries over which the mean worth per work is smoothed
+
+	copyBudgetShare           = 0.5   // share of the retry budget open to copies; the rest is for retries after failures
+	defaultRetryRatio         = 0.15  // further attempts per arriving query or part if no budget is configured: modest
+	defaultRetryFloor         = 10    // further attempts that are allowed in any case then
+	defaultRetryWindowMs      = 10000 // window of both
+	coldBudgetShare           = 0.75  // share of the configured overload budget: other roots may carry more traffic
+	coldBurstShare            = 0.25  // share of ColdOverloadMs over which unused budget accumulates
+	rateDecayMs               = 5000  // time constant of send rates: long compared with the gaps between sends
+	initialSubscribeBackoffMs = 100   // doubles with each request for the list, with jitter
+	baselineRise              = 0.05  // share by which the baseline latency may rise at each choice of p
+	sweepIntervalTicks        = 4     // ticks between two checks of the open queries
+	minReserveTicks           = 2     // least number of ticks between a final answer and the time when it is worthless
+	secondStepReserve         = 2     // mean times of a second step, or median latencies, that are reserved for it
 )
 
+// attempt is one send of a part to a replica.
 type attempt struct {
-	p            *part
-	at           *replica
-	sent, woke   float64 // when it was sent, by the clock and by our waking time
-	load         float64 // parts out at the replica, this one included
-	turn         uint64  // sends of one turn to one replica share a call
-	until        float64 // ended without an answer, its work may go on until then
-	open, off    bool    // its outcome has not come; cancelled
-	unrun, quick bool    // proved never to have run; it found no connection, or failed in next to no time
+	part                 *part
+	replica              *replica
+	sentAt, sentActive   float64 // time of the send, by the clock and by activeTime
+	loadAtSend           float64 // parts in flight at the replica, this one included
+	turn                 uint64  // attempts sent to one replica in the same turn share a call
+	busyUntil            float64 // until when the replica may work on an attempt that ended without an answer
+	open, cancelled      bool    // open: its outcome is not known yet
+	neverRan, failedFast bool    // failedFast: it found no connection, or failed almost at once
 }
 
+// part is one part of a query, for one shard.
 type part struct {
-	id           uint64
-	q            *query
-	shard        int
-	weight, in   float64 // in: when its answer came
-	tries        []*attempt
-	first        *replica // picked for the first send
-	got, dropped bool     // answered; its query has ended or moved to the next step
-	scarce       bool     // needed, and when it was placed no holder was sound and had room
+	id                 uint64
+	query              *query
+	shard              int
+	weight, answeredAt float64
+	attempts           []*attempt
+	firstReplica       *replica // chosen for the first attempt
+	answered, dropped  bool     // dropped: its query has ended or moved to the second step
+	atRisk             bool     // required, and no holder was healthy and had room when it was placed
 }
 
+// query is an open query with the parts of its current step.
 type query struct {
-	came, predicted               float64
-	id                            uint64
-	number, aim, end, weight      float64 // weight: of the parts that are in
-	giveUp                        float64 // when it is given up for want of time
-	class, answered, left         int     // left: parts still out at the fork; 0: no fork
-	parts                         []*part
-	trials, broken                int  // parts first sent to replicas in doubt; under which a replica died
-	over, again, forked, wary     bool // over: beyond its tenant's share; wary: one part goes ahead
-	second, between, whole, ended bool // steps: at the second, between the two, the first was whole
+	startedAt, predictedMs                         float64 // of the current step
+	id                                             uint64
+	number, objectiveAt, expiresAt, answeredWeight float64 // expiresAt: an answer is worth nothing from then on
+	giveUpAt                                       float64 // when the root gives up for lack of time
+	classIndex, answeredParts, forkParts           int     // forkParts: unanswered parts at the fork; 0: no fork
+	parts                                          []*part
+	trials, lostParts                              int  // parts first sent to unhealthy replicas; under which a replica died
+	overQuota, retried, forked, cautious           bool // cautious: one part is sent ahead of the others
+	secondStep, betweenSteps, firstComplete, ended bool // firstComplete: the first step's answer was complete
 }
 
+// replica is what the root knows of one node.
 type replica struct {
 	Member
-	group              *group
-	since, told        float64 // start of its life as we judge it, -Inf: long past; when we heard of it
-	heard, suspect     bool
-	lat, load          float64 // smoothed latency, and parts out at the sends that it speaks of
-	quiet              float64 // how long it has answered nothing, with work of ours
-	faded, soon, level float64 // its latency, old news faded: for the choice, predictions, with its silence
-	out                []*attempt
-	lastNews           float64
-	fullTill           float64   // it turned a part away; sooner the next would be as well
-	mayTake, filledAt  float64   // parts that we may send while it is cold, and when that was reckoned
-	bad                float64   // evidence of failure, 0 to 1
-	shunned            []float64 // by class: till when, as it lost a part while it answered others
-	mute, down         bool      // suspect for its silence, which any answer ends; refused the last connection
-	brokeAt            float64   // when a connection broke, till the next answer or refusal tells why
-	fails, failMs      float64   // smoothed share of attempts that fail, and how soon they do
-	trialAt            float64   // when a suspect gets its next trial
+	group                  *group
+	startedAt, listedAt    float64 // its start as the root assumes it, -Inf: long ago; when the root heard of that
+	hasAnswered, suspected bool
+	latency, latencyLoad   float64 // smoothed latency, and the parts in flight at the sends it was measured at
+	silentMs               float64 // how long it has not answered while parts were in flight
+
+	// The latency with old measurements decayed, for comparisons; the same decayed as fast as queues drain, for
+	// predictions; and decayedLatency or silentMs, whichever is longer, for the choice of replicas.
+	decayedLatency, queueLatency, rankLatency float64
+
+	inFlight                  []*attempt
+	lastAnswerAt              float64
+	fullUntil                 float64   // after a rejection: earlier attempts would be rejected as well
+	coldTokens, tokensAt      float64   // parts that may be sent while it is cold, and when that was computed
+	suspicion                 float64   // evidence of failure, from 0 to 1
+	avoidedUntil              []float64 // by class: set when it lost a part of the class while it answered others
+	silent, refusedConnection bool      // suspected for silence, which any answer ends; refused the last connection
+	connectionLostAt          float64   // until the next answer or refusal shows whether it crashed
+	failureRate, failureMs    float64   // smoothed share of failed attempts, and time until they fail
+	nextTrialAt               float64   // when it may get its next trial, if suspected
 }
 
+// class is a Class with what the root has learned about its queries.
 type class struct {
 	Class
-	samples                []float64 // first-send times, the latest
-	given                  []float64 // times that the latest tries were given
-	slip, late, slipAt     float64   // smoothed ratio of the time taken to the predicted; share that ended late
-	k, p, chosenAt, waryTo float64   // parts, smoothed; copy share; last look at p; till when a part goes ahead
-	mean, fetch            float64   // smoothed time of a part and of a second step
+	firstSendMs                  []float64 // latest latencies of first sends
+	timeoutsMs                   []float64 // latest timeouts of clients
+	overrun, lateRate, overrunAt float64   // smoothed ratio of actual to predicted time; share of late queries
+
+	// The smoothed number of parts; p, the fraction of them that is copied, and when it was chosen; until when
+	// queries send one part ahead, as one has crashed replicas.
+	meanParts, copyFraction, fractionChosenAt, cautiousUntil float64
+
+	meanPartMs, secondStepMs float64 // smoothed time of a part and of a second step
 }
 
-// group is the replicas of one zone and kind: a slow way or kind of machine shows at all of them together.
+// group is the replicas of one zone and kind: a slow link or a slow kind of machine affects all of them.
 type group struct {
-	lat, level   float64 // smoothed latency; this turn's, with what open attempts prove
-	bad, trialAt float64 // smoothed share of attempts that got no answer; when it gets its next trial
+	latency, decayedLatency  float64 // smoothed latency; the same in this turn, raised by what open attempts prove
+	failureRate, nextTrialAt float64 // smoothed share of attempts without an answer; when it may get its next trial
 }
 
-// flow is a count that fades over rateSpanMs.
-type flow struct{ count, at float64 }
+// decayingCounter is a count that decays with the time constant rateDecayMs.
+type decayingCounter struct{ count, updatedAt float64 }
 
-func (f *flow) value(now float64) float64 { return f.count * math.Exp(-(now-f.at)/rateSpanMs) }
-func (f *flow) add(now float64)           { f.count, f.at = f.value(now)+1, now }
+func (c *decayingCounter) value(now float64) float64 {
+	return c.count * math.Exp(-(now-c.updatedAt)/rateDecayMs)
+}
+func (c *decayingCounter) add(now float64) { c.count, c.updatedAt = c.value(now)+1, now }
 
-// Root decides for one aggregator.
+// Root makes the decisions of one aggregator. It is not safe for concurrent use.
 type Root struct {
-	s               Settings
-	rng             *rand.Rand
-	now             float64
-	stalled, absent float64 // how long this root stood still before this turn, and in all
-	turn            uint64
-	processes       int // of this root's broker that run, this one included
-	out             []Action
-	replicas        map[Addr]*replica
-	groups          map[[2]int]*group // by zone and kind
-	listed          []*replica        // by address
-	cells           [][]*replica      // ready holders of the shards of each cell
-	parts           map[uint64]*part
-	byNumber        map[float64]*query
-	open, fresh     []*query // fresh: to be sent this turn
-	classes         []class
-
-	tenants                []flow    // what each tenant sent here inside its allowance
-	usualV, seen           float64   // smoothed worth for work of the queries that come; how many
-	extras, taken          []float64 // times: further attempts, and what was taken in
-	sent, called, died     flow      // sends, the calls they were in, and attempts under which a replica died
-	borne, units, judgedAt float64   // answers, and warm replicas times ms, fading over ColdMs; when
-	lived, lost            flow      // replicas that lived on after a connection broke, or refused the next part
-	average, typical       float64   // mean and median latency of replicas
-	aim, lastNews, waryTo  float64   // shortest aim of a class; the latest answer; till when a part goes ahead
-	born, gap, memory      float64   // first turn; between two sends of ours to a replica; how long news is kept
-	fleet, calm            float64   // mean level of the groups; the typical one when little waits
-	sweepAt, askAt, askGap float64
-	follows, told          bool // told: a list has come
+	settings                  Settings
+	rng                       *rand.Rand
+	now                       float64
+	stalledMs, totalStalledMs float64 // how long this root stood still before this turn, and in total
+	turn                      uint64
+	processes                 int // of this root's broker that run, this one included
+	actions                   []Action
+	replicas                  map[Addr]*replica
+	groups                    map[[2]int]*group // by zone and kind
+	listedReplicas            []*replica        // by address
+	holdersByCell             [][]*replica      // ready holders of the shards of each cell
+	parts                     map[uint64]*part
+	queriesByNumber           map[float64]*query
+	openQueries, newQueries   []*query // newQueries: to be sent in this turn
+	classes                   []class
+
+	tenantUsage             []decayingCounter // queries of each tenant within its allowance at this root
+	meanWorth, worthCount   float64           // smoothed worth per work of arriving queries; how many it is based on
+	extraAttempts, arrivals []float64         // times of further attempts, and of arriving queries and parts
+	sends, calls, crashes   decayingCounter   // attempts sent, the calls they were in, and those that a replica died under
+
+	// Answers, and the warm replicas integrated over time, both decaying with WarmUpMs; when that was updated.
+	servedParts, warmReplicaMs, assessedAt float64
+
+	survivals, deaths          decayingCounter // replicas that answered, or refused a connection, after they lost one
+	meanLatency, medianLatency float64         // over replicas
+
+	// The shortest objective of a class; the latest answer; until when every query sends one part ahead.
+	shortestObjectiveMs, lastAnswerAt, cautiousUntil float64
+
+	// The first turn; the time between two sends to one replica; the time constant of measurements.
+	firstStepAt, sendIntervalMs, decayMs float64
+
+	fleetLatency, baselineLatency float64 // mean over the groups' replicas; the usual latency while queues are short
+
+	nextSweepAt, nextSubscribeAt, subscribeBackoffMs float64
+	subscribed, hasList                              bool
 }
 
 // New returns a root that has just started.
 func New(s Settings, seed uint64) *Root {
-	s.Cells, s.BundleMax = max(1, s.Cells), max(1, s.BundleMax)
+	s.Cells, s.MaxPartsPerCall = max(1, s.Cells), max(1, s.MaxPartsPerCall)
 	r := &Root{
-		s: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
+		settings: s, rng: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15)),
 		replicas: map[Addr]*replica{}, groups: map[[2]int]*group{}, parts: map[uint64]*part{},
-		byNumber: map[float64]*query{}, cells: make([][]*replica, s.Cells), tenants: make([]flow, len(s.Tenants)),
-		askGap: askFirstMs, askAt: math.Inf(-1), sweepAt: math.Inf(-1), processes: 1,
+		queriesByNumber: map[float64]*query{}, holdersByCell: make([][]*replica, s.Cells),
+		tenantUsage:        make([]decayingCounter, len(s.Tenants)),
+		subscribeBackoffMs: initialSubscribeBackoffMs, nextSubscribeAt: math.Inf(-1), nextSweepAt: math.Inf(-1),
+		processes: 1,
 	}
 	for _, c := range s.Classes {
 		r.addClass(c)
 	}
-	if !s.HasBudget {
-		r.s.ExtraFloor, r.s.ExtraShare, r.s.ExtraSpanMs = ownFloor, ownShare, ownSpanMs
+	if !s.HasRetryBudget {
+		r.settings.RetryBudgetFloor, r.settings.RetryBudgetRatio, r.settings.RetryBudgetWindowMs =
+			defaultRetryFloor, defaultRetryRatio, defaultRetryWindowMs
 	}
 	return r
 }
 
 func (r *Root) addClass(c Class) {
-	r.aim = min(cmp.Or(r.aim, c.AimMs), max(1, c.AimMs))
-	r.classes = append(r.classes, class{Class: c, p: pMax, slip: 1})
+	r.shortestObjectiveMs = min(cmp.Or(r.shortestObjectiveMs, c.ObjectiveMs), max(1, c.ObjectiveMs))
+	r.classes = append(r.classes, class{Class: c, copyFraction: maxCopyFraction, overrun: 1})
 }
 
-// Step applies all events of one turn, as answers that land together must all be known, then decides.
+// Step runs one turn at the time now, in milliseconds. It applies all events before it decides, so that answers
+// that arrive together are all taken into account, and appends the resulting actions to out.
 func (r *Root) Step(now float64, events []Event, out []Action) []Action {
-	r.out, r.turn, r.now, r.stalled, r.born = out, r.turn+1, now, 0, cmp.Or(r.born, now)
-	if late := now - r.sweepAt; len(r.open) > 0 && late > sweepTicks*r.s.TickMs {
-		r.stalled, r.absent = late, r.absent+late // our own timer came late: this root stood still
+	r.actions, r.turn, r.now, r.stalledMs, r.firstStepAt = out, r.turn+1, now, 0, cmp.Or(r.firstStepAt, now)
+	if lateBy := now - r.nextSweepAt; len(r.openQueries) > 0 && lateBy > sweepIntervalTicks*r.settings.TickMs {
+		r.stalledMs, r.totalStalledMs = lateBy, r.totalStalledMs+lateBy // the timer came late: this root stood still
 	}
 	for i := range events {
 		r.apply(&events[i])
 	}
-	r.follow()
-	r.judge()
-	for _, q := range r.open {
-		r.settle(q)
+	r.subscribe()
+	r.assessReplicas()
+	for _, q := range r.openQueries {
+		r.endIfDue(q)
 	}
-	for _, q := range slices.DeleteFunc(r.fresh, func(q *query) bool { return q.ended }) {
+	for _, q := range slices.DeleteFunc(r.newQueries, func(q *query) bool { return q.ended }) {
 		r.admit(q)
 	}
-	r.fresh = r.fresh[:0]
-	for _, q := range r.open { // tries after failures come before copies
-		r.retry(q)
+	r.newQueries = r.newQueries[:0]
+	for _, q := range r.openQueries { // retries after failures come before copies
+		r.retryParts(q)
 	}
-	for _, q := range r.open {
-		r.copies(q)
+	for _, q := range r.openQueries {
+		r.copyParts(q)
 	}
-	r.open = slices.DeleteFunc(r.open, func(q *query) bool { return q.ended })
+	r.openQueries = slices.DeleteFunc(r.openQueries, func(q *query) bool { return q.ended })
 	for i := range r.classes {
-		r.chooseP(&r.classes[i])
+		r.chooseCopyFraction(&r.classes[i])
 	}
-	if len(r.open) > 0 && now >= r.sweepAt {
-		r.sweepAt = now + sweepTicks*r.s.TickMs
-		r.do(Action{Kind: Timer, Ms: sweepTicks * r.s.TickMs})
+	if len(r.openQueries) > 0 && now >= r.nextSweepAt {
+		r.nextSweepAt = now + sweepIntervalTicks*r.settings.TickMs
+		r.emit(Action{Kind: Timer, Ms: sweepIntervalTicks * r.settings.TickMs})
 	}
-	return r.out
+	return r.actions
 }
 
-func (r *Root) do(a Action) { r.out = append(r.out, a) }
+func (r *Root) emit(a Action) { r.actions = append(r.actions, a) }
 
-// awake is the time without this root's own absences, in which no replica can be blamed for what waited.
-func (r *Root) awake() float64 { return r.now - r.absent }
+// activeTime is the current time without the periods in which this root itself stood still: no replica is to
+// blame for what waited in them.
+func (r *Root) activeTime() float64 { return r.now - r.totalStalledMs }
 
 func (r *Root) apply(e *Event) {
 	switch e.Kind {
-	case QueryCame:
-		r.taken = append(since(r.taken, r.now-r.s.ExtraSpanMs), r.now)
-		if uint(e.Class) >= uint(len(r.classes)) { // of no class we know: nothing was sent, so it may come again
-			r.do(Action{Kind: Refuse, ID: e.ID})
+	case QueryArrived:
+		r.arrivals = append(timesSince(r.arrivals, r.now-r.settings.RetryBudgetWindowMs), r.now)
+		if uint(e.Class) >= uint(len(r.classes)) { // unknown class; nothing was sent, so a retry is safe
+			r.emit(Action{Kind: Refuse, ID: e.ID})
 			return
 		}
-		q := &query{id: e.ID, number: e.Number, class: e.Class, end: r.now + e.LeftMs}
+		q := &query{id: e.ID, number: e.Number, classIndex: e.Class, expiresAt: r.now + e.TimeLeftMs}
 		c := &r.classes[e.Class]
-		q.again = e.Retry && e.LeftMs >= c.AimMs // else it is impatience that repeats
-		q.aim, q.over = min(r.now+c.aim(e, r.s.TickMs), q.end), r.overShare(e.Tenant)
-		if c.LateShare == 0 { // past the aim nothing is earned: end there
-			q.end = min(q.end, q.aim)
+		q.retried = e.Retry && e.TimeLeftMs >= c.ObjectiveMs // a shorter timeout means an impatient client
+		q.objectiveAt, q.overQuota = min(r.now+c.objective(e, r.settings.TickMs), q.expiresAt), r.exceedsQuota(e.Tenant)
+		if c.LateWorthShare == 0 { // an answer past the objective is worth nothing
+			q.expiresAt = min(q.expiresAt, q.objectiveAt)
 		}
-		q.giveUp = min(r.now+r.s.GivenUpAfter(e.LeftMs), q.end-endTicks*r.s.TickMs)
-		r.byNumber[q.number], r.fresh = q, append(r.fresh, q)
-	case PartCame:
-		r.taken = append(r.taken, r.now)
-		q := r.byNumber[e.Number]
+		q.giveUpAt = min(r.now+r.settings.GiveUpAfterMs(e.TimeLeftMs), q.expiresAt-minReserveTicks*r.settings.TickMs)
+		r.queriesByNumber[q.number], r.newQueries = q, append(r.newQueries, q)
+	case PartArrived:
+		r.arrivals = append(r.arrivals, r.now)
+		q := r.queriesByNumber[e.Number]
 		if q == nil || q.ended {
 			return
 		}
-		if q.between { // the second step begins
-			q.between, q.second, q.weight, q.answered, q.forked = false, true, 0, 0, false
-			r.fresh = append(r.fresh, q)
+		if q.betweenSteps { // the second step begins
+			q.betweenSteps, q.secondStep, q.answeredWeight, q.answeredParts, q.forked = false, true, 0, 0, false
+			r.newQueries = append(r.newQueries, q)
 		}
-		p := &part{id: e.ID, q: q, shard: e.Shard, weight: e.Weight}
+		p := &part{id: e.ID, query: q, shard: e.Shard, weight: e.Weight}
 		q.parts, r.parts[p.id] = append(q.parts, p), p
 	case AttemptDone:
-		if p := r.parts[e.ID]; p != nil && uint(e.Attempt) < uint(len(p.tries)) && p.tries[e.Attempt].open {
-			r.finished(p, e)
+		if p := r.parts[e.ID]; p != nil && uint(e.Attempt) < uint(len(p.attempts)) && p.attempts[e.Attempt].open {
+			r.attemptEnded(p, e)
 		}
-	case ClientLeft:
-		all := slices.Concat(r.open, r.fresh)
-		if i := slices.IndexFunc(all, func(q *query) bool { return q.id == e.ID && !q.ended }); i >= 0 {
-			r.close(all[i])
+	case ClientDisconnected:
+		queries := slices.Concat(r.openQueries, r.newQueries)
+		if i := slices.IndexFunc(queries, func(q *query) bool { return q.id == e.ID && !q.ended }); i >= 0 {
+			r.close(queries[i])
 		}
-	case ListNews:
-		r.news(e)
+	case ListUpdate:
+		r.updateList(e)
 	}
 }
 
-// aim is how long the full worth lasts: a last try, told by a time that no others get, has what is left.
-func (c *class) aim(e *Event, tick float64) float64 {
-	aim := min(c.AimMs+c.AimStretch*e.WorkMs, c.DeadlineMs)
-	seen := func(t float64) bool { return math.Abs(e.LeftMs-t) < tick }
-	if len(c.given) > 0 && !slices.ContainsFunc(c.given, seen) {
-		aim -= max(0, c.DeadlineMs-e.LeftMs)
+// objective returns for how long an answer earns the full worth, in milliseconds. A client's last try has only
+// the rest of its deadline; it is recognized by a timeout that no other recent query has.
+func (c *class) objective(e *Event, tickMs float64) float64 {
+	objectiveMs := min(c.ObjectiveMs+c.ObjectiveWorkFactor*e.EstimatedWorkMs, c.DeadlineMs)
+	isKnown := func(ms float64) bool { return math.Abs(e.TimeLeftMs-ms) < tickMs }
+	if len(c.timeoutsMs) > 0 && !slices.ContainsFunc(c.timeoutsMs, isKnown) {
+		objectiveMs -= max(0, c.DeadlineMs-e.TimeLeftMs)
 	}
-	c.given = append(c.given[max(0, len(c.given)-givenMax+1):], e.LeftMs)
-	return aim
+	c.timeoutsMs = append(c.timeoutsMs[max(0, len(c.timeoutsMs)-maxTimeoutSamples+1):], e.TimeLeftMs)
+	return objectiveMs
 }
 
-// finished takes in the outcome of one attempt.
-func (r *Root) finished(p *part, e *Event) {
-	a := p.tries[e.Attempt]
-	a.open, a.unrun = false, e.Outcome == Rejected || e.Outcome == Unreachable || e.Outcome == NotSent
-	a.quick = a.unrun && e.Outcome != Rejected || e.Outcome == Failed && r.awake()-a.woke < r.typical/2
-	h, c, age := a.at, &r.classes[p.q.class], r.awake()-a.woke
-	h.down = h.down && e.Outcome > Rejected
+// attemptEnded records the outcome of one attempt.
+func (r *Root) attemptEnded(p *part, e *Event) {
+	a := p.attempts[e.Attempt]
+	a.open, a.neverRan = false, e.Outcome == Rejected || e.Outcome == Unreachable || e.Outcome == NotSent
+	a.failedFast = a.neverRan && e.Outcome != Rejected ||
+		e.Outcome == Failed && r.activeTime()-a.sentActive < r.medianLatency/2
+	rep, c, age := a.replica, &r.classes[p.query.classIndex], r.activeTime()-a.sentActive
+	rep.refusedConnection = rep.refusedConnection && e.Outcome > Rejected
 	switch e.Outcome {
 	case OK:
-		r.borne++
-		if r.stalled == 0 { // else it came at some time of our absence
-			r.learn(a, age)
+		r.servedParts++
+		if r.stalledMs == 0 { // else it arrived at an unknown time during the stall
+			r.recordLatency(a, age)
 		}
-		r.good(h)
-		if h.brokeAt > 0 && a.sent > h.brokeAt {
-			h.brokeAt = 0
-			if r.lived.add(r.now); r.harmless() {
-				r.waryTo = 0
+		r.recordSuccess(rep)
+		if rep.connectionLostAt > 0 && a.sentAt > rep.connectionLostAt {
+			rep.connectionLostAt = 0
+			if r.survivals.add(r.now); r.connectionLossIsHarmless() {
+				r.cautiousUntil = 0
 			}
 		}
-		h.fails, h.shunned[p.q.class] = (1-smooth)*h.fails, 0
-		if e.Attempt == 0 && !a.off && r.stalled == 0 {
-			c.sample(age)
+		rep.failureRate, rep.avoidedUntil[p.query.classIndex] = (1-smoothingFactor)*rep.failureRate, 0
+		if e.Attempt == 0 && !a.cancelled && r.stalledMs == 0 {
+			c.recordFirstSend(age)
 		}
-		if !p.got && !p.dropped {
-			p.got, p.in = true, r.now
-			p.q.weight += p.weight
-			p.q.answered++
-			r.callOff(p)
+		if !p.answered && !p.dropped {
+			p.answered, p.answeredAt = true, r.now
+			p.query.answeredWeight += p.weight
+			p.query.answeredParts++
+			r.cancelAttempts(p)
 		}
 	case TimedOut:
-		r.late(a)
-		h.group.bad += smooth * (1 - h.group.bad)
-	case Broken:
-		if !r.harmless() {
-			p.q.broken++
-			if r.died.add(r.now); r.died.count > 1.5 {
-				r.waryTo = r.now + warySpan*r.aim
+		r.recordAbandoned(a)
+		rep.group.failureRate += smoothingFactor * (1 - rep.group.failureRate)
+	case ConnectionLost:
+		if !r.connectionLossIsHarmless() {
+			p.query.lostParts++
+			if r.crashes.add(r.now); r.crashes.count > 1.5 {
+				r.cautiousUntil = r.now + cautionObjectives*r.shortestObjectiveMs
 			}
-			r.fault(h)
-		} else if h.brokeAt > 0 { // it has not answered since
-			r.fault(h)
+			r.recordFailure(rep)
+		} else if rep.connectionLostAt > 0 { // it has not answered since
+			r.recordFailure(rep)
 		}
-		h.brokeAt = r.now
+		rep.connectionLostAt = r.now
 	case Failed:
-		h.fails, h.failMs = h.fails+smooth*(1-h.fails), toward(h.failMs, age, smooth)
-		r.fault(h)
+		rep.failureRate, rep.failureMs = rep.failureRate+smoothingFactor*(1-rep.failureRate),
+			smoothed(rep.failureMs, age, smoothingFactor)
+		r.recordFailure(rep)
 	case Unreachable:
-		if h.brokeAt > 0 {
-			r.lost.add(r.now)
+		if rep.connectionLostAt > 0 {
+			r.deaths.add(r.now)
 		}
-		h.brokeAt, h.down = 0, true
-		r.fault(h)
+		rep.connectionLostAt, rep.refusedConnection = 0, true
+		r.recordFailure(rep)
 	case Rejected:
-		r.fault(h)
-		h.fullTill = r.now + (0.5+r.rng.Float64())*fullRest*r.typical
+		r.recordFailure(rep)
+		rep.fullUntil = r.now + (0.5+r.rng.Float64())*fullBackoffLatencies*r.medianLatency
 	}
-	if a.until <= r.now {
-		h.out = slices.DeleteFunc(h.out, func(b *attempt) bool { return b == a })
+	if a.busyUntil <= r.now {
+		rep.inFlight = slices.DeleteFunc(rep.inFlight, func(b *attempt) bool { return b == a })
 	}
-	r.forget(p)
+	r.removeIfDone(p)
 }
 
-// learn takes an answer's time into the latencies of a replica and its group.
-func (r *Root) learn(a *attempt, took float64) {
-	h := a.at
-	r.lastNews = r.awake()
-	if !r.cold(h) {
-		r.blend(&h.group.lat, took, a)
+// recordLatency updates the latencies of a replica and its group with the time that an attempt took.
+func (r *Root) recordLatency(a *attempt, elapsed float64) {
+	rep := a.replica
+	r.lastAnswerAt = r.activeTime()
+	if !r.isCold(rep) {
+		r.addToGroupMean(&rep.group.latency, elapsed, a)
 	}
-	w := max(smooth, rareMost*r.rare())
-	if !h.heard {
-		w = 1
+	weight := max(smoothingFactor, maxSparseSmoothing*r.sparseness())
+	if !rep.hasAnswered {
+		weight = 1
 	}
-	h.heard, h.lat, h.load = true, h.lat+w*(took-h.lat), h.load+w*(a.load-h.load)
+	rep.hasAnswered, rep.latency, rep.latencyLoad = true, rep.latency+weight*(elapsed-rep.latency),
+		rep.latencyLoad+weight*(a.loadAtSend-rep.latencyLoad)
 }
 
-// rare is 1 where news of a replica fades between two sends of ours, so that each outcome must weigh more.
-func (r *Root) rare() float64 { return min(1, r.gap/(rareFrom*fade*r.average+1)) }
+// sparseness rises to 1 as measurements of a replica decay between two sends of this root to it; each outcome
+// must then have more weight.
+func (r *Root) sparseness() float64 {
+	return min(1, r.sendIntervalMs/(sparseThreshold*decayLatencies*r.meanLatency+1))
+}
 
-// blend takes one part into the mean of its group, weighed by query: the slowest parts of each come last.
-func (r *Root) blend(mean *float64, took float64, a *attempt) {
-	*mean = toward(*mean, took, 1/max(1, r.classes[a.p.q.class].k))
+// addToGroupMean updates the mean of a group with one part. Weights are per query, not per part, as the slowest
+// parts of each query arrive last.
+func (r *Root) addToGroupMean(mean *float64, elapsed float64, a *attempt) {
+	*mean = smoothed(*mean, elapsed, 1/max(1, r.classes[a.part.query.classIndex].meanParts))
 }
 
-// toward moves a smoothed mean by the share w to x; the first x is taken whole.
-func toward(mean, x, w float64) float64 { return cmp.Or(mean, x) + w*(x-cmp.Or(mean, x)) }
+// smoothed returns the exponentially smoothed mean after one more value, which has the given weight. The first
+// value becomes the mean.
+func smoothed(mean, value, weight float64) float64 {
+	return cmp.Or(mean, value) + weight*(value-cmp.Or(mean, value))
+}
 
-func (r *Root) cold(h *replica) bool { return r.now-h.since < r.s.ColdMs }
+func (r *Root) isCold(rep *replica) bool { return r.now-rep.startedAt < r.settings.WarmUpMs }
 
-// warmth is the least share of its capacity that a replica has.
-func (r *Root) warmth(h *replica) float64 {
-	return min(1, r.s.ColdFrom+(1-r.s.ColdFrom)*max(0, r.now-h.since)/max(1, r.s.ColdMs))
+// capacityShare returns the share of its capacity that a replica has at least, which grows while it is cold.
+func (r *Root) capacityShare(rep *replica) float64 {
+	return min(1, r.settings.ColdCapacityShare+
+		(1-r.settings.ColdCapacityShare)*max(0, r.now-rep.startedAt)/max(1, r.settings.WarmUpMs))
 }
 
-// late notes an attempt whose work may go on: called off, it took its age at least; a time-out teaches none.
-func (r *Root) late(a *attempt) {
-	if age := r.awake() - a.woke; age > a.at.lat && a.off && (a.p.got || a.p.dropped) {
-		r.learn(a, age)
+// recordAbandoned records an attempt that ended without an answer and that the replica may still work on. One
+// that was cancelled would have taken at least its age; a timeout says nothing about the latency.
+func (r *Root) recordAbandoned(a *attempt) {
+	if age := r.activeTime() - a.sentActive; age > a.replica.latency && a.cancelled &&
+		(a.part.answered || a.part.dropped) {
+		r.recordLatency(a, age)
 	}
-	a.until = r.now + a.at.lat
+	a.busyUntil = r.now + a.replica.latency
 }
 
-func (c *class) sample(t float64) {
-	c.samples = append(c.samples[max(0, len(c.samples)-pSamples+1):], t)
-	c.mean += max(smooth, 1/float64(len(c.samples))) * (t - c.mean)
+func (c *class) recordFirstSend(ms float64) {
+	c.firstSendMs = append(c.firstSendMs[max(0, len(c.firstSendMs)-maxLatencySamples+1):], ms)
+	c.meanPartMs += max(smoothingFactor, 1/float64(len(c.firstSendMs))) * (ms - c.meanPartMs)
 }
 
-// harmless says that connections break of late under replicas that live on: dead ones refuse what comes next.
-func (r *Root) harmless() bool {
-	return r.lived.value(r.now) > max(livedMin, livedPer*r.lost.value(r.now))
+// connectionLossIsHarmless reports whether replicas have recently survived the loss of connections: one that
+// has crashed refuses the next connection.
+func (r *Root) connectionLossIsHarmless() bool {
+	return r.survivals.value(r.now) > max(minSurvivals, survivalsPerDeath*r.deaths.value(r.now))
 }
 
-func (r *Root) forget(p *part) {
-	if n, _ := p.running(); p.dropped && n == 0 {
+func (r *Root) removeIfDone(p *part) {
+	if open, _ := p.openAttempts(); p.dropped && open == 0 {
 		delete(r.parts, p.id)
 	}
 }
 
-func (r *Root) good(h *replica) {
-	h.lastNews = r.awake()
-	h.bad *= 1 - max(blame, rareBlame*r.rare())
-	h.group.bad = min(groupBad/2, h.group.bad*(1-smooth)) // all of it may be back
-	if h.suspect && (h.bad < trustAt || h.mute) {
-		h.suspect, h.mute, h.bad = false, false, min(h.bad, trustAt)
-		r.do(Action{Kind: Log, Addr: h.Addr, Text: fmt.Sprintf("replica %x trusted again", uint64(h.Addr))})
+func (r *Root) recordSuccess(rep *replica) {
+	rep.lastAnswerAt = r.activeTime()
+	rep.suspicion *= 1 - max(failureWeight, sparseFailureWeight*r.sparseness())
+	// One answer means that the whole group may be back.
+	rep.group.failureRate = min(groupFailureThreshold/2, rep.group.failureRate*(1-smoothingFactor))
+	if rep.suspected && (rep.suspicion < trustThreshold || rep.silent) {
+		rep.suspected, rep.silent, rep.suspicion = false, false, min(rep.suspicion, trustThreshold)
+		r.emit(Action{Kind: Log, Addr: rep.Addr, Text: fmt.Sprintf("replica %x trusted again", uint64(rep.Addr))})
 	}
 }
 
-// fault holds evidence of failure against a replica. An error is never news of a short latency.
-func (r *Root) fault(h *replica) {
-	h.bad += max(blame, rareBlame*r.rare()) * (1 - h.bad)
-	h.group.bad += smooth * (1 - h.group.bad)
-	if h.bad > suspectAt && !h.suspect {
-		h.suspect = true
-		r.do(Action{Kind: Log, Addr: h.Addr, Doubt: true, Text: fmt.Sprintf("replica %x suspected", h.Addr)})
+// recordFailure raises the suspicion of a replica. The time until a failure never counts as a latency.
+func (r *Root) recordFailure(rep *replica) {
+	rep.suspicion += max(failureWeight, sparseFailureWeight*r.sparseness()) * (1 - rep.suspicion)
+	rep.group.failureRate += smoothingFactor * (1 - rep.group.failureRate)
+	if rep.suspicion > suspectThreshold && !rep.suspected {
+		rep.suspected = true
+		r.emit(Action{Kind: Log, Addr: rep.Addr, Unhealthy: true, Text: fmt.Sprintf("replica %x suspected", rep.Addr)})
 	}
-	h.trialAt = r.now + r.trialGap()
+	rep.nextTrialAt = r.now + r.trialInterval()
 }
 
-// trialGap is how long a suspect replica is left alone: the more roots try it, the longer each waits.
-func (r *Root) trialGap() float64 {
-	return max(trialGap*r.typical, min(trialNews*r.gap, warySpan*r.aim))
+// trialInterval returns the time between two trials of a suspected replica: the more roots there are to try
+// it, the longer each of them waits.
+func (r *Root) trialInterval() float64 {
+	return max(trialIntervalLatencies*r.medianLatency,
+		min(trialIntervalSends*r.sendIntervalMs, cautionObjectives*r.shortestObjectiveMs))
 }
 
-// judge looks at every listed replica afresh, for silence of any cause, by the fleet's median.
-func (r *Root) judge() {
-	heard, sum, passed := 0, 0.0, r.now-cmp.Or(r.judgedAt, r.now)
-	kept := math.Exp(-passed / max(1, r.s.ColdMs))
-	r.borne, r.units, r.judgedAt = r.borne*kept, r.units*kept, r.now
-	for _, h := range r.listed {
-		if h.State == Ready {
-			r.units += r.warmth(h) * passed
+// assessReplicas updates the latencies of all listed replicas for this turn and suspects those that have been
+// silent for too long, whatever the cause, compared with the median of the fleet.
+func (r *Root) assessReplicas() {
+	measured, sum, elapsed := 0, 0.0, r.now-cmp.Or(r.assessedAt, r.now)
+	remaining := math.Exp(-elapsed / max(1, r.settings.WarmUpMs))
+	r.servedParts, r.warmReplicaMs, r.assessedAt = r.servedParts*remaining, r.warmReplicaMs*remaining, r.now
+	for _, rep := range r.listedReplicas {
+		if rep.State == Ready {
+			r.warmReplicaMs += r.capacityShare(rep) * elapsed
 		}
-		h.out = slices.DeleteFunc(h.out, func(a *attempt) bool { return !a.open && a.until <= r.now })
-		if h.heard {
-			heard, sum = heard+1, sum+h.lat
+		rep.inFlight = slices.DeleteFunc(rep.inFlight, func(a *attempt) bool {
+			return !a.open && a.busyUntil <= r.now
+		})
+		if rep.hasAnswered {
+			measured, sum = measured+1, sum+rep.latency
 		}
 	}
 	for _, g := range r.groups {
-		g.level = r.stale(g.lat)
-	}
-	r.average = r.stale(sum / float64(max(1, heard)))
-	for _, h := range r.listed {
-		for _, a := range h.out {
-			age := r.awake() - a.woke
-			if a.open && !a.off && a.p.q.answered > 0 && age > h.group.level && !h.suspect && !r.cold(h) {
-				r.blend(&h.group.level, age, a)
+		g.decayedLatency = r.decayToBaseline(g.latency)
+	}
+	r.meanLatency = r.decayToBaseline(sum / float64(max(1, measured)))
+	for _, rep := range r.listedReplicas {
+		for _, a := range rep.inFlight {
+			age := r.activeTime() - a.sentActive
+			if a.open && !a.cancelled && a.part.query.answeredParts > 0 && age > rep.group.decayedLatency &&
+				!rep.suspected && !r.isCold(rep) {
+				r.addToGroupMean(&rep.group.decayedLatency, age, a)
 			}
 		}
 	}
-	// A root among many hears of each replica seldom: then some answers' worth of news is kept, however old.
-	span := rateSpanMs * (1 - math.Exp(-(r.now-r.born+1)/rateSpanMs))
-	r.gap = span * float64(len(r.listed)) / max(1, r.sent.value(r.now))
-	r.memory = max(fade*r.average+1, min(fadeNews*r.gap, fadeMost*r.aim))
-	var levels []float64
-	r.fleet = 0
-	for _, h := range r.listed {
-		fresh, old, soon := 0.0, cmp.Or(h.group.level, r.average), 0.0
-		if h.heard {
-			age := r.awake() - h.lastNews
-			fresh, soon = math.Exp(-age/r.memory), math.Exp(-age/(fade*r.average+1))
+	// A root among many rarely hears from each replica: it then keeps the measurements of several sends, however
+	// old they are.
+	windowMs := rateDecayMs * (1 - math.Exp(-(r.now-r.firstStepAt+1)/rateDecayMs))
+	r.sendIntervalMs = windowMs * float64(len(r.listedReplicas)) / max(1, r.sends.value(r.now))
+	r.decayMs = max(decayLatencies*r.meanLatency+1,
+		min(decaySends*r.sendIntervalMs, maxDecayObjectives*r.shortestObjectiveMs))
+	var latencies []float64
+	r.fleetLatency = 0
+	for _, rep := range r.listedReplicas {
+		freshness, groupLatency, queueFreshness := 0.0, cmp.Or(rep.group.decayedLatency, r.meanLatency), 0.0
+		if rep.hasAnswered {
+			age := r.activeTime() - rep.lastAnswerAt
+			freshness, queueFreshness = math.Exp(-age/r.decayMs), math.Exp(-age/(decayLatencies*r.meanLatency+1))
 		}
-		h.faded, h.quiet = old+(h.lat-old)*fresh, r.silence(h)
-		h.soon, h.level = old+(h.lat-old)*soon, max(h.faded, h.quiet)
-		r.fleet += old / float64(len(r.listed))
-		if h.State == Ready && h.heard && !h.suspect {
-			levels = append(levels, max(r.average+(h.lat-r.average)*fresh, h.quiet))
+		rep.decayedLatency, rep.silentMs = groupLatency+(rep.latency-groupLatency)*freshness, r.silence(rep)
+		rep.queueLatency, rep.rankLatency = groupLatency+(rep.latency-groupLatency)*queueFreshness,
+			max(rep.decayedLatency, rep.silentMs)
+		r.fleetLatency += groupLatency / float64(len(r.listedReplicas))
+		if rep.State == Ready && rep.hasAnswered && !rep.suspected {
+			latencies = append(latencies, max(r.meanLatency+(rep.latency-r.meanLatency)*freshness, rep.silentMs))
 		}
 	}
-	if len(levels) > 0 {
-		slices.Sort(levels)
-		r.typical = levels[(len(levels)-1)/2]
+	if len(latencies) > 0 {
+		slices.Sort(latencies)
+		r.medianLatency = latencies[(len(latencies)-1)/2]
 	}
-	for _, h := range r.listed {
-		if h.quiet > silent*max(r.usual(h), h.lat) && heard > 0 && !h.suspect {
-			h.bad, h.mute = 1, true
-			r.fault(h)
+	for _, rep := range r.listedReplicas {
+		if rep.silentMs > silenceLatencies*max(r.expectedLatency(rep), rep.latency) && measured > 0 && !rep.suspected {
+			rep.suspicion, rep.silent = 1, true
+			r.recordFailure(rep)
 		}
 	}
 }
 
-// stale fades a mean to the calm level where nothing is heard, or who refuses all would do so for ever.
-func (r *Root) stale(mean float64) float64 {
-	calm := min(r.calm, mean)
-	return calm + (mean-calm)*math.Exp(-(r.awake()-r.lastNews)/(letIn*r.aim+1))
+// decayToBaseline lets a mean decay to the baseline while no answers arrive: otherwise a root that refuses all
+// queries would never admit one again. The decay is quick enough that clients need few retries.
+func (r *Root) decayToBaseline(mean float64) float64 {
+	baseline := min(r.baselineLatency, mean)
+	return baseline + (mean-baseline)*
+		math.Exp(-(r.activeTime()-r.lastAnswerAt)/(idleDecayObjectives*r.shortestObjectiveMs+1))
 }
 
-// usual is what a replica's latency is judged by: longer where its zone and kind are, as over a slow link.
-func (r *Root) usual(h *replica) float64 { return r.typical * max(1, h.group.level/max(1, r.fleet)) }
+// expectedLatency returns the latency that a replica is compared with: the median, or longer if its zone and
+// kind are slower than the fleet, for example behind a slow link.
+func (r *Root) expectedLatency(rep *replica) float64 {
+	return r.medianLatency * max(1, rep.group.decayedLatency/max(1, r.fleetLatency))
+}
 
-// silence is how long a replica answers nothing. A part without an answered sibling may just be heavy.
-func (r *Root) silence(h *replica) float64 {
-	for _, a := range h.out {
-		if q := a.p.q; a.open && !a.off && (q.answered > 0 || len(q.parts) < 2) {
-			return r.awake() - max(a.woke, h.lastNews)
+// silence returns for how long a replica has not answered, in milliseconds. Parts of a query that has no answer
+// yet do not count, unless it has one part only: the query may just be expensive.
+func (r *Root) silence(rep *replica) float64 {
+	for _, a := range rep.inFlight {
+		if q := a.part.query; a.open && !a.cancelled && (q.answeredParts > 0 || len(q.parts) < 2) {
+			return r.activeTime() - max(a.sentActive, rep.lastAnswerAt)
 		}
 	}
 	return 0
 }
 
-// calls counts our calls at a replica with one more part; joining one counts less, so that neighbours gather.
-func (r *Root) calls(h *replica) float64 {
-	n, shared := 1.0, r.s.BundleMax > 1
-	for i, a := range h.out {
-		if !shared || i == 0 || a.turn != h.out[i-1].turn {
-			n++
+// callsWith counts the calls of this root in flight at a replica, with one more part. A part that joins a call
+// counts slightly less than nothing, so that parts for neighbouring shards share calls.
+func (r *Root) callsWith(rep *replica) float64 {
+	count, shared := 1.0, r.settings.MaxPartsPerCall > 1
+	for i, a := range rep.inFlight {
+		if !shared || i == 0 || a.turn != rep.inFlight[i-1].turn {
+			count++
 		}
 	}
-	if r.joins(h) {
-		n -= 1 + 1e-5
+	if r.joinsCall(rep) {
+		count -= 1 + 1e-5
 	}
-	return n
+	return count
 }
 
-// predict estimates one more part's latency. Refusals bring no news: it fades as fast as queues drain.
-func (r *Root) predict(h *replica) float64 {
-	return max(h.quiet, h.soon*float64(len(h.out)+1)/max(1, h.load))
+// predictLatency estimates the latency of one more part, in proportion to the parts in flight. It uses
+// queueLatency, which decays as fast as queues drain, as a root that refuses queries gets no new measurements.
+func (r *Root) predictLatency(rep *replica) float64 {
+	return max(rep.silentMs, rep.queueLatency*float64(len(rep.inFlight)+1)/max(1, rep.latencyLoad))
 }
 
-// pick chooses the holder with the least latency times (own calls out + 1). Replicas where p is running are
-// avoided; suspect ones and those where p failed come last, but one due for a trial gets one real part.
-func (r *Root) pick(p *part, first bool) *replica {
+// pickReplica chooses the holder with the least latency times (own calls in flight + 1), or nil. Replicas with an
+// open attempt of p are excluded. Unhealthy ones and those where p has failed come last, but an unhealthy one
+// that is due for a trial comes first: a trial is a real part.
+func (r *Root) pickReplica(p *part, first bool) *replica {
 	var best *replica
 	bestRank, bestScore := math.MaxInt, 0.0
-	for _, h := range r.holders(p) {
-		tried := slices.ContainsFunc(p.tries, func(a *attempt) bool { return a.at == h })
-		if slices.ContainsFunc(p.tries, func(a *attempt) bool { return a.at == h && a.open }) || !r.coldRoom(h) {
+	for _, rep := range r.holders(p) {
+		tried := slices.ContainsFunc(p.attempts, func(a *attempt) bool { return a.replica == rep })
+		if slices.ContainsFunc(p.attempts, func(a *attempt) bool { return a.replica == rep && a.open }) ||
+			!r.hasColdBudget(rep) {
 			continue
 		}
 		rank := 1
 		switch {
-		case r.dead(h):
+		case r.isDown(rep):
 			rank = 6
-		case r.now < h.fullTill:
+		case r.now < rep.fullUntil:
 			rank = 5
 		case tried:
 			rank = 4
-		case r.doubted(h) && first && r.trial(h, p.q) && r.mayCopy(p):
+		case r.unhealthy(rep) && first && r.dueForTrial(rep, p.query) && r.mayCopy(p):
 			rank = 0
-		case r.doubted(h):
+		case r.unhealthy(rep):
 			rank = 3
-		case r.now < h.shunned[p.q.class]:
+		case r.now < rep.avoidedUntil[p.query.classIndex]:
 			rank = 2
 		}
-		score := r.score(h)
+		score := r.score(rep)
 		if rank < bestRank || rank == bestRank && score < bestScore {
-			best, bestRank, bestScore = h, rank, score
+			best, bestRank, bestScore = rep, rank, score
 		}
 	}
-	if best != nil && bestRank > 0 && r.mayCopy(p) && len(p.tries)+2 <= cmp.Or(r.s.MaxAttempts, math.MaxInt) {
-		return r.flaky(p, best, bestScore)
+	if best != nil && bestRank > 0 && r.mayCopy(p) && len(p.attempts)+2 <= cmp.Or(r.settings.MaxAttempts, math.MaxInt) {
+		return r.pickFlaky(p, best, bestScore)
 	}
 	return best
 }
 
-func (r *Root) score(h *replica) float64 {
-	score := max(h.level, 1e-3) * r.calls(h) * (1 + 1e-6*r.rng.Float64()) // random among equals
-	if h.Zone != r.s.Zone {
-		score *= 1 + priceCare*r.s.PriceCross
+// score returns the cost of one more call to a replica, by which holders are compared: its latency times the
+// calls in flight, increased by the configured penalties.
+func (r *Root) score(rep *replica) float64 {
+	score := max(rep.rankLatency, 1e-3) * r.callsWith(rep) * (1 + 1e-6*r.rng.Float64()) // breaks ties at random
+	if rep.Zone != r.settings.Zone {
+		score *= 1 + penaltyWeight*r.settings.CrossZonePenalty
 	}
-	if !h.heard && !r.cold(h) { // most likely a connection has to be made; cold ones are spared anyway
-		score *= 1 + priceCare*r.s.PriceHandshake
+	if !rep.hasAnswered && !r.isCold(rep) { // probably needs a new connection; cold replicas have their own limit
+		score *= 1 + penaltyWeight*r.settings.HandshakePenalty
 	}
 	return score
 }
 
-// flaky gives one that fails parts, but at once, in place of best where that is quicker, all tries counted.
-func (r *Root) flaky(p *part, best *replica, bestScore float64) *replica {
-	least := bestScore
-	for _, h := range r.holders(p) {
-		if !h.suspect || h.mute || h.fails == 0 || h.fails > flakyMost || h.failMs > r.typical || h == best ||
-			slices.ContainsFunc(p.tries, func(a *attempt) bool { return a.at == h }) || !r.coldRoom(h) ||
-			r.s.HasBudget && !r.budget(copyShare) {
+// pickFlaky returns, in place of best, a suspected replica that fails parts fast, if the expected time is then
+// shorter with the retry after a failure included.
+func (r *Root) pickFlaky(p *part, best *replica, bestScore float64) *replica {
+	leastScore := bestScore
+	for _, rep := range r.holders(p) {
+		if !rep.suspected || rep.silent || rep.failureRate == 0 || rep.failureRate > maxFlakyFailureRate ||
+			rep.failureMs > r.medianLatency || rep == best ||
+			slices.ContainsFunc(p.attempts, func(a *attempt) bool { return a.replica == rep }) || !r.hasColdBudget(rep) ||
+			r.settings.HasRetryBudget && !r.withinRetryBudget(copyBudgetShare) {
 			continue
 		}
-		if t := (1-h.fails)*r.score(h) + h.fails*(h.failMs+bestScore); t < least {
-			best, least = h, t
+		if score := (1-rep.failureRate)*r.score(rep) + rep.failureRate*(rep.failureMs+bestScore); score < leastScore {
+			best, leastScore = rep, score
 		}
 	}
 	return best
 }
 
-// doubted says that h is suspect, or that next to nothing of its zone and kind answers.
-func (r *Root) doubted(h *replica) bool { return h.suspect || h.group.bad > groupBad }
+// unhealthy reports whether a replica is suspected, or hardly any replica of its zone and kind answers.
+func (r *Root) unhealthy(rep *replica) bool {
+	return rep.suspected || rep.group.failureRate > groupFailureThreshold
+}
 
-// dead says that h refused the last connection, no single mishap, and still rests.
-func (r *Root) dead(h *replica) bool { return h.down && h.suspect && r.now < h.trialAt }
+// isDown reports whether a replica refused the last connection and is not due for a trial yet. It must be
+// suspected as well, as a refused connection may be a single mishap.
+func (r *Root) isDown(rep *replica) bool {
+	return rep.refusedConnection && rep.suspected && r.now < rep.nextTrialAt
+}
 
-// trial says whether one in doubt is due for a real part: few in a query, and one where all its kind are.
-func (r *Root) trial(h *replica, q *query) bool {
-	few := q.trials <= len(q.parts)/trialPart && (h.group.bad <= groupBad || r.now >= h.group.trialAt)
-	return few && r.now >= h.trialAt && len(h.out) == 0
+// dueForTrial reports whether an unhealthy replica is due for a real part as a trial. Few parts of a query may
+// be trials, and only one at a time goes to a group that is unhealthy as a whole.
+func (r *Root) dueForTrial(rep *replica, q *query) bool {
+	few := q.trials <= len(q.parts)/partsPerTrial &&
+		(rep.group.failureRate <= groupFailureThreshold || r.now >= rep.group.nextTrialAt)
+	return few && r.now >= rep.nextTrialAt && len(rep.inFlight) == 0
 }
 
-// holders are the ready replicas that hold the part's shard.
-func (r *Root) holders(p *part) []*replica { return r.cells[uint(p.shard)%uint(len(r.cells))] }
+// holders returns the ready replicas that hold the part's shard.
+func (r *Root) holders(p *part) []*replica {
+	return r.holdersByCell[uint(p.shard)%uint(len(r.holdersByCell))]
+}
 
-// joins says that what h is sent now joins a call of this turn which has room for it.
-func (r *Root) joins(h *replica) bool {
-	begun := 0 // parts of this turn
-	for i := len(h.out) - 1; i >= 0 && h.out[i].turn == r.turn; i-- {
-		begun++
+// joinsCall reports whether a part sent to the replica now joins a call of this turn that has room for it.
+func (r *Root) joinsCall(rep *replica) bool {
+	partsThisTurn := 0
+	for i := len(rep.inFlight) - 1; i >= 0 && rep.inFlight[i].turn == r.turn; i-- {
+		partsThisTurn++
 	}
-	return begun%r.s.BundleMax != 0
+	return partsThisTurn%r.settings.MaxPartsPerCall != 0
 }
 
-// coldRoom keeps a cold replica from being pushed over: a root sends it, on average, its part of the told
-// budget, by what warm ones have borne, and at first a random share of a call; what joins a call is owed.
-func (r *Root) coldRoom(h *replica) bool {
-	if r.joins(h) || !r.cold(h) {
+// hasColdBudget reports whether a replica may be sent one more part without the risk of overload while it is
+// cold. It is a token bucket: the rate is this process's part of the configured overload budget, based on what
+// warm replicas have served, and it starts with a random share of a call used up, so that the roots do not all
+// send at once. Parts that join a call are always allowed and are charged afterwards.
+func (r *Root) hasColdBudget(rep *replica) bool {
+	if r.joinsCall(rep) || !r.isCold(rep) {
 		return true
 	}
-	may := coldShare * r.s.FallTimes * r.warmth(h) * r.borne / max(1, r.units) / float64(r.processes)
-	if h.filledAt < h.told { // what it was sent before is not ours to know, or was sent as to a warm one
-		size := (float64(r.s.BundleMax) + r.sent.value(r.now)) / (1 + r.called.value(r.now)) // of a call
-		h.filledAt, h.mayTake = h.told, 1-size*r.rng.Float64()
+	partsPerMs := coldBudgetShare * r.settings.ColdOverloadFactor * r.capacityShare(rep) *
+		r.servedParts / max(1, r.warmReplicaMs) / float64(r.processes)
+	if rep.tokensAt < rep.listedAt { // earlier sends are unknown, or were not limited
+		partsPerCall := (float64(r.settings.MaxPartsPerCall) + r.sends.value(r.now)) / (1 + r.calls.value(r.now))
+		rep.tokensAt, rep.coldTokens = rep.listedAt, 1-partsPerCall*r.rng.Float64()
 	}
-	h.mayTake, h.filledAt = min(h.mayTake+may*(r.now-h.filledAt), max(1, coldSaved*may*r.s.FallMs)), r.now
-	return h.mayTake >= 1
+	rep.coldTokens, rep.tokensAt = min(rep.coldTokens+partsPerMs*(r.now-rep.tokensAt),
+		max(1, coldBurstShare*partsPerMs*r.settings.ColdOverloadMs)), r.now
+	return rep.coldTokens >= 1
 }
 
-// send opens an attempt of p at h. It times out when an answer would earn nothing more.
-func (r *Root) send(p *part, h *replica) {
-	a := &attempt{p: p, at: h, sent: r.now, woke: r.awake(), turn: r.turn, open: true}
-	if len(p.tries) > 0 && !r.cheap(p) {
-		r.extras = append(r.extras, r.now)
-	}
-	if !r.joins(h) {
-		r.called.add(r.now)
-	}
-	p.tries, h.out, a.load = append(p.tries, a), append(h.out, a), float64(len(h.out)+1)
-	h.trialAt, h.mayTake = r.now+r.trialGap(), h.mayTake-1 // the latter counts while it is cold
-	r.sent.add(r.now)
-	ms := max(r.s.TickMs, p.q.giveUp-r.now)
-	r.do(Action{Kind: Send, ID: p.id, Addr: h.Addr, Ms: ms, Doubt: r.doubted(h)})
+// send sends an attempt of p to a replica. It times out when the query is given up.
+func (r *Root) send(p *part, rep *replica) {
+	a := &attempt{part: p, replica: rep, sentAt: r.now, sentActive: r.activeTime(), turn: r.turn, open: true}
+	if len(p.attempts) > 0 && !r.nextAttemptIsFree(p) {
+		r.extraAttempts = append(r.extraAttempts, r.now)
+	}
+	if !r.joinsCall(rep) {
+		r.calls.add(r.now)
+	}
+	p.attempts, rep.inFlight, a.loadAtSend =
+		append(p.attempts, a), append(rep.inFlight, a), float64(len(rep.inFlight)+1)
+	rep.nextTrialAt, rep.coldTokens = r.now+r.trialInterval(), rep.coldTokens-1 // tokens matter while it is cold
+	r.sends.add(r.now)
+	timeoutMs := max(r.settings.TickMs, p.query.giveUpAt-r.now)
+	r.emit(Action{Kind: Send, ID: p.id, Addr: rep.Addr, Ms: timeoutMs, Unhealthy: r.unhealthy(rep)})
 }
 
-// cheap says that p's last attempt took no work: the next is none extra, unless a budget counts it.
-func (r *Root) cheap(p *part) bool { return !r.s.HasBudget && p.tries[len(p.tries)-1].quick }
+// nextAttemptIsFree reports whether the next attempt of p does not count as a further one, as the last caused no
+// work. A configured budget counts all of them.
+func (r *Root) nextAttemptIsFree(p *part) bool {
+	return !r.settings.HasRetryBudget && p.attempts[len(p.attempts)-1].failedFast
+}
 
-// callOff cancels what is still out of a part. A first send counts as its age, for Algorithm 1 too.
-func (r *Root) callOff(p *part) {
-	for i := range p.tries {
-		r.stop(p, i)
+// cancelAttempts cancels the open attempts of a part. A first send is recorded with its age, as Algorithm 1 of the
+// design also does.
+func (r *Root) cancelAttempts(p *part) {
+	for i := range p.attempts {
+		r.cancelAttempt(p, i)
 	}
 }
 
-func (r *Root) stop(p *part, i int) {
-	a := p.tries[i]
-	runs := a.open && !a.off
-	if runs && i == 0 {
-		r.classes[p.q.class].sample(r.awake() - a.woke)
+func (r *Root) cancelAttempt(p *part, index int) {
+	a := p.attempts[index]
+	active := a.open && !a.cancelled
+	if active && index == 0 {
+		r.classes[p.query.classIndex].recordFirstSend(r.activeTime() - a.sentActive)
 	}
-	if a.off = a.off || runs && r.s.MayCancel; runs && a.off {
-		r.late(a)
-		r.do(Action{Kind: Cancel, ID: p.id, Attempt: i})
+	if a.cancelled = a.cancelled || active && r.settings.AllowCancel; active && a.cancelled {
+		r.recordAbandoned(a)
+		r.emit(Action{Kind: Cancel, ID: p.id, Attempt: index})
 	}
 }
 
-func (p *part) running() (n int, last *attempt) {
-	for _, a := range p.tries {
+// openAttempts returns the number of open attempts and the last of them.
+func (p *part) openAttempts() (n int, last *attempt) {
+	for _, a := range p.attempts {
 		if a.open {
 			n, last = n+1, a
 		}
@@ -679,416 +771,462 @@
 	return n, last
 }
 
-// mayRepeat says whether p may get a further attempt, by the told number and the class's kind.
-func (r *Root) mayRepeat(p *part) bool {
-	if r.s.MaxAttempts > 0 && len(p.tries) >= r.s.MaxAttempts || p.got || p.dropped {
+// mayRetry reports whether p may get a further attempt, by the limit of attempts and the effect of its class.
+func (r *Root) mayRetry(p *part) bool {
+	if r.settings.MaxAttempts > 0 && len(p.attempts) >= r.settings.MaxAttempts || p.answered || p.dropped {
 		return false
 	}
-	c := &r.classes[p.q.class]
-	i := slices.IndexFunc(p.tries, (*attempt).mayHaveRun)
-	return c.Effect == Safe || i < 0 || c.Effect == Keyed && r.now-p.tries[i].sent < c.WindowMs-r.s.TickMs
+	c := &r.classes[p.query.classIndex]
+	first := slices.IndexFunc(p.attempts, (*attempt).mayHaveRun)
+	return c.Effect == Safe || first < 0 ||
+		c.Effect == Keyed && r.now-p.attempts[first].sentAt < c.DedupWindowMs-r.settings.TickMs
 }
 
-func (a *attempt) mayHaveRun() bool { return !a.unrun }
+func (a *attempt) mayHaveRun() bool { return !a.neverRan }
 
 func (r *Root) mayCopy(p *part) bool {
-	return r.s.SecondCopies && r.mayRepeat(p) && r.classes[p.q.class].Effect == Safe
+	return r.settings.AllowCopies && r.mayRetry(p) && r.classes[p.query.classIndex].Effect == Safe
 }
 
-// retry sends the parts that have nothing out: they failed, or no replica could be had before.
-func (r *Root) retry(q *query) {
-	ahead := func(p *part) bool {
-		n, a := p.running()
-		return n > 0 && r.awake()-a.woke < silent*r.usual(a.at)
+// retryParts sends the parts that have no open attempt: they failed, or no replica was available before.
+func (r *Root) retryParts(q *query) {
+	underWay := func(p *part) bool {
+		n, a := p.openAttempts()
+		return n > 0 && r.activeTime()-a.sentActive < silenceLatencies*r.expectedLatency(a.replica)
 	}
 	for _, p := range q.parts {
-		if q.idle() || q.dubious() && slices.ContainsFunc(q.parts, ahead) {
+		if q.inactive() || q.mayCrashReplicas() && slices.ContainsFunc(q.parts, underWay) {
 			return
 		}
-		n, tried := 0, len(p.tries)
-		if n, _ = p.running(); p.got || n > 0 || r.holds(p) ||
-			tried > 0 && (!r.mayRepeat(p) || !r.cheap(p) && !r.budget(1)) ||
-			tried > 0 && tried == r.s.MaxAttempts-1 && r.now < p.tries[tried-1].at.fullTill { // the last waits
+		n, attempts := 0, len(p.attempts)
+		if n, _ = p.openAttempts(); p.answered || n > 0 || r.waitsForAtRiskSibling(p) ||
+			attempts > 0 && (!r.mayRetry(p) || !r.nextAttemptIsFree(p) && !r.withinRetryBudget(1)) ||
+			attempts > 0 && attempts == r.settings.MaxAttempts-1 &&
+				r.now < p.attempts[attempts-1].replica.fullUntil { // the last attempt waits
 			continue
 		}
-		switch h := r.pick(p, false); {
-		case h == nil || r.now < h.fullTill: // cold, or full for now: the part can wait
-		case r.dead(h) && r.needs(p): // and so are all others
-			r.refuse(q, max(r.typical, h.trialAt-r.now))
+		switch rep := r.pickReplica(p, false); {
+		case rep == nil || r.now < rep.fullUntil: // all are cold or full for now: the part can wait
+		case r.isDown(rep) && r.isRequired(p): // and so are all other holders
+			r.refuse(q, max(r.medianLatency, rep.nextTrialAt-r.now))
 		default:
-			r.send(p, h)
+			r.send(p, rep)
 		}
 	}
 }
 
-// dubious says that q, of which nothing is in, may kill replicas: its parts go one by one, or it ends.
-func (q *query) dubious() bool { return (q.wary || q.broken > 0) && q.answered == 0 && !q.second }
-func (q *query) deadly() bool {
-	return q.dubious() && q.broken > 0 && (q.wary || q.broken > 1 && 2*q.broken >= len(q.parts))
+// mayCrashReplicas reports whether q, of which no part is answered, might crash the replicas that run it. Its
+// parts are then sent one by one.
+func (q *query) mayCrashReplicas() bool {
+	return (q.cautious || q.lostParts > 0) && q.answeredParts == 0 && !q.secondStep
 }
 
-func (q *query) idle() bool { return q.ended || q.between }
+// crashesReplicas reports whether replicas were lost under so many parts of q that it is ended: a retry of it
+// would crash more.
+func (q *query) crashesReplicas() bool {
+	return q.mayCrashReplicas() && q.lostParts > 0 &&
+		(q.cautious || q.lostParts > 1 && 2*q.lostParts >= len(q.parts))
+}
 
-// copies gives each part still running, once all but q.left have answered, the design's one copy, where that
-// joins no load of ours and should take less than the original has. Parts at a replica silent, failing, slow
-// or delisted, or lost while half of the others answered, do not wait; where both hang, the older makes way.
-// Where all other holders are in doubt, a stuck part tries one that has nothing out: it may be back.
-func (r *Root) copies(q *query) {
-	forks := !q.idle() && !q.forked && q.left > 0 && len(q.parts)-q.answered <= q.left
-	q.forked = q.forked || forks
+func (q *query) inactive() bool { return q.ended || q.betweenSteps }
+
+// copyParts sends the copies of q's parts. At the fork, when all but q.forkParts parts have answered, each open part
+// gets the one copy of the design, if there is a replica where this root has nothing in flight and where the copy
+// should take less time than the original has taken so far. Parts do not wait for the fork if their replica is
+// silent, failing, slow or removed from the list, or if they seem lost while half of the parts have answered. If
+// both attempts of a part are stuck, the older is cancelled for a third. If all other holders are unhealthy, a
+// stuck part is sent to one with nothing in flight, as it may have recovered.
+func (r *Root) copyParts(q *query) {
+	forksNow := !q.inactive() && !q.forked && q.forkParts > 0 && len(q.parts)-q.answeredParts <= q.forkParts
+	q.forked = q.forked || forksNow
 	for _, p := range q.parts {
-		n, a := p.running()
-		if q.idle() || n == 0 || n > 2 || a.sent == r.now || !r.mayCopy(p) {
+		n, a := p.openAttempts()
+		if q.inactive() || n == 0 || n > 2 || a.sentAt == r.now || !r.mayCopy(p) {
 			continue
 		}
-		age, usual := r.awake()-a.woke, r.usual(a.at)
-		stuck := a.at.State == Gone || r.doubted(a.at) && age > overdue*usual ||
-			a.at.level > silent*usual && age > silent*usual
-		older := slices.IndexFunc(p.tries, func(b *attempt) bool { return b.open })
-		lost := age > silent*max(usual, a.at.lat) && 2*q.answered >= len(q.parts)
+		age, expected := r.activeTime()-a.sentActive, r.expectedLatency(a.replica)
+		stuck := a.replica.State == Removed || r.unhealthy(a.replica) && age > overdueLatencies*expected ||
+			a.replica.rankLatency > silenceLatencies*expected && age > silenceLatencies*expected
+		older := slices.IndexFunc(p.attempts, func(b *attempt) bool { return b.open })
+		lost := age > silenceLatencies*max(expected, a.replica.latency) && 2*q.answeredParts >= len(q.parts)
 		if lost {
-			a.at.shunned[q.class] = r.now + warySpan*r.aim
+			a.replica.avoidedUntil[q.classIndex] = r.now + cautionObjectives*r.shortestObjectiveMs
 		}
-		if n == 2 && !(stuck && r.doubted(p.tries[older].at) && r.s.MayCancel) || // one of the two may still answer
-			!(stuck && r.budget(1)) && !((forks || lost) && r.budget(copyShare)) {
+		// With two attempts open, one of them may still answer.
+		if n == 2 && !(stuck && r.unhealthy(p.attempts[older].replica) && r.settings.AllowCancel) ||
+			!(stuck && r.withinRetryBudget(1)) && !((forksNow || lost) && r.withinRetryBudget(copyBudgetShare)) {
 			continue
 		}
-		h := r.pick(p, false)
-		free := h != nil && len(h.out) == 0 && r.predict(h) < age
-		last := stuck && free && r.now >= h.fullTill && !r.dead(h)
-		if last || h != nil && !r.doubted(h) && (free || stuck && h.level < silent*r.typical) {
-			if n == 2 { // two are out at most
-				r.stop(p, older)
+		rep := r.pickReplica(p, false)
+		idle := rep != nil && len(rep.inFlight) == 0 && r.predictLatency(rep) < age
+		lastResort := stuck && idle && r.now >= rep.fullUntil && !r.isDown(rep)
+		if lastResort || rep != nil && !r.unhealthy(rep) &&
+			(idle || stuck && rep.rankLatency < silenceLatencies*r.medianLatency) {
+			if n == 2 { // at most two may be open
+				r.cancelAttempt(p, older)
 			}
-			r.send(p, h)
+			r.send(p, rep)
 		}
 	}
 }
 
-// overShare counts a query against its tenant's allowance at this root.
-func (r *Root) overShare(t int) bool {
-	if uint(t) >= uint(len(r.tenants)) || r.s.Tenants[t].PerS <= 0 {
+// exceedsQuota reports whether a query exceeds its tenant's allowance at this root, and counts it if it does not.
+func (r *Root) exceedsQuota(tenant int) bool {
+	if uint(tenant) >= uint(len(r.tenantUsage)) || r.settings.Tenants[tenant].QueriesPerSecond <= 0 {
 		return false
 	}
-	inside, perMs := &r.tenants[t], r.s.Tenants[t].PerS/1000/float64(r.s.Roots)
-	if inside.value(r.now)+1 > max(1, perMs*rateSpanMs) {
+	usage, allowedPerMs := &r.tenantUsage[tenant],
+		r.settings.Tenants[tenant].QueriesPerSecond/1000/float64(r.settings.Roots)
+	if usage.value(r.now)+1 > max(1, allowedPerMs*rateDecayMs) {
 		return true
 	}
-	inside.add(r.now)
+	usage.add(r.now)
 	return false
 }
 
-// place picks a replica for each part, siblings weighing on each other, and predicts when the last is in.
-func (r *Root) place(q *query) float64 {
-	c, times := &r.classes[q.class], make([]float64, len(q.parts))
+// placeParts picks a replica for the first attempt of each part, with the other parts counted as its load, and
+// returns the predicted time until enough parts are answered.
+func (r *Root) placeParts(q *query) float64 {
+	c, predictions := &r.classes[q.classIndex], make([]float64, len(q.parts))
 	for i, p := range q.parts {
-		times[i], p.first = math.Inf(1), r.pick(p, true)
-		p.scarce = r.needs(p) && !slices.ContainsFunc(r.holders(p), r.free)
-		if h := p.first; h != nil {
-			if times[i] = r.predict(h) + max(0, h.fullTill-r.now); r.dead(h) {
-				times[i] = math.Inf(1) // and so are all others that hold the shard
-			} else if r.doubted(h) { // a trial is tried elsewhere when overdue
-				times[i] = min(times[i], (1+overdue)*r.typical)
+		predictions[i], p.firstReplica = math.Inf(1), r.pickReplica(p, true)
+		p.atRisk = r.isRequired(p) && !slices.ContainsFunc(r.holders(p), r.hasRoom)
+		if rep := p.firstReplica; rep != nil {
+			if predictions[i] = r.predictLatency(rep) + max(0, rep.fullUntil-r.now); r.isDown(rep) {
+				predictions[i] = math.Inf(1) // and so are all other holders of the shard
+			} else if r.unhealthy(rep) { // a trial that is overdue is sent elsewhere
+				predictions[i] = min(predictions[i], (1+overdueLatencies)*r.medianLatency)
 				q.trials++
-				h.group.trialAt = r.now + max(trialGap*r.typical, min(r.gap, warySpan*r.aim))
+				rep.group.nextTrialAt = r.now + max(trialIntervalLatencies*r.medianLatency,
+					min(r.sendIntervalMs, cautionObjectives*r.shortestObjectiveMs))
 			}
-			h.out = append(h.out, &attempt{turn: r.turn, open: true})
-			h.mayTake--
+			rep.inFlight = append(rep.inFlight, &attempt{turn: r.turn, open: true})
+			rep.coldTokens--
 		}
 	}
 	for _, p := range q.parts {
-		if h := p.first; h != nil {
-			h.out, h.mayTake = h.out[:len(h.out)-1], h.mayTake+1
+		if rep := p.firstReplica; rep != nil {
+			rep.inFlight, rep.coldTokens = rep.inFlight[:len(rep.inFlight)-1], rep.coldTokens+1
 		}
 	}
-	slices.Sort(times)
-	needed := int(math.Ceil(c.Need*float64(len(times)) - 1e-4))
-	if n, _ := slices.BinarySearch(times, math.Inf(1)); float64(n) >= c.Floor*float64(len(times)) {
-		needed = min(needed, n) // the others cannot be had: a partial answer then
+	slices.Sort(predictions)
+	needed := int(math.Ceil(c.CompleteShare*float64(len(predictions)) - 1e-4))
+	if placeable, _ := slices.BinarySearch(predictions, math.Inf(1)); float64(placeable) >=
+		c.MinShare*float64(len(predictions)) {
+		needed = min(needed, placeable) // no replica is available for the others: a partial answer
 	}
-	if needed < 1 || needed > len(times) {
+	if needed < 1 || needed > len(predictions) {
 		return math.Inf(1)
 	}
-	return times[needed-1]
+	return predictions[needed-1]
 }
 
-// admit sends all parts of a query, or turns it away at once when its end is predicted too late.
+// admit sends all parts of a query, or refuses it at once if its answer is predicted too late.
 func (r *Root) admit(q *query) {
-	c, k := &r.classes[q.class], float64(len(q.parts))
-	ms := r.place(q)
-	q.came, q.predicted = r.now, ms
-	if !q.second {
-		r.open, c.k = append(r.open, q), toward(c.k, k, 0.1)
-		v, until := c.Worth, q.aim
-		if !r.s.WorthByWork {
-			v /= max(1, k*c.mean)
+	c, parts := &r.classes[q.classIndex], float64(len(q.parts))
+	predicted := r.placeParts(q)
+	q.startedAt, q.predictedMs = r.now, predicted
+	if !q.secondStep {
+		r.openQueries, c.meanParts = append(r.openQueries, q), smoothed(c.meanParts, parts, 0.1)
+		worth, dueAt := c.Worth, q.objectiveAt
+		if !r.settings.WorthIsPerWork {
+			worth /= max(1, parts*c.meanPartMs)
 		}
-		if c.mean > 0 {
-			r.seen = min(r.seen+1, usualOver)
-			r.usualV += (v - r.usualV) / r.seen
+		if c.meanPartMs > 0 {
+			r.worthCount = min(r.worthCount+1, worthSamples)
+			r.meanWorth += (worth - r.meanWorth) / r.worthCount
 		}
-		if q.over {
-			v *= r.s.OverShareWorth
+		if q.overQuota {
+			worth *= r.settings.OverShareWorth
 		}
-		if r.now >= q.aim {
-			v, until = v*c.LateShare, q.end
+		if r.now >= q.objectiveAt {
+			worth, dueAt = worth*c.LateWorthShare, q.expiresAt
 		}
-		pressed := max(0, min(1, r.fleet/cmp.Or(r.calm, r.fleet, 1)-1)) // full at twice the calm level
-		share := min(1, max(roomLeast, roomAim*math.Sqrt(math.Sqrt(v/max(v/10, r.usualV, 1e-9)))))
-		room := (1 - pressed*(1-share)) * (until - r.now)
-		// Once some end late, means are scaled by how those took, by more where what we know is old. This fades.
-		slip := c.slip * (1 + c.late*min(1, r.gap/(fade*r.calm+1)))
-		ms *= 1 + min(1, c.late/lateMost)*(slip-1)*math.Exp(-(r.now-c.slipAt)/r.memory)
-		if ms > room || q.giveUp-r.now <= endTicks*r.s.TickMs {
-			r.refuse(q, ms-room)
+		// Pressure rises from 0 at the baseline latency to 1 at twice the baseline.
+		pressure := max(0, min(1, r.fleetLatency/cmp.Or(r.baselineLatency, r.fleetLatency, 1)-1))
+		admissionShare := min(1, max(minAdmissionShare,
+			usualAdmissionShare*math.Sqrt(math.Sqrt(worth/max(worth/10, r.meanWorth, 1e-9)))))
+		allowed := (1 - pressure*(1-admissionShare)) * (dueAt - r.now)
+		// Once queries end late, predictions are scaled by the overrun of recent queries, and by more if
+		// measurements are old. The correction decays.
+		overrun := c.overrun * (1 + c.lateRate*min(1, r.sendIntervalMs/(decayLatencies*r.baselineLatency+1)))
+		predicted *= 1 + min(1, c.lateRate/fullCorrectionLateRate)*(overrun-1)*math.Exp(-(r.now-c.overrunAt)/r.decayMs)
+		if predicted > allowed || q.giveUpAt-r.now <= minReserveTicks*r.settings.TickMs {
+			r.refuse(q, predicted-allowed)
 			return
 		}
-		r.do(Action{Kind: Timer, Ms: q.giveUp - r.now})
-		q.wary = r.now < max(r.waryTo, c.waryTo) || q.again
+		r.emit(Action{Kind: Timer, Ms: q.giveUpAt - r.now})
+		q.cautious = r.now < max(r.cautiousUntil, c.cautiousUntil) || q.retried
 	}
-	q.left = int(c.p*k + r.rng.Float64())
+	q.forkParts = int(c.copyFraction*parts + r.rng.Float64())
 	for _, p := range q.parts {
-		if h := p.first; h != nil && r.now >= h.fullTill && (p == q.parts[0] || !q.dubious()) && !r.holds(p) {
-			r.send(p, h)
+		if rep := p.firstReplica; rep != nil && r.now >= rep.fullUntil &&
+			(p == q.parts[0] || !q.mayCrashReplicas()) && !r.waitsForAtRiskSibling(p) {
+			r.send(p, rep)
 		}
 	}
 }
 
-// needs says that without p its query has no answer, not even in part. Weights are rounded.
-func (r *Root) needs(p *part) bool { return 1-p.weight < r.classes[p.q.class].Floor-5e-5 }
+// isRequired reports whether the query of p cannot have even a partial answer without it. The margin allows for
+// weights that are rounded.
+func (r *Root) isRequired(p *part) bool {
+	return 1-p.weight < r.classes[p.query.classIndex].MinShare-5e-5
+}
 
-// free says that h is sound, as far as we know, and has room.
-func (r *Root) free(h *replica) bool { return !r.doubted(h) && r.now >= h.fullTill && r.coldRoom(h) }
+// hasRoom reports whether a replica is healthy, as far as the root knows, and can take a part.
+func (r *Root) hasRoom(rep *replica) bool {
+	return !r.unhealthy(rep) && r.now >= rep.fullUntil && r.hasColdBudget(rep)
+}
 
-// holds keeps p back till no scarce sibling has still to be taken in: one that fails loses q, and its work.
-func (r *Root) holds(p *part) bool {
-	return !p.scarce && slices.ContainsFunc(p.q.parts, func(o *part) bool {
-		n, a := o.running()
-		return o.scarce && !o.got && (n == 0 || r.awake()-a.woke < max(r.typical/2, a.at.faded-r.typical))
+// waitsForAtRiskSibling reports whether p is held back as a part at risk of the same query may still fail: the
+// query would then be lost, and the work of p wasted.
+func (r *Root) waitsForAtRiskSibling(p *part) bool {
+	return !p.atRisk && slices.ContainsFunc(p.query.parts, func(sibling *part) bool {
+		n, a := sibling.openAttempts()
+		return sibling.atRisk && !sibling.answered && (n == 0 ||
+			r.activeTime()-a.sentActive < max(r.medianLatency/2, a.replica.decayedLatency-r.medianLatency))
 	})
 }
 
-// settle answers a query whose weight is in; out of time or hope it ends one, with a part where allowed.
-func (r *Root) settle(q *query) {
-	c := &r.classes[q.class]
-	need, floor := c.Need-5e-5, c.Floor-5e-5 // weights are rounded
-	if q.second {
-		if need = 1 - 5e-5; c.Floor >= c.Need {
-			floor = need
+// endIfDue answers a query of which enough parts are answered. If time is up, or the missing parts cannot be
+// answered any more, it ends the query with a partial answer, if the class allows that, or a refusal.
+func (r *Root) endIfDue(q *query) {
+	c := &r.classes[q.classIndex]
+	completeWeight, minWeight := c.CompleteShare-5e-5, c.MinShare-5e-5 // weights are rounded
+	if q.secondStep {
+		if completeWeight = 1 - 5e-5; c.MinShare >= c.CompleteShare {
+			minWeight = completeWeight
 		}
 	}
-	hope, all := 0.0, q.answered == len(q.parts)
+	reachable, allAnswered := 0.0, q.answeredParts == len(q.parts)
 	for _, p := range q.parts {
-		n, _ := p.running()
-		if p.got || n > 0 || r.mayRepeat(p) && len(r.holders(p)) > 0 {
-			hope += p.weight
+		n, _ := p.openAttempts()
+		if p.answered || n > 0 || r.mayRetry(p) && len(r.holders(p)) > 0 {
+			reachable += p.weight
 		}
 	}
-	late := r.now >= q.giveUp || q.deadly()
-	if q.deadly() {
-		c.waryTo = r.now + warySpan*r.aim
+	outOfTime := r.now >= q.giveUpAt || q.crashesReplicas()
+	if q.crashesReplicas() {
+		c.cautiousUntil = r.now + cautionObjectives*r.shortestObjectiveMs
 	}
-	enough, fetch := q.answered > 0 && q.weight >= floor, 0.0
-	if c.Fetch > 0 && !q.second { // what is lost in a first step must not cost the time for a second
-		fetch = fetchTimes * cmp.Or(c.fetch, r.typical)
+	sufficient, secondStepMs := q.answeredParts > 0 && q.answeredWeight >= minWeight, 0.0
+	if c.SecondStepParts > 0 && !q.secondStep { // a lost part must not use up the time of the second step
+		secondStepMs = secondStepReserve * cmp.Or(c.secondStepMs, r.medianLatency)
 	}
-	// Past the aim a partial answer now may earn more than a whole one to come.
-	due := r.now >= q.aim-(sweepTicks+endTicks)*r.s.TickMs-fetch && c.Partial*q.weight > c.LateShare*c.Need
+	// Around the objective, a partial answer now may earn more than a complete one that is late.
+	partialDue := r.now >= q.objectiveAt-(sweepIntervalTicks+minReserveTicks)*r.settings.TickMs-secondStepMs &&
+		c.PartialWorth*q.answeredWeight > c.LateWorthShare*c.CompleteShare
 	switch {
-	case q.ended, q.between && !late:
-	case q.between:
+	case q.ended, q.betweenSteps && !outOfTime:
+	case q.betweenSteps:
 		r.refuse(q, 0)
-	case q.answered > 0 && (q.weight >= need && (all || !q.second) || all && q.weight >= floor):
-		r.answer(q, q.weight >= need && (!q.second || q.whole))
-	case !late && hope >= floor && !(due && enough):
-	case enough:
+	case q.answeredParts > 0 && (q.answeredWeight >= completeWeight && (allAnswered || !q.secondStep) ||
+		allAnswered && q.answeredWeight >= minWeight):
+		r.answer(q, q.answeredWeight >= completeWeight && (!q.secondStep || q.firstComplete))
+	case !outOfTime && reachable >= minWeight && !(partialDue && sufficient):
+	case sufficient:
 		r.answer(q, false)
 	default:
-		r.refuse(q, r.typical)
+		r.refuse(q, r.medianLatency)
 	}
 }
 
-// refuse ends a query by a refusal where it is safe to ask again, with a hint when to, else by a failure.
-func (r *Root) refuse(q *query, hint float64) {
-	ran := func(p *part) bool { return slices.ContainsFunc(p.tries, (*attempt).mayHaveRun) }
-	if !r.s.RetryAfter {
-		hint = 0
+// refuse ends a query by a refusal, with a hint when to retry, if a retry is safe. Otherwise the query fails.
+func (r *Root) refuse(q *query, retryAfterMs float64) {
+	mayHaveRun := func(p *part) bool { return slices.ContainsFunc(p.attempts, (*attempt).mayHaveRun) }
+	if !r.settings.SendRetryAfter {
+		retryAfterMs = 0
 	}
-	if r.classes[q.class].Effect == Unsafe && slices.ContainsFunc(q.parts, ran) {
-		r.do(Action{Kind: Abort, ID: q.id})
+	if r.classes[q.classIndex].Effect == Unsafe && slices.ContainsFunc(q.parts, mayHaveRun) {
+		r.emit(Action{Kind: Abort, ID: q.id})
 	} else {
-		r.do(Action{Kind: Refuse, ID: q.id, Ms: max(0, min(hint, r.s.MaxRetryAfterMs))})
+		r.emit(Action{Kind: Refuse, ID: q.id, Ms: max(0, min(retryAfterMs, r.settings.MaxRetryAfterMs))})
 	}
 	r.close(q)
 }
 
-func (r *Root) answer(q *query, whole bool) {
-	r.do(Action{Kind: Answer, ID: q.id, Whole: whole})
-	if r.classes[q.class].Fetch > 0 && !q.second {
-		q.between, q.whole = true, whole
+// answer answers the current step of a query, which ends the query after its last step.
+func (r *Root) answer(q *query, complete bool) {
+	r.emit(Action{Kind: Answer, ID: q.id, Complete: complete})
+	if r.classes[q.classIndex].SecondStepParts > 0 && !q.secondStep {
+		q.betweenSteps, q.firstComplete = true, complete
 		r.dropParts(q)
 		return
 	}
 	r.close(q)
 }
 
-// close forgets a query; what is still out is cancelled.
+// close removes a query and cancels its open attempts.
 func (r *Root) close(q *query) {
-	if took := q.sound(r.now); took > 0 && q.predicted > 0 {
-		r.classes[q.class].ended(q, r.now, took, q.came+took > q.aim-2*endTicks*r.s.TickMs)
+	if took := q.healthyDuration(r.now); took > 0 && q.predictedMs > 0 {
+		r.classes[q.classIndex].recordEnd(q, r.now, took,
+			q.startedAt+took > q.objectiveAt-2*minReserveTicks*r.settings.TickMs)
 	}
 	q.ended = true
-	if r.byNumber[q.number] == q {
-		delete(r.byNumber, q.number)
+	if r.queriesByNumber[q.number] == q {
+		delete(r.queriesByNumber, q.number)
 	}
 	r.dropParts(q)
 }
 
-// sound is how long those parts of q took that met no replica now in doubt: they tell of those that avoid it.
-func (q *query) sound(now float64) (took float64) {
+// healthyDuration returns how long the parts of q took that met no suspected replica. Later queries avoid such
+// replicas, so that only these parts say how long those will take.
+func (q *query) healthyDuration(now float64) (took float64) {
 	for _, p := range q.parts {
-		if len(p.tries) > 0 && !slices.ContainsFunc(p.tries, func(a *attempt) bool { return a.at.suspect }) {
-			took = max(took, cmp.Or(p.in, now)-q.came)
+		if len(p.attempts) > 0 &&
+			!slices.ContainsFunc(p.attempts, func(a *attempt) bool { return a.replica.suspected }) {
+			took = max(took, cmp.Or(p.answeredAt, now)-q.startedAt)
 		}
 	}
 	return took
 }
 
-// ended learns from a query that was taken in how its time compares with the predicted.
-func (c *class) ended(q *query, now, took float64, late bool) {
-	if q.second {
-		c.fetch = toward(c.fetch, now-q.came, smooth)
+// recordEnd records how the time of an admitted query compares with the prediction.
+func (c *class) recordEnd(q *query, now, took float64, late bool) {
+	if q.secondStep {
+		c.secondStepMs = smoothed(c.secondStepMs, now-q.startedAt, smoothingFactor)
 	}
-	if c.late *= 1 - smooth; late {
-		c.late += smooth
+	if c.lateRate *= 1 - smoothingFactor; late {
+		c.lateRate += smoothingFactor
 	}
-	c.slip, c.slipAt = toward(c.slip, min(slipMax, took/max(1, q.predicted)), smooth), now
+	c.overrun, c.overrunAt =
+		smoothed(c.overrun, min(maxOverrun, took/max(1, q.predictedMs)), smoothingFactor), now
 }
 
 func (r *Root) dropParts(q *query) {
 	for _, p := range q.parts {
 		p.dropped = true
-		r.callOff(p)
-		r.forget(p)
+		r.cancelAttempts(p)
+		r.removeIfDone(p)
 	}
 	q.parts = q.parts[:0:0]
 }
 
-// chooseP takes the candidate of least estimated latency whose busy time stays within 1 + mu of no copies.
-func (r *Root) chooseP(c *class) {
-	k := int(c.k + 0.5)
-	if len(c.samples) < 20 || k < 1 || r.now-c.chosenAt < pEveryMs {
+// chooseCopyFraction sets p, the fraction of a query's parts that get a copy, to the candidate with the least
+// estimated latency of those that add at most maxExtraWork to the busy time without copies.
+func (r *Root) chooseCopyFraction(c *class) {
+	parts := int(c.meanParts + 0.5)
+	if len(c.firstSendMs) < 20 || parts < 1 || r.now-c.fractionChosenAt < copyFractionIntervalMs {
 		return
 	}
-	c.chosenAt = r.now
-	x := slices.Sorted(slices.Values(c.samples))
-	r.calm = min(cmp.Or(r.calm*(1+calmRise), x[len(x)/4]), x[len(x)/4])
-	base, best, seed := 0.0, math.Inf(1), r.rng.Uint64()
-	for i := range pSteps + 1 {
-		p := pMax * float64(i) / pSteps
-		t, busy := estimate(x, k, p, rand.New(rand.NewPCG(seed, 0))) // the same draws for each p
-		if base = cmp.Or(base, busy); busy <= (1+mu)*base && t < best {
-			best, c.p = t, p
+	c.fractionChosenAt = r.now
+	samples := slices.Sorted(slices.Values(c.firstSendMs))
+	r.baselineLatency = min(cmp.Or(r.baselineLatency*(1+baselineRise), samples[len(samples)/4]),
+		samples[len(samples)/4])
+	baseBusy, bestLatency, seed := 0.0, math.Inf(1), r.rng.Uint64()
+	for i := range copyFractionSteps + 1 {
+		fraction := maxCopyFraction * float64(i) / copyFractionSteps
+		latency, busy := estimateLatency(samples, parts, fraction, rand.New(rand.NewPCG(seed, 0))) // the same draws for all
+		if baseBusy = cmp.Or(baseBusy, busy); busy <= (1+maxExtraWork)*baseBusy && latency < bestLatency {
+			bestLatency, c.copyFraction = latency, fraction
 		}
 	}
 }
 
-// estimate is Algorithm 1, the original kept, one copy: mean latency and busy time of k parts from sorted x.
-func estimate(x []float64, k int, p float64, rng *rand.Rand) (latency, busy float64) {
-	draw := make([]float64, k)
-	for range pDraws {
-		left := min(k, int(p*float64(k)+rng.Float64()))
-		for i := range draw {
-			draw[i] = x[rng.IntN(len(x))]
+// estimateLatency is Algorithm 1 of the design, with the original kept and one copy. From sorted samples it
+// estimates the mean latency of a query and the busy time of its parts, of which the given fraction is copied.
+func estimateLatency(samples []float64, parts int, fraction float64, rng *rand.Rand) (latency, busy float64) {
+	draws := make([]float64, parts)
+	for range bootstrapRounds {
+		copies := min(parts, int(fraction*float64(parts)+rng.Float64()))
+		for i := range draws {
+			draws[i] = samples[rng.IntN(len(samples))]
 		}
-		slices.Sort(draw)
-		t1, t2 := 0.0, 0.0
-		for _, d := range draw[:k-left] {
-			busy, t1 = busy+d, d
+		slices.Sort(draws)
+		forkAt, afterFork := 0.0, 0.0
+		for _, d := range draws[:parts-copies] {
+			busy, forkAt = busy+d, d
 		}
-		above, _ := slices.BinarySearch(x, math.Nextafter(t1, math.Inf(1)))
-		for range left {
-			rest := 0.0
-			if above < len(x) {
-				rest = x[above+rng.IntN(len(x)-above)] - t1
+		above, _ := slices.BinarySearch(samples, math.Nextafter(forkAt, math.Inf(1)))
+		for range copies {
+			remaining := 0.0
+			if above < len(samples) {
+				remaining = samples[above+rng.IntN(len(samples)-above)] - forkAt
 			}
-			w := min(rest, x[rng.IntN(len(x))])
-			busy, t2 = busy+t1+2*w, max(t2, w)
+			wait := min(remaining, samples[rng.IntN(len(samples))])
+			busy, afterFork = busy+forkAt+2*wait, max(afterFork, wait)
 		}
-		latency += t1 + t2
+		latency += forkAt + afterFork
 	}
-	return latency / pDraws, busy / pDraws
+	return latency / bootstrapRounds, busy / bootstrapRounds
 }
 
-// budget says whether one more further attempt fits, within the given share of what the window allows.
-func (r *Root) budget(share float64) bool {
-	from := r.now - r.s.ExtraSpanMs
-	r.extras, r.taken = since(r.extras, from), since(r.taken, from+r.s.TickMs)
-	return float64(len(r.extras)+1) <= share*(r.s.ExtraFloor+r.s.ExtraShare*float64(len(r.taken)))
+// withinRetryBudget reports whether one more further attempt stays within the given share of the retry budget.
+func (r *Root) withinRetryBudget(share float64) bool {
+	windowStart := r.now - r.settings.RetryBudgetWindowMs
+	r.extraAttempts, r.arrivals =
+		timesSince(r.extraAttempts, windowStart), timesSince(r.arrivals, windowStart+r.settings.TickMs)
+	return float64(len(r.extraAttempts)+1) <=
+		share*(r.settings.RetryBudgetFloor+r.settings.RetryBudgetRatio*float64(len(r.arrivals)))
 }
 
-func since(times []float64, from float64) []float64 {
+func timesSince(times []float64, from float64) []float64 {
 	i, _ := slices.BinarySearch(times, from)
 	return times[i:]
 }
 
-// follow subscribes where the list must be asked for, again after a failure, within the told limit.
-func (r *Root) follow() {
-	if !r.s.AskForList || r.follows || r.now < r.askAt {
+// subscribe subscribes to list changes if the settings require it. After a failure it does so again, with
+// backoff and jitter, within the configured interval.
+func (r *Root) subscribe() {
+	if !r.settings.MustSubscribe || r.subscribed || r.now < r.nextSubscribeAt {
 		return
 	}
-	r.do(Action{Kind: Subscribe, Whole: true})
-	pause := min(r.askGap, max(askFirstMs, r.s.AskWithinMs/3)) * (0.5 + r.rng.Float64())
-	r.askGap, r.askAt = 2*pause, r.now+pause
-	r.do(Action{Kind: Timer, Ms: pause})
+	r.emit(Action{Kind: Subscribe, Complete: true})
+	backoff := min(r.subscribeBackoffMs, max(initialSubscribeBackoffMs, r.settings.MaxSubscribeIntervalMs/3)) *
+		(0.5 + r.rng.Float64())
+	r.subscribeBackoffMs, r.nextSubscribeAt = 2*backoff, r.now+backoff
+	r.emit(Action{Kind: Timer, Ms: backoff})
 }
 
-func (r *Root) news(e *Event) {
-	if r.follows = r.follows && e.List != ListFailed; e.List == ListFailed {
+// updateList applies an update of the list of replicas.
+func (r *Root) updateList(e *Event) {
+	if r.subscribed = r.subscribed && e.List != ListFailed; e.List == ListFailed {
 		return
 	}
-	named := make(map[Addr]bool, len(e.Members))
+	listed := make(map[Addr]bool, len(e.Members))
 	for _, m := range e.Members {
-		named[m.Addr] = true
+		listed[m.Addr] = true
 	}
-	for _, h := range r.listed {
-		if e.List != ListDelta && !named[h.Addr] {
-			h.State = Gone
+	for _, rep := range r.listedReplicas {
+		if e.List != ListDelta && !listed[rep.Addr] {
+			rep.State = Removed
 		}
 	}
 	if e.List != ListCached {
-		r.follows, r.askGap = true, askFirstMs
+		r.subscribed, r.subscribeBackoffMs = true, initialSubscribeBackoffMs
 	}
 	for _, m := range e.Members {
-		h := r.replicas[m.Addr]
-		if h == nil {
-			if m.State == Gone {
+		rep := r.replicas[m.Addr]
+		if rep == nil {
+			if m.State == Removed {
 				continue
 			}
-			h = &replica{since: math.Inf(-1), told: r.now, lastNews: r.awake()}
-			h.shunned = make([]float64, len(r.classes))
-			r.replicas[m.Addr] = h
-			if r.told && m.ReadyAt == 0 {
-				h.since = r.now // new to the list: cold until it can't be
+			rep = &replica{startedAt: math.Inf(-1), listedAt: r.now, lastAnswerAt: r.activeTime()}
+			rep.avoidedUntil = make([]float64, len(r.classes))
+			r.replicas[m.Addr] = rep
+			if r.hasList && m.ReadyAt == 0 {
+				rep.startedAt = r.now // new in the list: taken as cold for its warm-up time
 			}
-		} else if m.ReadyAt > h.ReadyAt || h.State == Gone && m.State == Ready {
-			h.since, h.told, h.heard, h.lastNews = r.now, r.now, false, r.awake()
-			h.bad, h.suspect, h.down = 0, false, false
+		} else if m.ReadyAt > rep.ReadyAt || rep.State == Removed && m.State == Ready {
+			rep.startedAt, rep.listedAt, rep.hasAnswered, rep.lastAnswerAt = r.now, r.now, false, r.activeTime()
+			rep.suspicion, rep.suspected, rep.refusedConnection = 0, false, false
 		}
-		h.since = cmp.Or(m.ReadyAt, h.since) // a start that is told
-		h.Member = m
+		rep.startedAt = cmp.Or(m.ReadyAt, rep.startedAt) // the list gives the start
+		rep.Member = m
 		key := [2]int{m.Zone, m.Kind}
-		h.group = cmp.Or(r.groups[key], &group{})
-		r.groups[key] = h.group
-	}
-	maps.DeleteFunc(r.replicas, func(_ Addr, h *replica) bool { return h.State == Gone && len(h.out) == 0 })
-	r.told, r.listed = true, slices.AppendSeq(r.listed[:0], maps.Values(r.replicas))
-	slices.SortFunc(r.listed, func(a, b *replica) int { return cmp.Compare(a.Addr, b.Addr) })
-	clear(r.cells)
-	for _, h := range r.listed { // once for each set that it holds: sets times replicas would be too many
-		for back := 0; h.State == Ready && back < min(r.s.InARow, r.s.Cells); back++ {
-			c := ((h.Cell-back)%r.s.Cells + r.s.Cells) % r.s.Cells
-			r.cells[c] = append(r.cells[c], h)
+		rep.group = cmp.Or(r.groups[key], &group{})
+		r.groups[key] = rep.group
+	}
+	maps.DeleteFunc(r.replicas, func(_ Addr, rep *replica) bool {
+		return rep.State == Removed && len(rep.inFlight) == 0
+	})
+	r.hasList, r.listedReplicas = true, slices.AppendSeq(r.listedReplicas[:0], maps.Values(r.replicas))
+	slices.SortFunc(r.listedReplicas, func(a, b *replica) int { return cmp.Compare(a.Addr, b.Addr) })
+	clear(r.holdersByCell)
+	for _, rep := range r.listedReplicas { // once per cell that it serves: all cells times replicas would be too many
+		for offset := 0; rep.State == Ready && offset < min(r.settings.CellsPerShard, r.settings.Cells); offset++ {
+			cell := ((rep.Cell-offset)%r.settings.Cells + r.settings.Cells) % r.settings.Cells
+			r.holdersByCell[cell] = append(r.holdersByCell[cell], rep)
 		}
 	}
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -27,10 +27,10 @@
 
 func settings() Settings {
 	return Settings{
-		Roots: 1, TickMs: 5, Cells: 1, InARow: 1, Shards: 4, BundleMax: 1,
-		Classes:     []Class{{AimMs: 1000, DeadlineMs: 3000, LateShare: 0.1, Worth: 1, Need: 1, Floor: 1}},
-		MaxAttempts: 3, SecondCopies: true, MayCancel: true, RetryAfter: true, MaxRetryAfterMs: 1000,
-		ColdFrom: 0.2, ColdMs: 10000, FallTimes: 2, FallMs: 2000,
+		Roots: 1, TickMs: 5, Cells: 1, CellsPerShard: 1, Shards: 4, MaxPartsPerCall: 1,
+		Classes:     []Class{{ObjectiveMs: 1000, DeadlineMs: 3000, LateWorthShare: 0.1, Worth: 1, CompleteShare: 1, MinShare: 1}},
+		MaxAttempts: 3, AllowCopies: true, AllowCancel: true, SendRetryAfter: true, MaxRetryAfterMs: 1000,
+		ColdCapacityShare: 0.2, WarmUpMs: 10000, ColdOverloadFactor: 2, ColdOverloadMs: 2000,
 	}
 }
 
@@ -73,21 +73,21 @@
 	for _, m := range members {
 		b.state[m.Addr] = m.State
 	}
-	b.events = append(b.events, Event{Kind: ListNews, List: kind, Members: members})
+	b.events = append(b.events, Event{Kind: ListUpdate, List: kind, Members: members})
 }
 
 func (b *bed) query(class, k int) (uint64, []uint64) {
 	b.number++
-	c := b.r.s.Classes[class]
+	c := b.r.settings.Classes[class]
 	b.nextID++
 	q := b.nextID
-	b.events = append(b.events, Event{Kind: QueryCame, ID: q, Class: class, LeftMs: c.DeadlineMs, Number: b.number, Parts: k})
+	b.events = append(b.events, Event{Kind: QueryArrived, ID: q, Class: class, TimeLeftMs: c.DeadlineMs, Number: b.number, Parts: k})
 	var parts []uint64
 	for i := range k {
 		b.nextID++
 		parts = append(parts, b.nextID)
 		b.owner[b.nextID] = q
-		b.events = append(b.events, Event{Kind: PartCame, ID: b.nextID, Class: class, LeftMs: c.DeadlineMs,
+		b.events = append(b.events, Event{Kind: PartArrived, ID: b.nextID, Class: class, TimeLeftMs: c.DeadlineMs,
 			Number: b.number, Shard: i, Weight: 1 / float64(k)})
 	}
 	return q, parts
@@ -102,7 +102,7 @@
 func (b *bed) step(ms float64) {
 	b.t.Helper()
 	b.acts = nil
-	pace := sweepTicks * b.r.s.TickMs
+	pace := sweepIntervalTicks * b.r.settings.TickMs
 	for ; ms > pace; ms -= pace {
 		b.now += pace
 		b.acts = b.r.Step(b.now, nil, b.acts)
@@ -134,7 +134,7 @@
 			if _, twice := b.final[a.ID]; twice {
 				b.t.Errorf("%v: query %d ended twice", b.now, a.ID)
 			}
-			b.final[a.ID], b.whole[a.ID] = a.Kind, a.Whole
+			b.final[a.ID], b.whole[a.ID] = a.Kind, a.Complete
 		}
 	}
 }
@@ -172,7 +172,7 @@
 	b := start(t, settings(), 3, 100)
 	forks := 0
 	for range 40 {
-		b.r.classes[0].p = pMax // 4 parts: a fork in four of ten queries
+		b.r.classes[0].copyFraction = maxCopyFraction // 4 parts: a fork in four of ten queries
 		q, parts := b.query(0, 4)
 		b.step(0)
 		b.step(100)
@@ -225,14 +225,14 @@
 			s := settings()
 			r := New(s, 7)
 			c := &r.classes[0]
-			c.k = 10
-			for range pSamples {
-				c.sample(test.draw())
+			c.meanParts = 10
+			for range maxLatencySamples {
+				c.recordFirstSend(test.draw())
 			}
 			r.now = 1e6
-			r.chooseP(c)
-			if !test.want(c.p) {
-				t.Errorf("p = %v", c.p)
+			r.chooseCopyFraction(c)
+			if !test.want(c.copyFraction) {
+				t.Errorf("p = %v", c.copyFraction)
 			}
 		})
 	}
@@ -241,18 +241,18 @@
 func TestEstimate(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	// Constant times: the fork comes when all are done, and costs nothing.
-	if l, busy := estimate([]float64{50, 50, 50}, 4, 0.1, rng); l != 50 || busy != 200 {
+	if l, busy := estimateLatency([]float64{50, 50, 50}, 4, 0.1, rng); l != 50 || busy != 200 {
 		t.Errorf("constant: latency %v, busy %v, want 50 and 200", l, busy)
 	}
 	// Without copies the busy time is k times the mean.
 	x := []float64{10, 20, 30, 40}
-	if _, busy := estimate(x, 40, 0, rng); math.Abs(busy-40*25) > 40 {
+	if _, busy := estimateLatency(x, 40, 0, rng); math.Abs(busy-40*25) > 40 {
 		t.Errorf("no copies: busy %v, want about 1000", busy)
 	}
 	// With a tail the copy bounds the wait after the fork.
 	tail := append(slices.Repeat([]float64{10}, 95), 1000, 1000, 1000, 1000, 1000)
-	slow, _ := estimate(tail, 10, 0, rand.New(rand.NewPCG(3, 4)))
-	fast, _ := estimate(tail, 10, 0.1, rand.New(rand.NewPCG(3, 4)))
+	slow, _ := estimateLatency(tail, 10, 0, rand.New(rand.NewPCG(3, 4)))
+	fast, _ := estimateLatency(tail, 10, 0.1, rand.New(rand.NewPCG(3, 4)))
 	if fast > slow/2 {
 		t.Errorf("tail: latency %v with copies, %v without, want under half", fast, slow)
 	}
@@ -262,7 +262,7 @@
 	for _, effect := range []Effect{Safe, Keyed, Unsafe} {
 		t.Run(fmt.Sprint(effect), func(t *testing.T) {
 			s := settings()
-			s.Classes[0].Effect, s.Classes[0].WindowMs = effect, 500
+			s.Classes[0].Effect, s.Classes[0].DedupWindowMs = effect, 500
 			b := start(t, s, 3, 100)
 			q, _ := b.query(0, 4)
 			b.step(0)
@@ -285,7 +285,7 @@
 	for _, test := range []struct {
 		o    Outcome
 		want int
-	}{{Rejected, 2}, {Unreachable, 2}, {Failed, 1}, {Broken, 1}, {TimedOut, 1}} {
+	}{{Rejected, 2}, {Unreachable, 2}, {Failed, 1}, {ConnectionLost, 1}, {TimedOut, 1}} {
 		s := settings()
 		s.Classes[0].Effect = Unsafe
 		b := start(t, s, 3, 100)
@@ -306,8 +306,8 @@
 		want  int
 	}{{100, 2}, {600, 1}} {
 		s := settings()
-		s.Classes[0].Effect, s.Classes[0].WindowMs = Keyed, 500
-		s.SecondCopies = false
+		s.Classes[0].Effect, s.Classes[0].DedupWindowMs = Keyed, 500
+		s.AllowCopies = false
 		b := start(t, s, 3, 100)
 		_, parts := b.query(0, 4)
 		b.step(0)
@@ -401,8 +401,8 @@
 		}
 		b.step(0)
 	}
-	for _, h := range b.r.listed {
-		if h.suspect {
+	for _, h := range b.r.listedReplicas {
+		if h.suspected {
 			t.Errorf("replica %d is suspect though all are slow alike", h.Addr)
 		}
 	}
@@ -433,13 +433,13 @@
 
 func TestFullListDropsTheUnnamed(t *testing.T) {
 	b := start(t, settings(), 3, 100)
-	b.state[2] = Gone
+	b.state[2] = Removed
 	b.list(ListFull, Member{Addr: 1}, Member{Addr: 3})
 	for range 20 {
 		b.query(0, 4)
 		b.step(1)
 	}
-	if b.sends() == 0 && len(b.r.open) == 0 {
+	if b.sends() == 0 && len(b.r.openQueries) == 0 {
 		t.Error("nothing was sent at all")
 	}
 }
@@ -450,7 +450,7 @@
 	b := start(t, s, 3, 100)
 	b.list(ListDelta, Member{Addr: 9, ReadyAt: b.now})
 	begin, n := b.now, 0
-	for b.now < begin+s.FallMs {
+	for b.now < begin+s.ColdOverloadMs {
 		_, parts := b.query(0, 4)
 		b.step(0)
 		b.step(50)
@@ -466,14 +466,14 @@
 		b.step(0)
 	}
 	// A warm replica takes at least the 160 parts over 2 s that three share here.
-	if limit := int(s.ColdFrom * s.FallTimes * 160 / 3 / 2); n > limit {
-		t.Errorf("%d sends to a cold replica in its first %v ms, want %d at most", n, s.FallMs, limit)
+	if limit := int(s.ColdCapacityShare * s.ColdOverloadFactor * 160 / 3 / 2); n > limit {
+		t.Errorf("%d sends to a cold replica in its first %v ms, want %d at most", n, s.ColdOverloadMs, limit)
 	}
 }
 
 func TestBudget(t *testing.T) {
 	s := settings()
-	s.HasBudget, s.ExtraFloor, s.ExtraShare, s.ExtraSpanMs = true, 3, 0.02, 1000
+	s.HasRetryBudget, s.RetryBudgetFloor, s.RetryBudgetRatio, s.RetryBudgetWindowMs = true, 3, 0.02, 1000
 	b := start(t, s, 6, 100)
 	type at struct{ ms, extra, taken float64 }
 	var log []at
@@ -491,11 +491,11 @@
 			log = append(log, at{b.now, extra, 0})
 			var extras, taken float64
 			for _, l := range log {
-				if l.ms >= b.now-s.ExtraSpanMs {
+				if l.ms >= b.now-s.RetryBudgetWindowMs {
 					extras, taken = extras+l.extra, taken+l.taken
 				}
 			}
-			if allowed := s.ExtraFloor + s.ExtraShare*(taken+30*5); extras > allowed {
+			if allowed := s.RetryBudgetFloor + s.RetryBudgetRatio*(taken+30*5); extras > allowed {
 				t.Fatalf("%v further attempts in the window, %v allowed", extras, allowed)
 			}
 			for _, p := range parts {
@@ -509,12 +509,12 @@
 
 func TestSubscribesAndAsksAgain(t *testing.T) {
 	s := settings()
-	s.AskForList, s.AskWithinMs = true, 2000
+	s.MustSubscribe, s.MaxSubscribeIntervalMs = true, 2000
 	b := start(t, s, 0, 0)
 	asked := []float64{}
 	for range 2000 {
 		for _, a := range b.acts {
-			if a.Kind == Subscribe && a.Whole {
+			if a.Kind == Subscribe && a.Complete {
 				asked = append(asked, b.now)
 				b.list(ListFailed)
 			}
@@ -525,15 +525,15 @@
 		t.Fatalf("asked %d times in 10 s of failures", len(asked))
 	}
 	for i := 1; i < len(asked); i++ {
-		if asked[i]-asked[i-1] > s.AskWithinMs {
-			t.Errorf("silent for %v ms, %v allowed", asked[i]-asked[i-1], s.AskWithinMs)
+		if asked[i]-asked[i-1] > s.MaxSubscribeIntervalMs {
+			t.Errorf("silent for %v ms, %v allowed", asked[i]-asked[i-1], s.MaxSubscribeIntervalMs)
 		}
 	}
 }
 
 func TestPartialAnswerAtTheEnd(t *testing.T) {
 	s := settings()
-	s.Classes[0].Floor = 0.5
+	s.Classes[0].MinShare = 0.5
 	b := start(t, s, 3, 100)
 	q, parts := b.query(0, 4)
 	b.step(0)
@@ -552,7 +552,7 @@
 
 func TestTwoSteps(t *testing.T) {
 	s := settings()
-	s.Classes[0].Fetch = 2
+	s.Classes[0].SecondStepParts = 2
 	b := start(t, s, 3, 0)
 	q, parts := b.query(0, 4)
 	b.step(0)
@@ -567,7 +567,7 @@
 	for i := range 2 {
 		b.nextID++
 		b.owner[b.nextID] = q
-		b.events = append(b.events, Event{Kind: PartCame, ID: b.nextID, Number: b.number, Shard: i, Weight: 0.5, LeftMs: 2900})
+		b.events = append(b.events, Event{Kind: PartArrived, ID: b.nextID, Number: b.number, Shard: i, Weight: 0.5, TimeLeftMs: 2900})
 	}
 	b.step(5)
 	if n := b.sends(); n != 2 {
@@ -608,7 +608,7 @@
 				b.list(ListDelta, Member{Addr: Addr(100 + turn)})
 			}
 			if turn%997 == 500 {
-				b.list(ListDelta, Member{Addr: Addr(100 + turn - 500), State: Gone})
+				b.list(ListDelta, Member{Addr: Addr(100 + turn - 500), State: Removed})
 			}
 			b.step(5)
 			for _, a := range b.acts {
@@ -638,8 +638,8 @@
 		t.Error("the same events gave other actions")
 	}
 	r := b.r
-	if len(r.parts)+len(r.byNumber)+len(r.open) != 0 {
-		t.Errorf("left behind: %d parts, %d numbers, %d open", len(r.parts), len(r.byNumber), len(r.open))
+	if len(r.parts)+len(r.queriesByNumber)+len(r.openQueries) != 0 {
+		t.Errorf("left behind: %d parts, %d numbers, %d open", len(r.parts), len(r.queriesByNumber), len(r.openQueries))
 	}
 	if n := len(r.replicas); n > 8 {
 		t.Errorf("%d replicas remembered, 6 are listed", n)
@@ -665,8 +665,8 @@
 		suspects := 0
 		for range 200 { // one second
 			b.step(5)
-			for _, h := range b.r.listed {
-				if h.suspect {
+			for _, h := range b.r.listedReplicas {
+				if h.suspected {
 					suspects++
 				}
 			}
@@ -681,8 +681,8 @@
 // would be sent there any more, and so nothing learned.
 func TestDrainedQueueLetsQueriesIn(t *testing.T) {
 	b := start(t, settings(), 2, 100)
-	for _, h := range b.r.listed {
-		h.lat, h.load = 1500, 6 // learned with six parts out; now there are none
+	for _, h := range b.r.listedReplicas {
+		h.latency, h.latencyLoad = 1500, 6 // learned with six parts out; now there are none
 	}
 	q, _ := b.query(0, 4)
 	b.step(5)
@@ -695,8 +695,8 @@
 // the deadline.
 func TestRefusesPastItsAimWithAHint(t *testing.T) {
 	b := start(t, settings(), 2, 100)
-	for _, h := range b.r.listed {
-		h.lat, h.load = 2500, 1
+	for _, h := range b.r.listedReplicas {
+		h.latency, h.latencyLoad = 2500, 1
 	}
 	q, _ := b.query(0, 4)
 	b.step(5)
@@ -717,7 +717,7 @@
 // whatever the fork's count.
 func TestLostPartIsCopied(t *testing.T) {
 	b := start(t, settings(), 3, 100)
-	b.r.classes[0].p = 0 // no fork
+	b.r.classes[0].copyFraction = 0 // no fork
 	_, parts := b.query(0, 4)
 	b.step(0)
 	b.step(100)
@@ -726,7 +726,7 @@
 	}
 	b.step(0)
 	for range 30 { // other queries keep every replica heard
-		b.r.classes[0].p = 0
+		b.r.classes[0].copyFraction = 0
 		_, others := b.query(0, 9)
 		b.step(0)
 		b.step(50)
@@ -747,7 +747,7 @@
 // ever took in.
 func TestCalmRootForgetsWhatItTook(t *testing.T) {
 	b := start(t, settings(), 3, 0)
-	b.r.classes[0].p = 0
+	b.r.classes[0].copyFraction = 0
 	for range 3000 {
 		_, parts := b.query(0, 4)
 		b.step(0)
@@ -755,10 +755,10 @@
 			b.done(p, 0, OK)
 		}
 		b.step(20)
-		b.r.classes[0].p = 0
+		b.r.classes[0].copyFraction = 0
 	}
-	if window := int(ownSpanMs/20+2) * 5; len(b.r.taken) > window {
-		t.Errorf("%d arrivals kept, %d fit the window", len(b.r.taken), window)
+	if window := int(defaultRetryWindowMs/20+2) * 5; len(b.r.arrivals) > window {
+		t.Errorf("%d arrivals kept, %d fit the window", len(b.r.arrivals), window)
 	}
 }
 
@@ -766,7 +766,7 @@
 // to a root that knew it warm, however little it has out.
 func TestReturnedReplicaIsCold(t *testing.T) {
 	b := start(t, settings(), 3, 100)
-	b.list(ListDelta, Member{Addr: 1, State: Gone})
+	b.list(ListDelta, Member{Addr: 1, State: Removed})
 	b.step(5)
 	b.list(ListDelta, Member{Addr: 1, State: Ready, ReadyAt: b.now})
 	n := 0
@@ -789,19 +789,19 @@
 func TestSlipOfPredictionsRefusesAndFades(t *testing.T) {
 	b := start(t, settings(), 4, 100)
 	c := &b.r.classes[0]
-	for _, h := range b.r.listed {
-		h.lat = 600
+	for _, h := range b.r.listedReplicas {
+		h.latency = 600
 	}
-	c.slip, c.late, c.slipAt = 3, 0.5, b.now
+	c.overrun, c.lateRate, c.overrunAt = 3, 0.5, b.now
 	late, _ := b.query(0, 4)
 	b.step(5)
 	if b.final[late] != Refuse {
 		t.Error("taken in although queries take three times the predicted 600 ms of 1000 ms")
 	}
-	for _, h := range b.r.listed {
-		h.lat, h.lastNews = 600, b.now+20*fade*b.r.typical
+	for _, h := range b.r.listedReplicas {
+		h.latency, h.lastAnswerAt = 600, b.now+20*decayLatencies*b.r.medianLatency
 	}
-	b.step(20 * fade * b.r.typical)
+	b.step(20 * decayLatencies * b.r.medianLatency)
 	again, _ := b.query(0, 4)
 	b.step(5)
 	if _, over := b.final[again]; over {
@@ -820,18 +820,18 @@
 	b.step(60)
 	b.done(parts[0], 0, OK)
 	b.step(5)
-	lat := b.r.replicas[b.where[parts[1]][0]].lat
+	lat := b.r.replicas[b.where[parts[1]][0]].latency
 	sends := b.sends()
 	b.acts = nil
 	b.done(parts[1], 0, OK)
 	b.stall(900)
-	for _, h := range b.r.listed {
-		if h.suspect {
+	for _, h := range b.r.listedReplicas {
+		if h.suspected {
 			t.Errorf("replica %d suspected after the root's own absence", h.Addr)
 		}
 	}
-	if h := b.r.replicas[b.where[parts[1]][0]]; h.lat != lat {
-		t.Errorf("latency %v learned from an answer that waited for the root, %v before", h.lat, lat)
+	if h := b.r.replicas[b.where[parts[1]][0]]; h.latency != lat {
+		t.Errorf("latency %v learned from an answer that waited for the root, %v before", h.latency, lat)
 	}
 	if b.sends() != 0 {
 		t.Errorf("%d copies after the root's own absence (%d sends before)", b.sends(), sends)
@@ -863,10 +863,10 @@
 		b.list(ListDelta, Member{Addr: 100, State: Ready, ReadyAt: b.now})
 		b.step(0)
 		perMs += 4 / every / (warm + 1)
-		for _, h := range b.r.listed {
-			h.lat = 200 // slow warm ones make the cold one wanted
+		for _, h := range b.r.listedReplicas {
+			h.latency = 200 // slow warm ones make the cold one wanted
 		}
-		for range max(1, int(s.FallMs/every)) {
+		for range max(1, int(s.ColdOverloadMs/every)) {
 			for _, a := range b.played(every, 100) {
 				if a == 100 {
 					cold++
@@ -874,9 +874,9 @@
 			}
 		}
 	}
-	usual := perMs * s.FallMs // what a warm replica gets, so less than what it can serve
-	warmth := s.ColdFrom + (1-s.ColdFrom)*s.FallMs/2/s.ColdMs
-	if limit := s.FallTimes * warmth * usual; float64(cold) > limit || cold == 0 {
+	usual := perMs * s.ColdOverloadMs // what a warm replica gets, so less than what it can serve
+	warmth := s.ColdCapacityShare + (1-s.ColdCapacityShare)*s.ColdOverloadMs/2/s.WarmUpMs
+	if limit := s.ColdOverloadFactor * warmth * usual; float64(cold) > limit || cold == 0 {
 		t.Errorf("%d parts to the cold replica of %.0f usual in the window, want 1 to %.0f", cold, usual, limit)
 	}
 }
@@ -907,7 +907,7 @@
 	for i, test := range []struct{ left, want float64 }{
 		{2000, 1000}, {2000, 1000}, {2400, 400}, {300, -1700}, {300, 1000}, {2000, 1000},
 	} {
-		if got := c.aim(&Event{LeftMs: test.left}, s.TickMs); got != test.want {
+		if got := c.objective(&Event{TimeLeftMs: test.left}, s.TickMs); got != test.want {
 			t.Errorf("try %d, given %v ms: aim in %v, want %v", i, test.left, got, test.want)
 		}
 	}
@@ -915,7 +915,7 @@
 	impatient := func() uint64 {
 		q, _ := b.query(0, 4)
 		for i := range b.events {
-			b.events[i].LeftMs = 300
+			b.events[i].TimeLeftMs = 300
 		}
 		b.step(5)
 		return q
@@ -931,13 +931,13 @@
 // its aim and earns nothing late must be ended with numbers all the same.
 func TestNothingEarnedBeforeAnythingIsKnown(t *testing.T) {
 	s := settings()
-	s.Classes[0].LateShare = 0
+	s.Classes[0].LateWorthShare = 0
 	b := start(t, s, 4, 0)
 	b.query(0, 4)
 	b.step(5)
 	q, _ := b.query(0, 4)
 	for i := range b.events {
-		b.events[i].LeftMs = 12
+		b.events[i].TimeLeftMs = 12
 	}
 	b.step(5)
 	if b.final[q] != Refuse {
@@ -973,13 +973,13 @@
 		}
 	}
 	far, near := b.r.replicas[2], b.r.replicas[1]
-	if b.r.usual(far) <= b.r.usual(near) {
-		t.Errorf("far replicas are judged by %v ms, near ones by %v", b.r.usual(far), b.r.usual(near))
+	if b.r.expectedLatency(far) <= b.r.expectedLatency(near) {
+		t.Errorf("far replicas are judged by %v ms, near ones by %v", b.r.expectedLatency(far), b.r.expectedLatency(near))
 	}
-	b.r.replicas[4].heard = false
+	b.r.replicas[4].hasAnswered = false
 	b.step(20)
-	if unheard := b.r.replicas[4]; unheard.level <= near.level {
-		t.Errorf("an unheard far replica counts %v ms, a near one %v", unheard.level, near.level)
+	if unheard := b.r.replicas[4]; unheard.rankLatency <= near.rankLatency {
+		t.Errorf("an unheard far replica counts %v ms, a near one %v", unheard.rankLatency, near.rankLatency)
 	}
 	_, parts := b.query(0, 4)
 	b.step(5)
@@ -1002,11 +1002,11 @@
 		b.done(p, 0, OK)
 	}
 	b.step(5)
-	before := h.lat
+	before := h.latency
 	b.done(lost, 0, TimedOut)
 	b.step(2000)
-	if h.lat != before {
-		t.Errorf("latency %v after a lost call, %v before", h.lat, before)
+	if h.latency != before {
+		t.Errorf("latency %v after a lost call, %v before", h.latency, before)
 	}
 }
 
@@ -1015,7 +1015,7 @@
 func TestPartialFirstStepLeavesTimeForTheSecond(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
-	s.Classes[0] = Class{AimMs: 1000, DeadlineMs: 3000, Worth: 1, Need: 1, Floor: 0.5, Partial: 0.8, Fetch: 2}
+	s.Classes[0] = Class{ObjectiveMs: 1000, DeadlineMs: 3000, Worth: 1, CompleteShare: 1, MinShare: 0.5, PartialWorth: 0.8, SecondStepParts: 2}
 	b := start(t, s, 3, 0)
 	q, parts := b.query(0, 4)
 	b.step(0)
@@ -1042,7 +1042,7 @@
 func TestPartialAnswerAtTheAimWhereLateEarnsLess(t *testing.T) {
 	for _, late := range []float64{0.3, 0.9} {
 		s := settings()
-		s.Classes[0].Floor, s.Classes[0].Partial, s.Classes[0].LateShare = 0.5, 0.9, late
+		s.Classes[0].MinShare, s.Classes[0].PartialWorth, s.Classes[0].LateWorthShare = 0.5, 0.9, late
 		b := start(t, s, 3, 0)
 		q, parts := b.query(0, 4)
 		b.step(0)
@@ -1063,12 +1063,12 @@
 	b := start(t, settings(), 6, 100)
 	q, parts := b.query(0, 4)
 	b.step(0)
-	b.done(parts[0], 0, Broken)
+	b.done(parts[0], 0, ConnectionLost)
 	b.step(20)
 	if b.sends() > 0 {
 		t.Error("a part under which a replica died is sent on while no sibling has answered")
 	}
-	b.done(parts[1], 0, Broken)
+	b.done(parts[1], 0, ConnectionLost)
 	b.step(5)
 	if b.final[q] != Refuse || b.sends() > 0 {
 		t.Errorf("two of four parts killed: ended by %v with %d sends, want a refusal and none", b.final[q], b.sends())
@@ -1076,12 +1076,12 @@
 	b = start(t, settings(), 6, 100)
 	q, parts = b.query(0, 1)
 	b.step(5)
-	b.done(parts[0], 0, Broken)
+	b.done(parts[0], 0, ConnectionLost)
 	b.step(20)
 	if b.out[parts[0]] != 2 {
 		t.Fatal("the only part was not tried once more")
 	}
-	b.done(parts[0], 1, Broken)
+	b.done(parts[0], 1, ConnectionLost)
 	b.step(5)
 	if b.final[q] != Refuse {
 		t.Error("a part that killed two replicas is kept")
@@ -1090,8 +1090,8 @@
 	q, parts = b.query(0, 4)
 	b.step(5)
 	b.done(parts[0], 0, OK)
-	b.done(parts[1], 0, Broken)
-	b.done(parts[2], 0, Broken)
+	b.done(parts[1], 0, ConnectionLost)
+	b.done(parts[2], 0, ConnectionLost)
 	b.step(100)
 	if _, over := b.final[q]; over || b.out[parts[1]] < 2 || b.out[parts[2]] < 2 {
 		t.Error("a query with an answer in was taken for one that kills")
@@ -1120,7 +1120,7 @@
 		}
 	}
 	usual := 20.0 * 4
-	low, high := coldShare*s.FallTimes*s.ColdFrom*usual, s.FallTimes*(s.ColdFrom+0.24)*usual
+	low, high := coldBudgetShare*s.ColdOverloadFactor*s.ColdCapacityShare*usual, s.ColdOverloadFactor*(s.ColdCapacityShare+0.24)*usual
 	if float64(n) < low || float64(n) > high {
 		t.Errorf("%d parts sent to cold replicas in the last six seconds, want %.0f to %.0f of %.0f usual", n, low, high, usual)
 	}
@@ -1156,13 +1156,13 @@
 // more than a few when it looks whether the zone is back.
 func TestCutZoneIsDoubtedAsOne(t *testing.T) {
 	s := settings()
-	s.Cells, s.InARow, s.Shards = 20, 2, 20
+	s.Cells, s.CellsPerShard, s.Shards = 20, 2, 20
 	b := start(t, s, 0, 0)
 	var members []Member
 	for i := range 20 {
 		members = append(members, Member{Addr: Addr(i + 1), Cell: i, Zone: i % 2})
 	}
-	b.r.told = false // all long up
+	b.r.hasList = false // all long up
 	b.list(ListFull, members...)
 	b.step(0)
 	far := func() (n int) {
@@ -1197,11 +1197,11 @@
 		t.Errorf("%d parts sent to the cut zone at first, then %v, want one at most at a time", first, sent)
 	}
 	b.done(b.nextID, 0, OK) // of no consequence
-	if h := b.r.replicas[2]; !b.r.doubted(h) {
+	if h := b.r.replicas[2]; !b.r.unhealthy(h) {
 		t.Error("a replica of the cut zone is not doubted")
 	}
-	b.r.good(b.r.replicas[4])
-	if h := b.r.replicas[4]; h.group.bad > groupBad {
+	b.r.recordSuccess(b.r.replicas[4])
+	if h := b.r.replicas[4]; h.group.failureRate > groupFailureThreshold {
 		t.Error("the zone is still doubted as one after an answer")
 	}
 }
@@ -1210,11 +1210,11 @@
 // be given, though no replica is left for the others; one short of its floor is not.
 func TestQueryWithinItsFloorIsTakenIn(t *testing.T) {
 	s := settings()
-	s.Cells, s.InARow, s.Shards = 4, 1, 4
-	s.Classes[0].Floor, s.Classes[0].Partial = 0.5, 0.8
+	s.Cells, s.CellsPerShard, s.Shards = 4, 1, 4
+	s.Classes[0].MinShare, s.Classes[0].PartialWorth = 0.5, 0.8
 	for held, want := range map[int]bool{3: true, 1: false} {
 		b := start(t, s, 0, 0)
-		b.r.told = false
+		b.r.hasList = false
 		var members []Member
 		for i := range held {
 			members = append(members, Member{Addr: Addr(i + 1), Cell: i})
@@ -1232,7 +1232,7 @@
 // Only safe parts get a second copy while the first is out.
 func TestKeyedPartsGetNoCopy(t *testing.T) {
 	s := settings()
-	s.Classes[0].Effect, s.Classes[0].WindowMs = Keyed, 3000
+	s.Classes[0].Effect, s.Classes[0].DedupWindowMs = Keyed, 3000
 	b := start(t, s, 6, 60)
 	_, parts := b.query(0, 4)
 	b.step(5)
@@ -1253,7 +1253,7 @@
 	retry := func(left float64) (uint64, []uint64) {
 		q, parts := b.query(0, 4)
 		for i := range b.events {
-			b.events[i].Retry, b.events[i].LeftMs = true, left
+			b.events[i].Retry, b.events[i].TimeLeftMs = true, left
 		}
 		b.step(5)
 		return q, parts
@@ -1268,7 +1268,7 @@
 		t.Errorf("%d parts follow an answer, want 3", b.sends())
 	}
 	q, parts = retry(3000)
-	b.done(parts[0], 0, Broken)
+	b.done(parts[0], 0, ConnectionLost)
 	b.step(5)
 	if b.final[q] != Refuse || b.sends() > 0 {
 		t.Error("a retry that killed a replica again is kept")
@@ -1290,7 +1290,7 @@
 	s := settings()
 	s.Classes = append(s.Classes, s.Classes[0])
 	b := start(t, s, 3, 60)
-	for b.r.replicas[1].shunned[0] == 0 && b.now < 60000 {
+	for b.r.replicas[1].avoidedUntil[0] == 0 && b.now < 60000 {
 		_, parts := b.query(0, 4)
 		_, other := b.query(1, 4)
 		b.step(5)
@@ -1315,14 +1315,14 @@
 		b.step(700)
 	}
 	h := b.r.replicas[1]
-	if h.shunned[0] <= b.now || h.shunned[1] != 0 || h.suspect {
-		t.Fatalf("shunned till %v, suspect %v, want by the first class alone", h.shunned, h.suspect)
+	if h.avoidedUntil[0] <= b.now || h.avoidedUntil[1] != 0 || h.suspected {
+		t.Fatalf("shunned till %v, suspect %v, want by the first class alone", h.avoidedUntil, h.suspected)
 	}
 	for class, want := range []bool{false, true} {
 		sent := false
 		for range 6 {
-			for _, h := range b.r.listed {
-				h.lat = 60 // alike but for what is shunned
+			for _, h := range b.r.listedReplicas {
+				h.latency = 60 // alike but for what is shunned
 			}
 			_, parts := b.query(class, 1)
 			b.step(5)
@@ -1342,7 +1342,7 @@
 func TestFastFailuresAreAskedFirstUnderLoad(t *testing.T) {
 	for _, load := range []bool{false, true} {
 		s := settings()
-		s.Classes = append(s.Classes, Class{AimMs: 1000, DeadlineMs: 3000, Worth: 1, Need: 1, Floor: 1, Effect: Unsafe})
+		s.Classes = append(s.Classes, Class{ObjectiveMs: 1000, DeadlineMs: 3000, Worth: 1, CompleteShare: 1, MinShare: 1, Effect: Unsafe})
 		b := start(t, s, 2, 20)
 		end := func(p uint64) { // at replica 1 it fails, but for one in eight; at replica 2 it is served
 			for a := 0; a < len(b.where[p]); a++ {
@@ -1363,12 +1363,12 @@
 			}
 		}
 		h := b.r.replicas[1]
-		if !h.suspect {
+		if !h.suspected {
 			t.Fatal("the failing replica is not suspected")
 		}
-		h.fails = 0.85 // as where one in some is served
-		b.step(3 * trialGap * 20)
-		h.trialAt = math.Inf(1) // no trial is due: what is sent there is sent for its speed
+		h.failureRate = 0.85 // as where one in some is served
+		b.step(3 * trialIntervalLatencies * 20)
+		h.nextTrialAt = math.Inf(1) // no trial is due: what is sent there is sent for its speed
 		if load {
 			for range 8 {
 				b.query(1, 1) // each stays at replica 2
@@ -1387,14 +1387,14 @@
 		if !load {
 			continue
 		}
-		extras := len(b.r.extras)
+		extras := len(b.r.extraAttempts)
 		b.step(2)
 		b.done(safe[0], 0, Failed)
 		b.step(0)
 		if len(b.where[safe[0]]) != 2 || b.where[safe[0]][1] != 2 {
 			t.Errorf("after the fast failure the part is at %v", b.where[safe[0]])
 		}
-		if len(b.r.extras) != extras {
+		if len(b.r.extraAttempts) != extras {
 			t.Error("a try after a fast failure used up budget")
 		}
 	}
@@ -1409,7 +1409,7 @@
 			_, parts := b.query(0, 1)
 			b.step(0)
 			b.step(5)
-			b.done(parts[0], 0, Broken)
+			b.done(parts[0], 0, ConnectionLost)
 			b.step(0)
 			for n := 1; n < len(b.where[parts[0]]); n++ {
 				b.step(20)
@@ -1422,7 +1422,7 @@
 				b.step(20)
 				for _, p := range next {
 					for a := 0; a < len(b.where[p]); a++ {
-						if b.r.replicas[b.where[p][a]].brokeAt > 0 && dies {
+						if b.r.replicas[b.where[p][a]].connectionLostAt > 0 && dies {
 							b.done(p, a, Unreachable)
 						} else {
 							b.done(p, a, OK)
@@ -1432,22 +1432,22 @@
 				}
 			}
 		}
-		if b.r.harmless() == dies {
-			t.Fatalf("dies %v: harmless %v", dies, b.r.harmless())
+		if b.r.connectionLossIsHarmless() == dies {
+			t.Fatalf("dies %v: harmless %v", dies, b.r.connectionLossIsHarmless())
 		}
 		if dies {
 			continue
 		}
-		if b.now < b.r.waryTo {
+		if b.now < b.r.cautiousUntil {
 			t.Error("parts still go ahead one by one")
 		}
 		_, parts := b.query(0, 3)
 		b.step(0)
 		h := b.r.replicas[b.where[parts[0]][0]]
-		bad := h.bad
-		b.done(parts[0], 0, Broken)
+		bad := h.suspicion
+		b.done(parts[0], 0, ConnectionLost)
 		b.step(0)
-		if h.bad > bad {
+		if h.suspicion > bad {
 			t.Error("the replica is blamed")
 		}
 		if b.out[parts[0]] != 2 || b.final[b.owner[parts[0]]] != 0 {
@@ -1460,7 +1460,7 @@
 // its other parts alone, which were as quick as ever.
 func TestQueriesLetDownTeachNoSlip(t *testing.T) {
 	b := start(t, settings(), 3, 20)
-	slip := b.r.classes[0].slip
+	slip := b.r.classes[0].overrun
 	_, parts := b.query(0, 3)
 	b.step(0)
 	b.step(20)
@@ -1476,9 +1476,9 @@
 	}
 	b.step(20)
 	b.done(silentOne, 1, OK)
-	b.r.replicas[b.where[silentOne][0]].suspect = true
+	b.r.replicas[b.where[silentOne][0]].suspected = true
 	b.step(0)
-	if _, over := b.final[b.owner[silentOne]]; !over || b.r.classes[0].slip > slip+smooth*2 {
-		t.Errorf("over %v, slip %v, was %v", over, b.r.classes[0].slip, slip)
+	if _, over := b.final[b.owner[silentOne]]; !over || b.r.classes[0].overrun > slip+smoothingFactor*2 {
+		t.Errorf("over %v, slip %v, was %v", over, b.r.classes[0].overrun, slip)
 	}
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -9,16 +9,16 @@
 // One query of two parts, from its arrival to its answer.
 func Example() {
 	root := decide.New(decide.Settings{
-		Roots: 1, TickMs: 5, Cells: 1, InARow: 1, Shards: 2, BundleMax: 1,
-		Classes:     []decide.Class{{AimMs: 500, DeadlineMs: 1000, Worth: 1, Need: 1, Floor: 1}},
-		MaxAttempts: 3, SecondCopies: true, MayCancel: true,
+		Roots: 1, TickMs: 5, Cells: 1, CellsPerShard: 1, Shards: 2, MaxPartsPerCall: 1,
+		Classes:     []decide.Class{{ObjectiveMs: 500, DeadlineMs: 1000, Worth: 1, CompleteShare: 1, MinShare: 1}},
+		MaxAttempts: 3, AllowCopies: true, AllowCancel: true,
 	}, 42)
 
 	actions := root.Step(0, []decide.Event{
-		{Kind: decide.ListNews, List: decide.ListFull, Members: []decide.Member{{Addr: 1}, {Addr: 2}}},
-		{Kind: decide.QueryCame, ID: 10, Number: 1, LeftMs: 1000, Parts: 2},
-		{Kind: decide.PartCame, ID: 11, Number: 1, LeftMs: 1000, Shard: 0, Weight: 0.5},
-		{Kind: decide.PartCame, ID: 12, Number: 1, LeftMs: 1000, Shard: 1, Weight: 0.5},
+		{Kind: decide.ListUpdate, List: decide.ListFull, Members: []decide.Member{{Addr: 1}, {Addr: 2}}},
+		{Kind: decide.QueryArrived, ID: 10, Number: 1, TimeLeftMs: 1000, Parts: 2},
+		{Kind: decide.PartArrived, ID: 11, Number: 1, TimeLeftMs: 1000, Shard: 0, Weight: 0.5},
+		{Kind: decide.PartArrived, ID: 12, Number: 1, TimeLeftMs: 1000, Shard: 1, Weight: 0.5},
 	}, nil)
 	var answers []decide.Event
 	for _, a := range actions {
@@ -29,7 +29,7 @@
 	}
 	for _, a := range root.Step(80, answers, nil) {
 		if a.Kind == decide.Answer {
-			fmt.Println("answer query", a.ID, "whole:", a.Whole)
+			fmt.Println("answer query", a.ID, "whole:", a.Complete)
 		}
 	}
 	// Output:
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -66,8 +66,8 @@
 func large(roots, cells int) Settings {
 	s := settings()
 	s.Roots, s.TickMs, s.Cells, s.Shards = roots, 1, cells, 6*cells
-	s.ColdFrom, s.ColdMs, s.FallTimes, s.FallMs = 0.18, 15000, 3, 2000
-	s.Classes[0].AimMs, s.Classes[0].DeadlineMs = 250, 1000
+	s.ColdCapacityShare, s.WarmUpMs, s.ColdOverloadFactor, s.ColdOverloadMs = 0.18, 15000, 3, 2000
+	s.Classes[0].ObjectiveMs, s.Classes[0].DeadlineMs = 250, 1000
 	return s
 }
 
@@ -78,7 +78,7 @@
 		s.Index = i
 		f.roots = append(f.roots, New(s, uint64(i+1)))
 		f.open = append(f.open, map[uint64][]bool{})
-		f.push(happening{at: f.now, root: i, event: Event{Kind: ListNews, List: ListCached, Members: members}})
+		f.push(happening{at: f.now, root: i, event: Event{Kind: ListUpdate, List: ListCached, Members: members}})
 	}
 	return f
 }
@@ -96,16 +96,16 @@
 
 // loadAt does so at some of the roots alone.
 func (f *fleet) loadAt(roots []int, perS float64, k int, ms float64) {
-	shards := f.roots[0].s.Shards
+	shards := f.roots[0].settings.Shards
 	for _, i := range roots {
 		for at := f.now + f.rng.ExpFloat64()*1000/perS; at < f.now+ms; at += f.rng.ExpFloat64() * 1000 / perS {
 			f.ids++
-			c := f.roots[i].s.Classes[0]
-			e := Event{Kind: QueryCame, ID: f.ids, LeftMs: c.DeadlineMs, Number: float64(f.ids), Parts: k}
+			c := f.roots[i].settings.Classes[0]
+			e := Event{Kind: QueryArrived, ID: f.ids, TimeLeftMs: c.DeadlineMs, Number: float64(f.ids), Parts: k}
 			f.push(happening{at: at, root: i, event: e})
 			for j, shard := range f.rng.Perm(shards)[:k] {
 				f.ids++
-				f.push(happening{at: at, root: i, event: Event{Kind: PartCame, ID: f.ids, LeftMs: c.DeadlineMs,
+				f.push(happening{at: at, root: i, event: Event{Kind: PartArrived, ID: f.ids, TimeLeftMs: c.DeadlineMs,
 					Number: e.Number, Shard: shard, Weight: 1 / float64(k), Token: uint64(j)}})
 			}
 		}
@@ -120,7 +120,7 @@
 		root, events := f.queue[0].root, []Event(nil)
 		for len(f.queue) > 0 && f.queue[0].at == f.now && f.queue[0].root == root {
 			e := heap.Pop(&f.queue).(happening).event
-			if e.Kind == QueryCame {
+			if e.Kind == QueryArrived {
 				f.began[e.ID] = f.now
 			}
 			if e.Kind == AttemptDone {
@@ -151,7 +151,7 @@
 		if after > a.Ms {
 			o, after = TimedOut, a.Ms
 		}
-		f.push(happening{at: f.now + after, root: root, event: Event{Kind: AttemptDone, ID: a.ID, Attempt: n, Addr: a.Addr, Outcome: o, TookMs: after}})
+		f.push(happening{at: f.now + after, root: root, event: Event{Kind: AttemptDone, ID: a.ID, Attempt: n, Addr: a.Addr, Outcome: o, ElapsedMs: after}})
 	case Cancel:
 		f.push(happening{at: f.now, root: root, event: Event{Kind: AttemptDone, ID: a.ID, Attempt: a.Attempt, Outcome: Cancelled}})
 	case Timer:
@@ -199,7 +199,7 @@
 		if e.at < since {
 			continue
 		}
-		if all++; e.kind != Answer || e.took > f.roots[e.root].s.Classes[0].AimMs {
+		if all++; e.kind != Answer || e.took > f.roots[e.root].settings.Classes[0].ObjectiveMs {
 			late++
 		}
 	}
@@ -340,7 +340,7 @@
 func TestPartialAnswersDoNotWaitForWhatCannotBeHad(t *testing.T) {
 	for _, listed := range []int{2, 3} { // of three cells: the last has no holder, or a dead one
 		s := large(1, 3)
-		s.Classes[0].Need, s.Classes[0].Floor, s.Classes[0].Partial = 1, 0.5, 0.9
+		s.Classes[0].CompleteShare, s.Classes[0].MinShare, s.Classes[0].PartialWorth = 1, 0.5, 0.9
 		f := newFleet(t, s, members(3, 3)[:listed])
 		f.node = func(_ int, a Addr) (Outcome, float64) {
 			if a == 3 {
@@ -425,7 +425,7 @@
 	m := members(60, 15)[cold-1]
 	m.ReadyAt = back
 	for i := range f.roots {
-		f.push(happening{at: back + 50*f.rng.Float64(), root: i, event: Event{Kind: ListNews, List: ListDelta, Members: []Member{m}}})
+		f.push(happening{at: back + 50*f.rng.Float64(), root: i, event: Event{Kind: ListUpdate, List: ListDelta, Members: []Member{m}}})
 	}
 	f.load(3.5, 12, 10000)
 	var at []float64
@@ -439,12 +439,12 @@
 	}
 	first := 0
 	for last, now := range at {
-		for now-at[first] > s.FallMs {
+		for now-at[first] > s.ColdOverloadMs {
 			first++
 		}
-		can := warm * (s.ColdFrom + (1-s.ColdFrom)*(at[first]-back)/s.ColdMs)
-		if n := float64(last - first + 1); n > s.FallTimes*can*s.FallMs {
-			t.Fatalf("%v parts within %v ms at %.0f ms, %.0f allowed", n, s.FallMs, now-back, s.FallTimes*can*s.FallMs)
+		can := warm * (s.ColdCapacityShare + (1-s.ColdCapacityShare)*(at[first]-back)/s.WarmUpMs)
+		if n := float64(last - first + 1); n > s.ColdOverloadFactor*can*s.ColdOverloadMs {
+			t.Fatalf("%v parts within %v ms at %.0f ms, %.0f allowed", n, s.ColdOverloadMs, now-back, s.ColdOverloadFactor*can*s.ColdOverloadMs)
 		}
 	}
 }
@@ -475,23 +475,23 @@
 		b.Run(fmt.Sprintf("nodes=%d", c.nodes), func(b *testing.B) {
 			s := large(c.roots, c.cells)
 			r, now, id := New(s, 1), 1e6, uint64(0)
-			r.Step(now, []Event{{Kind: ListNews, List: ListCached, Members: members(c.nodes, c.cells)}}, nil)
+			r.Step(now, []Event{{Kind: ListUpdate, List: ListCached, Members: members(c.nodes, c.cells)}}, nil)
 			var events []Event
 			var acts []Action
 			for b.Loop() {
 				now += 280
 				id++
 				query := id
-				events = append(events[:0], Event{Kind: QueryCame, ID: id, LeftMs: 1000, Number: float64(query), Parts: 12})
+				events = append(events[:0], Event{Kind: QueryArrived, ID: id, TimeLeftMs: 1000, Number: float64(query), Parts: 12})
 				for i := range 12 {
 					id++
-					events = append(events, Event{Kind: PartCame, ID: id, Number: float64(query), Shard: i, Weight: 1.0 / 12})
+					events = append(events, Event{Kind: PartArrived, ID: id, Number: float64(query), Shard: i, Weight: 1.0 / 12})
 				}
 				acts = r.Step(now, events, acts[:0])
 				events = events[:0]
 				for _, a := range acts {
 					if a.Kind == Send {
-						events = append(events, Event{Kind: AttemptDone, ID: a.ID, Addr: a.Addr, Outcome: OK, TookMs: 20})
+						events = append(events, Event{Kind: AttemptDone, ID: a.ID, Addr: a.Addr, Outcome: OK, ElapsedMs: 20})
 					}
 				}
 				now += 20
@@ -509,7 +509,7 @@
 func TestPricedConnectionsAreFew(t *testing.T) {
 	pairs := func(price float64) (made int, most float64) {
 		s := large(40, 15)
-		s.PriceHandshake = price
+		s.HandshakePenalty = price
 		f := newFleet(t, s, members(60, 15))
 		f.node = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
 		f.load(1, 12, 8000)
@@ -538,14 +538,14 @@
 		for _, kind := range []ListKind{ListDelta, ListFull} {
 			b.Run(fmt.Sprintf("nodes=%d,kind=%d", c.nodes, kind), func(b *testing.B) {
 				r, now, all := New(large(1024, c.cells), 1), 1e6, members(c.nodes, c.cells)
-				r.Step(now, []Event{{Kind: ListNews, List: ListCached, Members: all}}, nil)
+				r.Step(now, []Event{{Kind: ListUpdate, List: ListCached, Members: all}}, nil)
 				news := all
 				if kind == ListDelta {
 					news = all[:1]
 				}
 				for b.Loop() {
 					now += 20
-					r.Step(now, []Event{{Kind: ListNews, List: kind, Members: news}}, nil)
+					r.Step(now, []Event{{Kind: ListUpdate, List: kind, Members: news}}, nil)
 				}
 			})
 		}
@@ -644,8 +644,8 @@
 	f.load(1, 12, 3000)
 	cold := float64(f.sentTo(from, func(a Addr) bool { return a <= 15 })) / 15
 	warm := float64(f.sentTo(from, func(a Addr) bool { return a > 15 })) / 45
-	least, most := s.ColdFrom+(1-s.ColdFrom)*2000/s.ColdMs, s.ColdFrom+(1-s.ColdFrom)*5000/s.ColdMs
-	if cold < 0.8*least*warm || cold > s.FallTimes*most*warm {
+	least, most := s.ColdCapacityShare+(1-s.ColdCapacityShare)*2000/s.WarmUpMs, s.ColdCapacityShare+(1-s.ColdCapacityShare)*5000/s.WarmUpMs
+	if cold < 0.8*least*warm || cold > s.ColdOverloadFactor*most*warm {
 		t.Errorf("%.0f parts to a cold replica, %.0f to a warm one, of which it can do %.2f to %.2f", cold, warm, least, most)
 	}
 }
--- a/decide/operate.go
+++ b/decide/operate.go
@@ -1,25 +1,25 @@
 package decide
 
-// InDoubt says whether a replica is avoided for what is known of it: it is suspect, or next
-// to nothing of its zone and kind answers. One that is not known is not in doubt.
-func (r *Root) InDoubt(addr Addr) bool {
-	h := r.replicas[addr]
-	return h != nil && r.doubted(h)
+// Unhealthy reports whether the replica at addr is avoided: it is suspected itself, or hardly
+// any replica of its zone and kind answers. An unknown replica is not unhealthy.
+func (r *Root) Unhealthy(addr Addr) bool {
+	rep := r.replicas[addr]
+	return rep != nil && r.unhealthy(rep)
 }
 
-// Reconfigure takes further classes and another limit of attempts into use, between two
-// steps. Classes keep their places: all begins with those that the root has, unchanged. The
-// limit holds for the parts under way too; 0 is none.
-func (r *Root) Reconfigure(all []Class, maxAttempts int) {
-	for _, c := range all[min(len(r.classes), len(all)):] {
+// Reconfigure adds classes and changes the limit of attempts per part. It must be called
+// between two steps. The given classes begin with those that the root has, in the same order
+// and unchanged. The limit also applies to parts that are already open; 0 means no limit.
+func (r *Root) Reconfigure(classes []Class, maxAttempts int) {
+	for _, c := range classes[min(len(r.classes), len(classes)):] {
 		r.addClass(c)
 	}
-	for _, h := range r.replicas {
-		h.shunned = append(h.shunned, make([]float64, len(r.classes)-len(h.shunned))...)
+	for _, rep := range r.replicas {
+		rep.avoidedUntil = append(rep.avoidedUntil, make([]float64, len(r.classes)-len(rep.avoidedUntil))...)
 	}
-	r.s.MaxAttempts = maxAttempts
+	r.settings.MaxAttempts = maxAttempts
 }
 
-// Beside says how many processes of this root's broker run, itself included: each of them
-// may send a replica in slow start its part of what the broker may.
-func (r *Root) Beside(processes int) { r.processes = max(1, processes) }
+// SetProcesses sets how many processes of this root's broker run, this one included. Each of
+// them uses an equal part of what the broker may send to a replica in slow start.
+func (r *Root) SetProcesses(processes int) { r.processes = max(1, processes) }
--- a/decide/operate_test.go
+++ b/decide/operate_test.go
@@ -5,12 +5,12 @@
 // Classes that come while queries are open are placed and answered, at replicas that the
 // root has known before; a lower limit of attempts holds at once.
 func TestReconfigure(t *testing.T) {
-	safe := Class{AimMs: 1000, DeadlineMs: 3000, Effect: Safe, Worth: 1, Need: 1, Floor: 1}
-	r := New(Settings{Roots: 1, TickMs: 1, Cells: 1, InARow: 1, Shards: 4, MaxAttempts: 3, Classes: []Class{safe}}, 1)
-	list := Event{Kind: ListNews, List: ListFull, Members: []Member{{Addr: 1, Size: 1}, {Addr: 2, Size: 1}}}
+	safe := Class{ObjectiveMs: 1000, DeadlineMs: 3000, Effect: Safe, Worth: 1, CompleteShare: 1, MinShare: 1}
+	r := New(Settings{Roots: 1, TickMs: 1, Cells: 1, CellsPerShard: 1, Shards: 4, MaxAttempts: 3, Classes: []Class{safe}}, 1)
+	list := Event{Kind: ListUpdate, List: ListFull, Members: []Member{{Addr: 1, Size: 1}, {Addr: 2, Size: 1}}}
 	ask := func(now float64, id uint64, class int) (sent []Action) {
-		part := Event{Kind: PartCame, ID: id + 1, Class: class, LeftMs: 2000, Number: float64(id), Weight: 1}
-		query := Event{Kind: QueryCame, ID: id, Class: class, LeftMs: 2000, Number: float64(id), Parts: 1}
+		part := Event{Kind: PartArrived, ID: id + 1, Class: class, TimeLeftMs: 2000, Number: float64(id), Weight: 1}
+		query := Event{Kind: QueryArrived, ID: id, Class: class, TimeLeftMs: 2000, Number: float64(id), Parts: 1}
 		return r.Step(now, []Event{query, part}, nil)
 	}
 	count := func(all []Action, kind ActionKind) (n int) {
@@ -29,17 +29,17 @@
 		t.Errorf("a class that is not known: %+v", got)
 	}
 	keyed := safe
-	keyed.Effect, keyed.WindowMs = Keyed, 1200
+	keyed.Effect, keyed.DedupWindowMs = Keyed, 1200
 	r.Reconfigure([]Class{safe, keyed, safe}, 1)
 	for class := range 3 {
 		if got := ask(1003, uint64(30+10*class), class); count(got, Send) != 1 {
 			t.Errorf("class %d after: %+v", class, got)
 		}
 	}
-	if r.InDoubt(1) || r.InDoubt(99) {
+	if r.Unhealthy(1) || r.Unhealthy(99) {
 		t.Error("in doubt without cause")
 	}
-	failed := Event{Kind: AttemptDone, ID: 11, Addr: 1, Outcome: Rejected, TookMs: 1}
+	failed := Event{Kind: AttemptDone, ID: 11, Addr: 1, Outcome: Rejected, ElapsedMs: 1}
 	if got := r.Step(1004, []Event{failed}, nil); count(got, Send) != 0 {
 		t.Errorf("a further attempt beyond the new limit: %+v", got)
 	}
--- a/decide/replaced_test.go
+++ b/decide/replaced_test.go
@@ -45,18 +45,18 @@
 				serving := f.allRoots()
 				next := make([]int, 0, brokers)
 				changes := []change{
-					{told, func() { f.tell(Event{Kind: ListNews, List: ListDelta, Members: all[cold-1 : cold]}) }},
+					{told, func() { f.tell(Event{Kind: ListUpdate, List: ListDelta, Members: all[cold-1 : cold]}) }},
 					{replaced, func() {
 						for i := range brokers {
-							f.roots[i].Beside(2)
+							f.roots[i].SetProcesses(2)
 							next = append(next, f.begin(s, all))
-							f.roots[next[i]].Beside(2)
+							f.roots[next[i]].SetProcesses(2)
 						}
 						serving = f.allRoots()
 					}},
 					{replaced + beside, func() {
 						for _, i := range next {
-							f.roots[i].Beside(1)
+							f.roots[i].SetProcesses(1)
 						}
 						serving = next
 					}},
@@ -104,6 +104,6 @@
 func (f *fleet) begin(s Settings, members []Member) int {
 	i := len(f.roots)
 	f.roots, f.open = append(f.roots, New(s, uint64(2000+i))), append(f.open, map[uint64][]bool{})
-	f.push(happening{at: f.now, root: i, event: Event{Kind: ListNews, List: ListCached, Members: members}})
+	f.push(happening{at: f.now, root: i, event: Event{Kind: ListUpdate, List: ListCached, Members: members}})
 	return i
 }
--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -110,7 +110,7 @@
 	for i, want := range []struct {
 		kind  decide.ListKind
 		state decide.State
-	}{{decide.ListFull, decide.Ready}, {decide.ListDelta, decide.Draining}, {decide.ListDelta, decide.Gone}} {
+	}{{decide.ListFull, decide.Ready}, {decide.ListDelta, decide.Draining}, {decide.ListDelta, decide.Removed}} {
 		if r := got[i]; r.Kind != want.kind || len(r.Nodes) != 1 || r.Nodes[0].State != want.state || r.Version != int64(i+1) {
 			t.Errorf("news %d: %+v", i, r)
 		}
@@ -229,7 +229,7 @@
 			return
 		}
 		for _, n := range l.Nodes {
-			if n.ID == "" || n.Kind < 0 || n.Addr == "" && n.State != decide.Gone {
+			if n.ID == "" || n.Kind < 0 || n.Addr == "" && n.State != decide.Removed {
 				t.Errorf("%q: got %+v", data, n)
 			}
 		}
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -68,7 +68,7 @@
 		case "terminating":
 			n.State = decide.Draining
 		case "terminated":
-			n.State = decide.Gone
+			n.State = decide.Removed
 		default:
 			return nil, fmt.Errorf("servers[%d].state: got %q, want in_service, terminating or terminated", i, e.State)
 		}
@@ -76,7 +76,7 @@
 		switch {
 		case e.ID == "":
 			return nil, fmt.Errorf("servers[%d].id: missing", i)
-		case err != nil && n.State != decide.Gone:
+		case err != nil && n.State != decide.Removed:
 			return nil, fmt.Errorf("servers[%d].addr: %w", i, err)
 		}
 		if e.Weight != nil {
@@ -85,7 +85,7 @@
 		if e.Started > 0 {
 			n.Started = time.UnixMicro(int64(e.Started * 1000))
 		}
-		if len(e.Addrs) > 0 && n.State != decide.Gone {
+		if len(e.Addrs) > 0 && n.State != decide.Removed {
 			l.addrs(&n, e.Addrs)
 		}
 		l.Nodes = append(l.Nodes, n)
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -176,7 +176,7 @@
 	switch o {
 	case decide.OK, decide.Failed, decide.Rejected:
 		c.paths.Answered(n.id, at, now)
-	case decide.Broken:
+	case decide.ConnectionLost:
 		c.paths.Reset(n.id, at, now)
 	case decide.TimedOut:
 		c.paths.Silent(n.id, at, sent, now)
@@ -485,7 +485,7 @@
 	case codes.Canceled:
 		return decide.Cancelled
 	case codes.Unavailable, codes.Unknown:
-		return decide.Broken
+		return decide.ConnectionLost
 	}
 	return decide.Failed
 }
--- a/flightnode/client_test.go
+++ b/flightnode/client_test.go
@@ -31,14 +31,14 @@
 	}{
 		{status.Error(codes.ResourceExhausted, "full"), full, decide.Rejected},
 		{status.Error(codes.ResourceExhausted, "message larger than max"), nil, decide.Failed},
-		{status.Error(codes.Unavailable, "transport is closing"), nil, decide.Broken},
-		{fmt.Errorf("reading: %w", status.Error(codes.Unavailable, "cut")), nil, decide.Broken},
-		{fmt.Errorf("reading: %w", io.ErrUnexpectedEOF), nil, decide.Broken},
+		{status.Error(codes.Unavailable, "transport is closing"), nil, decide.ConnectionLost},
+		{fmt.Errorf("reading: %w", status.Error(codes.Unavailable, "cut")), nil, decide.ConnectionLost},
+		{fmt.Errorf("reading: %w", io.ErrUnexpectedEOF), nil, decide.ConnectionLost},
 		{status.Error(codes.DeadlineExceeded, ""), nil, decide.TimedOut},
 		{status.Error(codes.Canceled, ""), nil, decide.Cancelled},
 		{status.Error(codes.Internal, "failed"), nil, decide.Failed},
 		{status.Error(codes.Internal, "failed"), metadata.Pairs(flightwire.EndKey, "other"), decide.Failed},
-		{errors.New("schema"), nil, decide.Broken},
+		{errors.New("schema"), nil, decide.ConnectionLost},
 	} {
 		if got := outcome(c.err, c.trailer); got != c.want {
 			t.Errorf("%v, %v: got %d, want %d", c.err, c.trailer, got, c.want)
@@ -110,7 +110,7 @@
 	}
 	expect(send("n", 1, time.Minute), decide.Failed)
 	expect(send("n", 2, time.Minute), decide.Rejected)
-	expect(send("n", 3, time.Minute), decide.Broken) // the value had come, its end had not
+	expect(send("n", 3, time.Minute), decide.ConnectionLost) // the value had come, its end had not
 	expect(send("n", 4, 300*time.Millisecond), decide.TimedOut)
 	expect(send("dead", 0, time.Minute), decide.Unreachable)
 	expect(send("mute", 0, time.Minute), decide.Unreachable)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,12 +10,12 @@
 
 // loadNames gives the interface's word for each value of a load report.
 var loadNames = map[string]string{
-	"outstanding":  decide.LoadHeld,
-	"backlog":      decide.LoadWaiting,
-	"utilization":  decide.LoadBusy,
-	"recent_ms":    decide.LoadTime,
-	"throughput":   decide.LoadRate,
-	"errors_per_s": decide.LoadErrors,
+	"outstanding":  decide.LoadInFlight,
+	"backlog":      decide.LoadQueued,
+	"utilization":  decide.LoadUtilization,
+	"recent_ms":    decide.LoadServiceTime,
+	"throughput":   decide.LoadRequestRate,
+	"errors_per_s": decide.LoadErrorRate,
 }
 
 // pairs reads path=value lines and remembers the first fault.
@@ -123,47 +123,47 @@
 	_, hasShare := p.m["safety.extraPerRequest"]
 	_, hasFloor := p.m["safety.extraFloor"]
 	s := decide.Settings{
-		Index:           p.int("index", 0),
-		Roots:           max(1, p.int("balancers", 1)),
-		Zone:            p.int("myZone", 0),
-		TickMs:          p.num("tickMs", 1),
-		AskForList:      p.word("discovery", "pushed", "on_request") == 1,
-		OverShareWorth:  p.num("overShareWorth", 1),
-		WorthByWork:     p.word("worthBy", "request", "work") == 1,
-		Cells:           max(1, p.int("domain.cells", 1)),
-		InARow:          max(1, p.int("domain.inARow", 1)),
-		Shards:          p.int("domain.ranges", 0),
-		BundleMax:       max(1, p.int("domain.bundleMax", 1)),
-		CallWorkMs:      p.num("domain.perCallWorkMs", 0),
-		WarmKeys:        p.flag("domain.warmKeys"),
-		MaxAttempts:     p.int("caps.maxAttempts", 0),
-		MaxOpen:         p.int("caps.maxOpen", 0),
-		MaxRetryAfterMs: p.num("caps.maxRetryAfterMs", 0),
-		RetryAfter:      p.flag("caps.retryAfter"),
-		SecondCopies:    p.flag("caps.secondCopies"),
-		MayCancel:       p.flag("caps.cancel"),
-		MayProbe:        p.flag("caps.probes"),
-		MayTell:         p.flag("caps.mayTell"),
-		ReportInline:    p.word("report.how", "off", "inline", "on_probe") == 1,
-		GraceMs:         p.num("safety.graceToAnswerMs", 0),
-		AskWithinMs:     p.num("safety.askWithinMs", 0),
-		DrainMs:         p.num("safety.drainGraceMs", 0),
-		ColdFrom:        p.num("safety.coldFrom", 1),
-		ColdMs:          p.num("safety.coldMs", 0),
-		FallTimes:       p.num("safety.fallMultiple", 1),
-		FallMs:          p.num("safety.fallMs", 0),
-		HasBudget:       hasShare || hasFloor,
-		ExtraFloor:      p.num("safety.extraFloor", 0),
-		ExtraShare:      p.num("safety.extraPerRequest", 0),
-		ExtraSpanMs:     p.num("safety.ratioSpanMs", 0),
-		PriceCross:      p.num("penalties.crossZone", 0),
-		PriceProbe:      p.num("penalties.probe", 0),
-		PriceHandshake:  p.num("penalties.handshake", 0),
-		PriceWaste:      p.num("penalties.waste", 0),
+		Index:                  p.int("index", 0),
+		Roots:                  max(1, p.int("balancers", 1)),
+		Zone:                   p.int("myZone", 0),
+		TickMs:                 p.num("tickMs", 1),
+		MustSubscribe:          p.word("discovery", "pushed", "on_request") == 1,
+		OverShareWorth:         p.num("overShareWorth", 1),
+		WorthIsPerWork:         p.word("worthBy", "request", "work") == 1,
+		Cells:                  max(1, p.int("domain.cells", 1)),
+		CellsPerShard:          max(1, p.int("domain.inARow", 1)),
+		Shards:                 p.int("domain.ranges", 0),
+		MaxPartsPerCall:        max(1, p.int("domain.bundleMax", 1)),
+		CallOverheadMs:         p.num("domain.perCallWorkMs", 0),
+		ReplicasCacheKeys:      p.flag("domain.warmKeys"),
+		MaxAttempts:            p.int("caps.maxAttempts", 0),
+		MaxOpen:                p.int("caps.maxOpen", 0),
+		MaxRetryAfterMs:        p.num("caps.maxRetryAfterMs", 0),
+		SendRetryAfter:         p.flag("caps.retryAfter"),
+		AllowCopies:            p.flag("caps.secondCopies"),
+		AllowCancel:            p.flag("caps.cancel"),
+		AllowProbes:            p.flag("caps.probes"),
+		AllowPeerMessages:      p.flag("caps.mayTell"),
+		LoadReportInline:       p.word("report.how", "off", "inline", "on_probe") == 1,
+		AnswerGraceMs:          p.num("safety.graceToAnswerMs", 0),
+		MaxSubscribeIntervalMs: p.num("safety.askWithinMs", 0),
+		DrainGraceMs:           p.num("safety.drainGraceMs", 0),
+		ColdCapacityShare:      p.num("safety.coldFrom", 1),
+		WarmUpMs:               p.num("safety.coldMs", 0),
+		ColdOverloadFactor:     p.num("safety.fallMultiple", 1),
+		ColdOverloadMs:         p.num("safety.fallMs", 0),
+		HasRetryBudget:         hasShare || hasFloor,
+		RetryBudgetFloor:       p.num("safety.extraFloor", 0),
+		RetryBudgetRatio:       p.num("safety.extraPerRequest", 0),
+		RetryBudgetWindowMs:    p.num("safety.ratioSpanMs", 0),
+		CrossZonePenalty:       p.num("penalties.crossZone", 0),
+		ProbePenalty:           p.num("penalties.probe", 0),
+		HandshakePenalty:       p.num("penalties.handshake", 0),
+		WastePenalty:           p.num("penalties.waste", 0),
 	}
 	if v := p.m["report.fields"]; v != "" {
 		for _, f := range strings.Split(v, ",") {
-			s.ReportFields = append(s.ReportFields, loadNames[f])
+			s.LoadReportFields = append(s.LoadReportFields, loadNames[f])
 		}
 	}
 	n := p.count("classes.count")
@@ -174,29 +174,29 @@
 	for i := range n {
 		at := fmt.Sprintf("classes.%d.", i)
 		c := decide.Class{
-			AimStretch: p.num(at+"aimStretch", 0),
-			DeadlineMs: p.num(at+"deadlineMs", 0),
-			LateShare:  p.num(at+"lateShare", 0),
-			Worth:      p.num(at+"worth", 1),
-			Effect:     decide.Effect(p.word(at+"idempotency", "safe", "keyed", "unsafe")),
-			WindowMs:   p.num(at+"windowMs", 0),
-			Stream:     p.flag(at + "stream"),
-			Need:       need[i],
-			Floor:      floor[i],
-			Partial:    partial[i],
-			Fetch:      int(fetch[i]),
+			ObjectiveWorkFactor: p.num(at+"aimStretch", 0),
+			DeadlineMs:          p.num(at+"deadlineMs", 0),
+			LateWorthShare:      p.num(at+"lateShare", 0),
+			Worth:               p.num(at+"worth", 1),
+			Effect:              decide.Effect(p.word(at+"idempotency", "safe", "keyed", "unsafe")),
+			DedupWindowMs:       p.num(at+"windowMs", 0),
+			Stream:              p.flag(at + "stream"),
+			CompleteShare:       need[i],
+			MinShare:            floor[i],
+			PartialWorth:        partial[i],
+			SecondStepParts:     int(fetch[i]),
 		}
 		if _, told := p.m[at+"idempotency"]; !told {
 			c.Effect = decide.Unsafe // nothing vouches for a repeat
 		}
-		c.AimMs = p.num(at+"objectiveMs", c.DeadlineMs)
+		c.ObjectiveMs = p.num(at+"objectiveMs", c.DeadlineMs)
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range p.count("tenants.count") {
 		at := fmt.Sprintf("tenants.%d.", i)
 		s.Tenants = append(s.Tenants, decide.Tenant{
-			PerS:  p.num(at+"allowancePerS", 0),
-			Share: p.num(at+"share", 0),
+			QueriesPerSecond: p.num(at+"allowancePerS", 0),
+			Share:            p.num(at+"share", 0),
 		})
 	}
 	return s, p.err
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -156,7 +156,7 @@
 	case evHalt:
 		it.Op = Halt
 	case evList:
-		e.Kind = decide.ListNews
+		e.Kind = decide.ListUpdate
 		slot := le.Uint16(r[14:])
 		switch r[5] {
 		case 0:
@@ -177,39 +177,39 @@
 			e.Members = d.lists[slot]
 		}
 	case evCall:
-		e.Kind, e.ID = decide.QueryCame, le.Uint64(r[5:])
+		e.Kind, e.ID = decide.QueryArrived, le.Uint64(r[5:])
 		e.Class, e.Tenant, e.Key = int(r[13]), int(le.Uint16(r[14:])), le.Uint64(r[16:])
-		e.LeftMs, e.WorkMs, e.Number = f64(r[24:]), f64(r[32:]), f32(r[40:])
+		e.TimeLeftMs, e.EstimatedWorkMs, e.Number = f64(r[24:]), f64(r[32:]), f32(r[40:])
 		shard, measure := f32(r[44:]), f32(r[48:])
-		if !(e.LeftMs >= -1e12 && e.LeftMs <= 1e12) || !(shard > -1e9 && shard < 1e9) || !(measure > -1e9 && measure < 1e9) {
+		if !(e.TimeLeftMs >= -1e12 && e.TimeLeftMs <= 1e12) || !(shard > -1e9 && shard < 1e9) || !(measure > -1e9 && measure < 1e9) {
 			return fmt.Errorf("call %d: time left, shard or measure is not a plausible number", e.ID)
 		}
 		if shard >= 0 {
-			e.Kind, e.Shard, e.Weight = decide.PartCame, int(shard), measure
+			e.Kind, e.Shard, e.Weight = decide.PartArrived, int(shard), measure
 		} else {
 			e.Parts = int(measure)
 		}
-		e.Hinted, e.Retry, e.Write = r[52]&1 != 0, r[52]&2 != 0, r[52]&4 != 0
+		e.HasEstimate, e.Retry, e.Write = r[52]&1 != 0, r[52]&2 != 0, r[52]&4 != 0
 	case evHeaders:
-		e.Kind, e.ID = decide.StreamBegan, le.Uint64(r[5:])
-		e.Addr, e.Attempt, e.TookMs = addr(r[13:]), int(le.Uint16(r[19:])), f64(r[21:])
+		e.Kind, e.ID = decide.StreamStarted, le.Uint64(r[5:])
+		e.Addr, e.Attempt, e.ElapsedMs = addr(r[13:]), int(le.Uint16(r[19:])), f64(r[21:])
 	case evSettled:
-		e.Kind, e.ID, e.TookMs = decide.AttemptDone, le.Uint64(r[5:]), f64(r[13:])
+		e.Kind, e.ID, e.ElapsedMs = decide.AttemptDone, le.Uint64(r[5:]), f64(r[13:])
 		e.Addr, e.Attempt = addr(r[22:]), int(le.Uint16(r[28:]))
 		if e.Outcome, err = outcome(le.Uint16(r[30:])); err == nil {
 			e.Load, err = d.load(r[32:])
 		}
 	case evHangup:
-		e.Kind, e.ID = decide.ClientLeft, le.Uint64(r[5:])
+		e.Kind, e.ID = decide.ClientDisconnected, le.Uint64(r[5:])
 	case evWakeup:
 		e.Kind, e.Token = decide.TimerFired, le.Uint64(r[5:])
 	case evPong:
-		e.Kind, e.Addr, e.TookMs = decide.ProbeDone, addr(r[5:]), f64(r[11:])
+		e.Kind, e.Addr, e.ElapsedMs = decide.ProbeDone, addr(r[5:]), f64(r[11:])
 		if e.Outcome, err = outcome(le.Uint16(r[19:])); err == nil {
 			e.Load, err = d.load(r[21:])
 		}
 	case evMail:
-		e.Kind, e.Peer = decide.PeerSaid, int(le.Uint16(r[5:]))
+		e.Kind, e.Peer = decide.PeerMessage, int(le.Uint16(r[5:]))
 		var text []byte
 		text, err = span(tail, r[7:], 1)
 		e.Text = bytes.Clone(text)
@@ -239,7 +239,7 @@
 		case 1:
 			m.State = decide.Ready
 		case 2:
-			m.State = decide.Gone
+			m.State = decide.Removed
 		case 3:
 			m.State = decide.Draining
 		default:
@@ -264,7 +264,7 @@
 	case 502:
 		return decide.Unreachable, nil
 	case 598:
-		return decide.Broken, nil
+		return decide.ConnectionLost, nil
 	case 499:
 		return decide.Cancelled, nil
 	case 410:
@@ -293,18 +293,18 @@
 
 // Action codes, by kind of action.
 var actionCodes = [...]byte{
-	decide.Send:      65,
-	decide.Refuse:    66,
-	decide.Abort:     67,
-	decide.Cancel:    68,
-	decide.Timer:     69,
-	decide.Probe:     70,
-	decide.CloseIdle: 71,
-	decide.Tell:      72,
-	decide.Log:       73,
-	decide.Subscribe: 75,
-	decide.FetchList: 76,
-	decide.Answer:    77,
+	decide.Send:        65,
+	decide.Refuse:      66,
+	decide.Abort:       67,
+	decide.Cancel:      68,
+	decide.Timer:       69,
+	decide.Probe:       70,
+	decide.CloseIdle:   71,
+	decide.MessagePeer: 72,
+	decide.Log:         73,
+	decide.Subscribe:   75,
+	decide.FetchList:   76,
+	decide.Answer:      77,
 }
 
 // Add appends an action of a root.
@@ -329,7 +329,7 @@
 		le.PutUint64(r[13:], a.Token)
 	case decide.Answer:
 		le.PutUint64(r[5:], a.ID)
-		r[13] = bit(a.Whole)
+		r[13] = bit(a.Complete)
 	case decide.Refuse:
 		le.PutUint64(r[5:], a.ID)
 		le.PutUint64(r[13:], math.Float64bits(a.Ms))
@@ -337,13 +337,13 @@
 		le.PutUint64(r[5:], a.ID)
 	case decide.Probe, decide.CloseIdle:
 		putAddr(r[5:], a.Addr)
-	case decide.Tell:
+	case decide.MessagePeer:
 		le.PutUint32(r[5:], uint32(int32(a.Peer)))
 		w.text(r[9:], a.Text)
 	case decide.Log:
 		w.text(r[5:], a.Text)
 	case decide.Subscribe:
-		r[5] = bit(a.Whole)
+		r[5] = bit(a.Complete)
 	}
 	w.recs = append(w.recs, r[:]...)
 	w.count++
