--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -50,14 +50,14 @@
 		t.Fatalf("second batch: %+v, %v", b, err)
 	}
 	call := b.Items[0]
-	if e := call.Event; call.Root != 3 || e.Kind != decide.PartCame || e.ID != 0x81fcb5d3a91c4 || e.Key != 0x91f03b7c55d20a64 ||
-		e.LeftMs != 240 || e.WorkMs != 12 || e.Number != 214 || e.Shard != 0 || e.Weight != 0.125 || !e.Hinted || e.Retry {
+	if e := call.Event; call.Root != 3 || e.Kind != decide.PartArrived || e.ID != 0x81fcb5d3a91c4 || e.Key != 0x91f03b7c55d20a64 ||
+		e.TimeLeftMs != 240 || e.EstimatedWorkMs != 12 || e.Number != 214 || e.Shard != 0 || e.Weight != 0.125 || !e.HasEstimate || e.Retry {
 		t.Errorf("call: %+v", call)
 	}
 	if e := b.Items[1].Event; e.Kind != decide.TimerFired || e.Token != 77 {
 		t.Errorf("wakeup: %+v", e)
 	}
-	if it := b.Items[2]; it.Root != 5 || it.Event.Kind != decide.ClientLeft || it.Event.ID != 0x102150e6f2b19 {
+	if it := b.Items[2]; it.Root != 5 || it.Event.Kind != decide.ClientDisconnected || it.Event.ID != 0x102150e6f2b19 {
 		t.Errorf("hangup: %+v", it)
 	}
 	if err := d.Next(&b); err != io.EOF {
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	e := b.Items[0].Event
-	if e.Kind != decide.AttemptDone || e.Attempt != 1 || e.Outcome != decide.Failed || e.TookMs != 18.5 ||
+	if e.Kind != decide.AttemptDone || e.Attempt != 1 || e.Outcome != decide.Failed || e.ElapsedMs != 18.5 ||
 		len(e.Load) != 2 || e.Load[0] != 1 || e.Load[1] != 2 {
 		t.Errorf("settled: %+v", e)
 	}
@@ -147,13 +147,13 @@
 		want string
 	}{
 		{decide.Action{Kind: decide.Cancel, ID: 1, Attempt: 2}, "44 07000000 0100000000000000 0200" + zeros(17)},
-		{decide.Action{Kind: decide.Answer, ID: 1, Whole: true}, "4d 07000000 0100000000000000 01" + zeros(18)},
+		{decide.Action{Kind: decide.Answer, ID: 1, Complete: true}, "4d 07000000 0100000000000000 01" + zeros(18)},
 		{decide.Action{Kind: decide.Refuse, ID: 1, Ms: 1}, "42 07000000 0100000000000000 000000000000f03f" + zeros(11)},
 		{decide.Action{Kind: decide.Abort, ID: 1}, "43 07000000 0100000000000000" + zeros(19)},
 		{decide.Action{Kind: decide.Probe, Addr: 0x1b5b074a120a}, "46 07000000 0a124a07 5b1b" + zeros(21)},
 		{decide.Action{Kind: decide.CloseIdle, Addr: 0x1b5b074a120a}, "47 07000000 0a124a07 5b1b" + zeros(21)},
-		{decide.Action{Kind: decide.Tell, Peer: decide.AllPeers, Text: "hi"}, "48 07000000 ffffffff 00000000 02000000" + zeros(15) + "6869"},
-		{decide.Action{Kind: decide.Subscribe, Whole: true}, "4b 07000000 01" + zeros(26)},
+		{decide.Action{Kind: decide.MessagePeer, Peer: decide.AllPeers, Text: "hi"}, "48 07000000 ffffffff 00000000 02000000" + zeros(15) + "6869"},
+		{decide.Action{Kind: decide.Subscribe, Complete: true}, "4b 07000000 01" + zeros(26)},
 		{decide.Action{Kind: decide.FetchList}, "4c 07000000" + zeros(27)},
 	} {
 		w.Add(7, test.a)
@@ -169,11 +169,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Classes) != 2 || s.Classes[0].AimMs != 30 || s.Classes[0].Effect != decide.Keyed || s.Classes[0].Need != 0.75 ||
-		s.Classes[1].AimMs != 9 || s.Classes[1].Effect != decide.Unsafe || s.Classes[1].Floor != 1 {
+	if len(s.Classes) != 2 || s.Classes[0].ObjectiveMs != 30 || s.Classes[0].Effect != decide.Keyed || s.Classes[0].CompleteShare != 0.75 ||
+		s.Classes[1].ObjectiveMs != 9 || s.Classes[1].Effect != decide.Unsafe || s.Classes[1].MinShare != 1 {
 		t.Errorf("classes: %+v", s.Classes)
 	}
-	if !s.MayCancel || s.SecondCopies || s.HasBudget || s.Roots != 1 || s.Cells != 1 || len(s.ReportFields) != 2 {
+	if !s.AllowCancel || s.AllowCopies || s.HasRetryBudget || s.Roots != 1 || s.Cells != 1 || len(s.LoadReportFields) != 2 {
 		t.Errorf("settings: %+v", s)
 	}
 }
--- a/nodeclient/client_test.go
+++ b/nodeclient/client_test.go
@@ -149,7 +149,7 @@
 	n.Work(func(call testkit.Call) string {
 		return []string{testkit.Done, testkit.Fail, testkit.Full, testkit.Break, testkit.Silent}[call.Shard%5]
 	})
-	for id, want := range []decide.Outcome{decide.OK, decide.Failed, decide.Rejected, decide.Broken} {
+	for id, want := range []decide.Outcome{decide.OK, decide.Failed, decide.Rejected, decide.ConnectionLost} {
 		c.send("n", attempt(id))
 		s.wait(t, broker.AttemptID(id), want)
 	}
@@ -178,7 +178,7 @@
 	}
 	n.Wait(t, "the new attempt", func() bool { return len(n.Calls()) == 6 })
 	n.Cut()
-	s.wait(t, 15, decide.Broken)
+	s.wait(t, 15, decide.ConnectionLost)
 }
 
 // A frame whose last byte had not left when the connection broke never ran;
@@ -235,7 +235,7 @@
 		cn := c.nodes["n"].conns[0]
 		c.mu.Unlock()
 		cn.Closed(errno)
-		s.wait(t, broker.AttemptID(i), decide.Broken)
+		s.wait(t, broker.AttemptID(i), decide.ConnectionLost)
 	}
 }
 
@@ -243,7 +243,7 @@
 	_, s, _, _ := jammed(t)
 	// The connection's bytes do not leave: it is given up, and nobody else waits on it.
 	s.wait(t, 2, decide.Unreachable)
-	s.wait(t, 1, decide.Broken)
+	s.wait(t, 1, decide.ConnectionLost)
 }
 
 // A frame that waits for a full socket does not leave once its part may not begin any
@@ -281,7 +281,7 @@
 	if err == nil {
 		t.Errorf("the node got all %d bytes of a part that had been given up", got)
 	}
-	s.wait(t, 1, decide.Broken)
+	s.wait(t, 1, decide.ConnectionLost)
 }
 
 // A part's frame has been taken by our system and not by the node, whose link is cut or which
@@ -299,7 +299,7 @@
 	if got, err := io.CopyN(io.Discard, peer, int64(len(big.Text))); err == nil {
 		t.Errorf("the node got all %d bytes of a part whose client had left", got)
 	}
-	s.wait(t, 1, decide.Broken)
+	s.wait(t, 1, decide.ConnectionLost)
 }
 
 // Somebody else answers at a node's address, whose port another process has got: a web
@@ -343,7 +343,7 @@
 		}
 		s.mu.Lock()
 		for id, got := range s.got {
-			if got != decide.Failed && got != decide.Broken && got != decide.Cancelled {
+			if got != decide.Failed && got != decide.ConnectionLost && got != decide.Cancelled {
 				t.Errorf("%s, attempt %d: %v", name, id, got)
 			}
 		}
@@ -586,8 +586,8 @@
 		t.Fatalf("%d connections for two parts, want 1", c.open())
 	}
 	n.Cut()
-	s.wait(t, 1, decide.Broken)
-	s.wait(t, 2, decide.Broken)
+	s.wait(t, 1, decide.ConnectionLost)
+	s.wait(t, 2, decide.ConnectionLost)
 	send(3)
 	if c.open() != 2 {
 		t.Errorf("%d connections after a break, want one for each part", c.open())
--- a/reach/outcome.go
+++ b/reach/outcome.go
@@ -39,9 +39,9 @@
 	NotGreeted:      {true, decide.Unreachable},
 	NothingLeft:     {true, decide.Unreachable},
 	PartLeft:        {false, decide.Unreachable},
-	WholeLeft:       {false, decide.Broken},
+	WholeLeft:       {false, decide.ConnectionLost},
 	StreamNotOpened: {true, decide.Unreachable},
-	StreamEnded:     {false, decide.Broken},
+	StreamEnded:     {false, decide.ConnectionLost},
 	NoAnswer:        {false, decide.TimedOut},
 }
 
--- a/tracing/record/record.go
+++ b/tracing/record/record.go
@@ -252,7 +252,7 @@
 func (a *Attempt) End(o decide.Outcome, ours bool, at Offset) {
 	a.Ended, a.Outcome, a.Ours = at, Outcome(o), ours
 	switch o {
-	case decide.Failed, decide.Broken, decide.TimedOut, decide.Cancelled:
+	case decide.Failed, decide.ConnectionLost, decide.TimedOut, decide.Cancelled:
 		a.MayRun = a.Gone.Set()
 	default:
 		a.MayRun = false // it did, or it never can
