--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -6,7 +6,7 @@
 	"onyxsail/decide"
 )
 
-// One query of two parts, from its arrival to its answer.
+// This example follows one query of two parts from its arrival to its answer.
 func Example() {
 	root := decide.New(decide.Settings{
 		Roots: 1, TickMs: 5, Cells: 1, CellsPerShard: 1, Shards: 2, MaxPartsPerCall: 1,
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -12,59 +12,59 @@
 // of its own, against replicas that are shared by all: what is harmless from one
 // root shows its sum here.
 type fleet struct {
-	t     *testing.T
-	now   float64
-	roots []*Root
-	queue happenings
-	order int
-	node  func(root int, a Addr) (Outcome, float64) // how an attempt that is sent now ends, and after how long
-	sends []sending
-	ends  []ending
-	open  []map[uint64][]bool // by root and part: attempts without an outcome
-	ids   uint64
-	began map[uint64]float64 // when each query came
-	rng   *rand.Rand
-}
-
-type sending struct {
-	at   float64
-	root int
-	to   Addr
-	n    int // attempts of the part before
-}
-
-type ending struct {
+	t            *testing.T
+	now          float64
+	roots        []*Root
+	queue        eventQueue
+	lastOrder    int
+	respond      func(root int, a Addr) (Outcome, float64) // how an attempt that is sent now ends, and after how long
+	sends        []sentAttempt
+	queryEnds    []queryEnd
+	openAttempts []map[uint64][]bool // by root and part: attempts without an outcome
+	lastID       uint64
+	arrivedAt    map[uint64]float64 // when each query came
+	rng          *rand.Rand
+}
+
+type sentAttempt struct {
+	at      float64
+	root    int
+	to      Addr
+	earlier int // attempts of the part before
+}
+
+type queryEnd struct {
 	at, took float64
 	root     int
 	kind     ActionKind
 	hint     float64
 }
 
-type happening struct {
+type timedEvent struct {
 	at    float64
 	order int
 	root  int
 	event Event
 }
 
-type happenings []happening
+type eventQueue []timedEvent
 
-func (h happenings) Len() int { return len(h) }
-func (h happenings) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (h happenings) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(x any)   { *h = append(*h, x.(happening)) }
-func (h *happenings) Pop() any {
-	old := *h
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(timedEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	*h = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return x
 }
 
 // large is the settings of a root among many: short aims, few queries each.
-func large(roots, cells int) Settings {
-	s := settings()
+func largeFleetSettings(roots, cells int) Settings {
+	s := testSettings()
 	s.Roots, s.TickMs, s.Cells, s.Shards = roots, 1, cells, 6*cells
 	s.ColdCapacityShare, s.WarmUpMs, s.ColdOverloadFactor, s.ColdOverloadMs = 0.18, 15000, 3, 2000
 	s.Classes[0].ObjectiveMs, s.Classes[0].DeadlineMs = 250, 1000
@@ -73,40 +73,40 @@
 
 // newFleet starts the roots with the given members on their list.
 func newFleet(t *testing.T, s Settings, members []Member) *fleet {
-	f := &fleet{t: t, now: 1e6, began: map[uint64]float64{}, rng: rand.New(rand.NewPCG(1, 2))}
+	f := &fleet{t: t, now: 1e6, arrivedAt: map[uint64]float64{}, rng: rand.New(rand.NewPCG(1, 2))}
 	for i := range s.Roots {
 		s.Index = i
 		f.roots = append(f.roots, New(s, uint64(i+1)))
-		f.open = append(f.open, map[uint64][]bool{})
-		f.push(happening{at: f.now, root: i, event: Event{Kind: ListUpdate, List: ListCached, Members: members}})
+		f.openAttempts = append(f.openAttempts, map[uint64][]bool{})
+		f.schedule(timedEvent{at: f.now, root: i, event: Event{Kind: ListUpdate, List: ListCached, Members: members}})
 	}
 	return f
 }
 
-func (f *fleet) push(h happening) {
-	f.order++
-	h.order = f.order
-	heap.Push(&f.queue, h)
+func (f *fleet) schedule(e timedEvent) {
+	f.lastOrder++
+	e.order = f.lastOrder
+	heap.Push(&f.queue, e)
 }
 
 // load lets queries of k parts come for ms, each root's so many a second.
-func (f *fleet) load(perS float64, k int, ms float64) {
-	f.loadAt(f.allRoots(), perS, k, ms)
+func (f *fleet) runLoad(queriesPerSecond float64, partCount int, ms float64) {
+	f.runLoadAt(f.allRoots(), queriesPerSecond, partCount, ms)
 }
 
 // loadAt does so at some of the roots alone.
-func (f *fleet) loadAt(roots []int, perS float64, k int, ms float64) {
+func (f *fleet) runLoadAt(roots []int, queriesPerSecond float64, partCount int, ms float64) {
 	shards := f.roots[0].settings.Shards
 	for _, i := range roots {
-		for at := f.now + f.rng.ExpFloat64()*1000/perS; at < f.now+ms; at += f.rng.ExpFloat64() * 1000 / perS {
-			f.ids++
+		for at := f.now + f.rng.ExpFloat64()*1000/queriesPerSecond; at < f.now+ms; at += f.rng.ExpFloat64() * 1000 / queriesPerSecond {
+			f.lastID++
 			c := f.roots[i].settings.Classes[0]
-			e := Event{Kind: QueryArrived, ID: f.ids, TimeLeftMs: c.DeadlineMs, Number: float64(f.ids), Parts: k}
-			f.push(happening{at: at, root: i, event: e})
-			for j, shard := range f.rng.Perm(shards)[:k] {
-				f.ids++
-				f.push(happening{at: at, root: i, event: Event{Kind: PartArrived, ID: f.ids, TimeLeftMs: c.DeadlineMs,
-					Number: e.Number, Shard: shard, Weight: 1 / float64(k), Token: uint64(j)}})
+			e := Event{Kind: QueryArrived, ID: f.lastID, TimeLeftMs: c.DeadlineMs, Number: float64(f.lastID), Parts: partCount}
+			f.schedule(timedEvent{at: at, root: i, event: e})
+			for j, shard := range f.rng.Perm(shards)[:partCount] {
+				f.lastID++
+				f.schedule(timedEvent{at: at, root: i, event: Event{Kind: PartArrived, ID: f.lastID, TimeLeftMs: c.DeadlineMs,
+					Number: e.Number, Shard: shard, Weight: 1 / float64(partCount), Token: uint64(j)}})
 			}
 		}
 	}
@@ -114,20 +114,20 @@
 }
 
 // run plays all that happens until then.
-func (f *fleet) run(until float64) {
-	for len(f.queue) > 0 && f.queue[0].at < until {
+func (f *fleet) run(end float64) {
+	for len(f.queue) > 0 && f.queue[0].at < end {
 		f.now = f.queue[0].at
 		root, events := f.queue[0].root, []Event(nil)
 		for len(f.queue) > 0 && f.queue[0].at == f.now && f.queue[0].root == root {
-			e := heap.Pop(&f.queue).(happening).event
+			e := heap.Pop(&f.queue).(timedEvent).event
 			if e.Kind == QueryArrived {
-				f.began[e.ID] = f.now
+				f.arrivedAt[e.ID] = f.now
 			}
 			if e.Kind == AttemptDone {
-				if tries := f.open[root][e.ID]; e.Attempt >= len(tries) || !tries[e.Attempt] {
+				if tries := f.openAttempts[root][e.ID]; e.Attempt >= len(tries) || !tries[e.Attempt] {
 					continue // it was cancelled before
 				}
-				f.open[root][e.ID][e.Attempt] = false
+				f.openAttempts[root][e.ID][e.Attempt] = false
 			}
 			events = append(events, e)
 		}
@@ -135,34 +135,34 @@
 			continue
 		}
 		for _, a := range f.roots[root].Step(f.now, events, nil) {
-			f.do(root, a)
+			f.carryOut(root, a)
 		}
 	}
-	f.now = until
+	f.now = end
 }
 
-func (f *fleet) do(root int, a Action) {
+func (f *fleet) carryOut(root int, a Action) {
 	switch a.Kind {
 	case Send:
-		n := len(f.open[root][a.ID])
-		f.open[root][a.ID] = append(f.open[root][a.ID], true)
-		f.sends = append(f.sends, sending{f.now, root, a.Addr, n})
-		o, after := f.node(root, a.Addr)
+		n := len(f.openAttempts[root][a.ID])
+		f.openAttempts[root][a.ID] = append(f.openAttempts[root][a.ID], true)
+		f.sends = append(f.sends, sentAttempt{f.now, root, a.Addr, n})
+		o, after := f.respond(root, a.Addr)
 		if after > a.Ms {
 			o, after = TimedOut, a.Ms
 		}
-		f.push(happening{at: f.now + after, root: root, event: Event{Kind: AttemptDone, ID: a.ID, Attempt: n, Addr: a.Addr, Outcome: o, ElapsedMs: after}})
+		f.schedule(timedEvent{at: f.now + after, root: root, event: Event{Kind: AttemptDone, ID: a.ID, Attempt: n, Addr: a.Addr, Outcome: o, ElapsedMs: after}})
 	case Cancel:
-		f.push(happening{at: f.now, root: root, event: Event{Kind: AttemptDone, ID: a.ID, Attempt: a.Attempt, Outcome: Cancelled}})
+		f.schedule(timedEvent{at: f.now, root: root, event: Event{Kind: AttemptDone, ID: a.ID, Attempt: a.Attempt, Outcome: Cancelled}})
 	case Timer:
-		f.push(happening{at: f.now + a.Ms, root: root, event: Event{Kind: TimerFired, Token: a.Token}})
+		f.schedule(timedEvent{at: f.now + a.Ms, root: root, event: Event{Kind: TimerFired, Token: a.Token}})
 	case Answer, Refuse, Abort:
-		f.ends = append(f.ends, ending{f.now, f.now - f.began[a.ID], root, a.Kind, a.Ms})
+		f.queryEnds = append(f.queryEnds, queryEnd{f.now, f.now - f.arrivedAt[a.ID], root, a.Kind, a.Ms})
 	}
 }
 
 // members are n replicas in so many cells, all long warm.
-func members(n, cells int) (all []Member) {
+func warmMembers(n, cells int) (all []Member) {
 	for i := range n {
 		all = append(all, Member{Addr: Addr(i + 1), Cell: i % cells, Zone: i / cells % 2, State: Ready})
 	}
@@ -170,7 +170,7 @@
 }
 
 // sentTo counts what went to some replicas since a time.
-func (f *fleet) sentTo(since float64, which func(Addr) bool) (n int) {
+func (f *fleet) countSends(since float64, which func(Addr) bool) (n int) {
 	for _, s := range f.sends {
 		if s.at >= since && which(s.to) {
 			n++
@@ -180,8 +180,8 @@
 }
 
 // served counts the queries that ended since a time, answered or not.
-func (f *fleet) served(since float64) (served, lost int) {
-	for _, e := range f.ends {
+func (f *fleet) countEnds(since float64) (served, lost int) {
+	for _, e := range f.queryEnds {
 		switch {
 		case e.at < since:
 		case e.kind == Answer:
@@ -194,8 +194,8 @@
 }
 
 // late counts the queries that ended since a time and those not answered within the aim.
-func (f *fleet) late(since float64) (late, all int) {
-	for _, e := range f.ends {
+func (f *fleet) countLate(since float64) (late, all int) {
+	for _, e := range f.queryEnds {
 		if e.at < since {
 			continue
 		}
@@ -209,52 +209,52 @@
 // Of eighty roots each hears of a replica every second or two. If a slow one is
 // forgotten in between, or must be met eight times to be known, each root goes on
 // meeting it for as long as it is slow, and of its dozen parts one is always there.
-func TestRareNewsOfASlowReplicaIsKept(t *testing.T) {
+func TestSparseMeasurementsOfSlowReplicaAreKept(t *testing.T) {
 	for _, c := range []struct {
 		roots int
 		perS  float64
 	}{{80, 3.5}, {3, 93}} {
-		f := newFleet(t, large(c.roots, 15), members(60, 15))
+		f := newFleet(t, largeFleetSettings(c.roots, 15), warmMembers(60, 15))
 		slow := func(a Addr) bool { return a%8 == 3 } // eight of sixty
 		from := f.now + 4000
-		f.node = func(_ int, a Addr) (Outcome, float64) {
+		f.respond = func(_ int, a Addr) (Outcome, float64) {
 			ms := 20 * (0.6 + 0.8*f.rng.Float64())
 			if slow(a) && f.now > from {
 				ms *= 7
 			}
 			return OK, ms
 		}
-		f.load(c.perS, 12, 4000)
-		f.load(c.perS, 12, 4000)
+		f.runLoad(c.perS, 12, 4000)
+		f.runLoad(c.perS, 12, 4000)
 		since := f.now
-		f.load(c.perS, 12, 8000)
-		share := float64(f.sentTo(since, slow)) / float64(f.sentTo(since, func(Addr) bool { return true }))
+		f.runLoad(c.perS, 12, 8000)
+		share := float64(f.countSends(since, slow)) / float64(f.countSends(since, func(Addr) bool { return true }))
 		if share > 0.03 {
 			t.Errorf("%d roots: %.3f of what is sent goes to slow replicas, 0.13 by chance", c.roots, share)
 		}
-		if late, all := f.late(since); late > all/20 {
+		if late, all := f.countLate(since); late > all/20 {
 			t.Errorf("%d roots: %d of %d queries late", c.roots, late, all)
 		}
 	}
 }
 
 // keep the helpers honest: every attempt gets one outcome and every query one end.
-func TestFleetPlaysItsRoots(t *testing.T) {
-	f := newFleet(t, large(5, 3), members(12, 3))
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 10 }
-	f.load(20, 6, 2000)
+func TestFleetSimulatorEndsEveryAttemptAndQuery(t *testing.T) {
+	f := newFleet(t, largeFleetSettings(5, 3), warmMembers(12, 3))
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 10 }
+	f.runLoad(20, 6, 2000)
 	f.run(f.now + 3000)
 	queries := 0
-	for _, e := range f.ends {
+	for _, e := range f.queryEnds {
 		if e.kind == Answer {
 			queries++
 		}
 	}
-	if queries < 150 || queries != len(f.ends) {
-		t.Errorf("%d answers, %d ends", queries, len(f.ends))
+	if queries < 150 || queries != len(f.queryEnds) {
+		t.Errorf("%d answers, %d ends", queries, len(f.queryEnds))
 	}
-	for i := range f.open {
-		for id, tries := range f.open[i] {
+	for i := range f.openAttempts {
+		for id, tries := range f.openAttempts[i] {
 			if slices.Contains(tries, true) {
 				t.Errorf("root %d: part %d without an outcome", i, id)
 			}
@@ -265,14 +265,14 @@
 // No root has heard of any replica when the day begins, or after a release of
 // all of them. If each took the first of the list then, one in four replicas would
 // get the work of its whole cell.
-func TestUnheardReplicasShareTheFirstQueries(t *testing.T) {
-	f := newFleet(t, large(80, 15), members(60, 15))
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 100 }
-	f.load(3.5, 12, 400)
+func TestUnmeasuredReplicasShareFirstQueries(t *testing.T) {
+	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 100 }
+	f.runLoad(3.5, 12, 400)
 	cell := map[int]int{}
 	most := map[int]int{}
 	for a := Addr(1); a <= 60; a++ {
-		n := f.sentTo(0, func(b Addr) bool { return a == b })
+		n := f.countSends(0, func(b Addr) bool { return a == b })
 		c := int(a-1) % 15
 		cell[c] += n
 		most[c] = max(most[c], n)
@@ -288,21 +288,21 @@
 // other holder left waits for it within its query's time, instead of spending
 // its three attempts within some milliseconds.
 func TestPartsWaitForFullReplicas(t *testing.T) {
-	f := newFleet(t, large(80, 15), members(60, 15))
+	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
 	cell := func(a Addr) int { return int(a-1) % 15 }
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
-	f.load(3.5, 12, 4000)
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
+	f.runLoad(3.5, 12, 4000)
 	from := f.now
-	f.node = func(_ int, a Addr) (Outcome, float64) {
+	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if in := int(f.now-from) % 400; cell(a) == 4 && in < 100 { // a quarter of the time, all four of them
 			return Rejected, 1
 		}
 		return OK, 15 + 10*f.rng.Float64()
 	}
-	f.load(3.5, 12, 6000)
+	f.runLoad(3.5, 12, 6000)
 	f.run(f.now + 1500)
-	late, all := f.late(from)
-	if _, refused := f.served(from); refused > all/25 || late > all/20 {
+	late, all := f.countLate(from)
+	if _, refused := f.countEnds(from); refused > all/25 || late > all/20 {
 		t.Errorf("%d of %d queries late, %d of them refused", late, all, refused)
 	}
 }
@@ -312,24 +312,24 @@
 // these queries are found lost only after they were sent. What their other parts
 // would have taken, half of what the other replicas do, must be left to queries
 // that can be served.
-func TestLostQueriesCostOtherReplicasLittle(t *testing.T) {
-	f := newFleet(t, large(80, 15), members(30, 15))
+func TestLostQueriesWasteLittleWork(t *testing.T) {
+	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(30, 15))
 	bad := func(a Addr) bool { return int(a-1)%15 == 4 }
 	good := func(a Addr) bool { return !bad(a) }
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
-	f.load(3.5, 12, 4000)
-	f.node = func(_ int, a Addr) (Outcome, float64) {
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
+	f.runLoad(3.5, 12, 4000)
+	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if bad(a) {
 			return Rejected, 1
 		}
 		return OK, 15 + 10*f.rng.Float64()
 	}
-	f.load(3.5, 12, 2000) // each root finds out
+	f.runLoad(3.5, 12, 2000) // each root finds out
 	from := f.now
-	f.load(3.5, 12, 4000)
+	f.runLoad(3.5, 12, 4000)
 	f.run(f.now + 1500)
-	served, lost := f.served(from)
-	wasted := f.sentTo(from, good) - 12*served
+	served, lost := f.countEnds(from)
+	wasted := f.countSends(from, good) - 12*served
 	if served < 350 || lost < 500 || wasted > 2*lost {
 		t.Errorf("%d queries served, %d lost, for which %d parts went to other replicas", served, lost, wasted)
 	}
@@ -337,20 +337,20 @@
 
 // Where a part of the weight is enough for an answer, shards that nobody holds, or
 // whose holders refuse connections, do not keep the rest of a query back.
-func TestPartialAnswersDoNotWaitForWhatCannotBeHad(t *testing.T) {
+func TestPartialAnswersDoNotWaitForUnavailableShards(t *testing.T) {
 	for _, listed := range []int{2, 3} { // of three cells: the last has no holder, or a dead one
-		s := large(1, 3)
+		s := largeFleetSettings(1, 3)
 		s.Classes[0].CompleteShare, s.Classes[0].MinShare, s.Classes[0].PartialWorth = 1, 0.5, 0.9
-		f := newFleet(t, s, members(3, 3)[:listed])
-		f.node = func(_ int, a Addr) (Outcome, float64) {
+		f := newFleet(t, s, warmMembers(3, 3)[:listed])
+		f.respond = func(_ int, a Addr) (Outcome, float64) {
 			if a == 3 {
 				return Unreachable, 1
 			}
 			return OK, 10
 		}
-		f.load(10, 9, 4000)
+		f.runLoad(10, 9, 4000)
 		f.run(f.now + 1500)
-		if served, lost := f.served(0); served < 30 || lost > served/10 {
+		if served, lost := f.countEnds(0); served < 30 || lost > served/10 {
 			t.Errorf("%d of 3 replicas listed: %d queries served, %d lost", listed, served, lost)
 		}
 	}
@@ -360,18 +360,18 @@
 // queues seldom. Taking in what is then answered late serves nobody: of the
 // answers most must come within the aim.
 func TestFewAnswersAreLateUnderOverload(t *testing.T) {
-	f := newFleet(t, large(80, 15), members(60, 15))
+	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
 	free := map[Addr]float64{} // when each replica, one part at a time, is through
-	f.node = func(_ int, a Addr) (Outcome, float64) {
+	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		free[a] = max(free[a], f.now) + 5 + 15*f.rng.ExpFloat64()
 		return OK, free[a] - f.now + 2
 	}
-	f.load(2, 12, 4000)
+	f.runLoad(2, 12, 4000)
 	from := f.now
-	f.load(4.5, 12, 10000)
+	f.runLoad(4.5, 12, 10000)
 	f.run(f.now + 1500)
-	answered, _ := f.served(from)
-	late, all := f.late(from)
+	answered, _ := f.countEnds(from)
+	late, all := f.countLate(from)
 	if in := all - late; answered < 1500 || answered-in > answered/5 {
 		t.Errorf("%d of %d queries answered, %d in time", answered, all, in)
 	}
@@ -380,23 +380,23 @@
 // Where every holder of a shard refuses connections, nothing is to be waited
 // for: a query that needs it ends at once with a time to come back, and none of
 // its other parts is sent once that is known. A few trials tell when one is back.
-func TestQueriesWithoutALiveReplicaEndAtOnce(t *testing.T) {
-	f := newFleet(t, large(80, 15), members(60, 15))
+func TestQueriesWithoutLiveReplicaAreRefusedAtOnce(t *testing.T) {
+	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
 	dead := func(a Addr) bool { return int(a-1)%15 == 4 }
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
-	f.load(3.5, 12, 4000)
-	f.node = func(_ int, a Addr) (Outcome, float64) {
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
+	f.runLoad(3.5, 12, 4000)
+	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if dead(a) {
 			return Unreachable, 1
 		}
 		return OK, 15 + 10*f.rng.Float64()
 	}
-	f.load(3.5, 12, 4000)
+	f.runLoad(3.5, 12, 4000)
 	from := f.now
-	f.load(3.5, 12, 8000)
+	f.runLoad(3.5, 12, 8000)
 	f.run(f.now + 1500)
 	refused := 0
-	for _, e := range f.ends {
+	for _, e := range f.queryEnds {
 		if e.at < from || e.kind == Answer {
 			continue
 		}
@@ -404,7 +404,7 @@
 			t.Fatalf("refused after %.0f ms with a hint of %.0f ms", e.took, e.hint)
 		}
 	}
-	tried, all := f.sentTo(from, dead), f.sentTo(from, func(Addr) bool { return true })
+	tried, all := f.countSends(from, dead), f.countSends(from, func(Addr) bool { return true })
 	if refused < 500 || tried > 4*80*8/2 {
 		t.Errorf("%d queries refused, %d of %d parts sent to dead replicas", refused, tried, all)
 	}
@@ -414,20 +414,20 @@
 // time. What they send it together, each knowing its own share alone, stays
 // within the told budget in every window: so many times what it can do then,
 // reckoned from what a warm replica of its cell is sent.
-func TestColdReplicaIsSparedByAllTogether(t *testing.T) {
-	s := large(80, 15)
-	f := newFleet(t, s, members(60, 15))
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
-	f.load(3.5, 12, 6000)
+func TestColdReplicaIsNotOverloadedByAllRootsTogether(t *testing.T) {
+	s := largeFleetSettings(80, 15)
+	f := newFleet(t, s, warmMembers(60, 15))
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
+	f.runLoad(3.5, 12, 6000)
 	cold := Addr(5)
-	warm := float64(f.sentTo(f.now-4000, func(a Addr) bool { return int(a-1)%15 == 4 })) / 4 / 4000 // a ms, each of four
+	warm := float64(f.countSends(f.now-4000, func(a Addr) bool { return int(a-1)%15 == 4 })) / 4 / 4000 // a ms, each of four
 	back := f.now
-	m := members(60, 15)[cold-1]
+	m := warmMembers(60, 15)[cold-1]
 	m.ReadyAt = back
 	for i := range f.roots {
-		f.push(happening{at: back + 50*f.rng.Float64(), root: i, event: Event{Kind: ListUpdate, List: ListDelta, Members: []Member{m}}})
+		f.schedule(timedEvent{at: back + 50*f.rng.Float64(), root: i, event: Event{Kind: ListUpdate, List: ListDelta, Members: []Member{m}}})
 	}
-	f.load(3.5, 12, 10000)
+	f.runLoad(3.5, 12, 10000)
 	var at []float64
 	for _, x := range f.sends {
 		if x.to == cold && x.at >= back+50 {
@@ -452,17 +452,17 @@
 // A root that sends little, as it refuses most of what comes, must not rest dead
 // replicas for as long as that little would suggest: once they are back it tries
 // them within twenty aims.
-func TestIdleRootTriesReturnedReplicas(t *testing.T) {
-	f := newFleet(t, large(2, 1), members(4, 1))
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 20 }
-	f.load(0.5, 2, 20000)
-	f.node = func(int, Addr) (Outcome, float64) { return Unreachable, 1 }
-	f.load(0.5, 2, 30000)
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 20 }
-	f.load(0.5, 2, 12000)
+func TestIdleRootTriesRecoveredReplicas(t *testing.T) {
+	f := newFleet(t, largeFleetSettings(2, 1), warmMembers(4, 1))
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 20 }
+	f.runLoad(0.5, 2, 20000)
+	f.respond = func(int, Addr) (Outcome, float64) { return Unreachable, 1 }
+	f.runLoad(0.5, 2, 30000)
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 20 }
+	f.runLoad(0.5, 2, 12000)
 	back := f.now
-	f.load(0.5, 2, 20000)
-	late, all := f.late(back)
+	f.runLoad(0.5, 2, 20000)
+	late, all := f.countLate(back)
 	if all < 10 || late > all/5 {
 		t.Errorf("%d of %d queries late or refused, 12 s after all replicas are back", late, all)
 	}
@@ -473,9 +473,9 @@
 func BenchmarkQuery(b *testing.B) {
 	for _, c := range []struct{ nodes, cells, roots int }{{18, 3, 3}, {60, 15, 80}, {1024, 256, 1024}} {
 		b.Run(fmt.Sprintf("nodes=%d", c.nodes), func(b *testing.B) {
-			s := large(c.roots, c.cells)
+			s := largeFleetSettings(c.roots, c.cells)
 			r, now, id := New(s, 1), 1e6, uint64(0)
-			r.Step(now, []Event{{Kind: ListUpdate, List: ListCached, Members: members(c.nodes, c.cells)}}, nil)
+			r.Step(now, []Event{{Kind: ListUpdate, List: ListCached, Members: warmMembers(c.nodes, c.cells)}}, nil)
 			var events []Event
 			var acts []Action
 			for b.Loop() {
@@ -506,13 +506,13 @@
 
 // Each connection has a told price: roots that meet a set seldom stay with what they know
 // of it, for half the connections, and together load all nodes alike all the same.
-func TestPricedConnectionsAreFew(t *testing.T) {
+func TestHandshakePenaltyReducesConnections(t *testing.T) {
 	pairs := func(price float64) (made int, most float64) {
-		s := large(40, 15)
+		s := largeFleetSettings(40, 15)
 		s.HandshakePenalty = price
-		f := newFleet(t, s, members(60, 15))
-		f.node = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
-		f.load(1, 12, 8000)
+		f := newFleet(t, s, warmMembers(60, 15))
+		f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
+		f.runLoad(1, 12, 8000)
 		met, byNode := map[[2]uint64]bool{}, map[Addr]float64{}
 		for _, x := range f.sends {
 			met[[2]uint64{uint64(x.root), uint64(x.to)}] = true
@@ -537,7 +537,7 @@
 	for _, c := range []struct{ nodes, cells int }{{60, 15}, {1024, 256}} {
 		for _, kind := range []ListKind{ListDelta, ListFull} {
 			b.Run(fmt.Sprintf("nodes=%d,kind=%d", c.nodes, kind), func(b *testing.B) {
-				r, now, all := New(large(1024, c.cells), 1), 1e6, members(c.nodes, c.cells)
+				r, now, all := New(largeFleetSettings(1024, c.cells), 1), 1e6, warmMembers(c.nodes, c.cells)
 				r.Step(now, []Event{{Kind: ListUpdate, List: ListCached, Members: all}}, nil)
 				news := all
 				if kind == ListDelta {
@@ -556,20 +556,20 @@
 // up, which each root finds out at each of them. What never ran is no work that a
 // further attempt adds to: it must not use up what the root allows itself, or whole
 // queries are lost for one part.
-func TestPartsThatFoundNoConnectionGoOn(t *testing.T) {
-	f := newFleet(t, large(40, 45), members(180, 45))
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
-	f.load(1, 34, 6000)
+func TestFailedConnectionsUseNoRetryBudget(t *testing.T) {
+	f := newFleet(t, largeFleetSettings(40, 45), warmMembers(180, 45))
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
+	f.runLoad(1, 34, 6000)
 	from := f.now
-	f.node = func(_ int, a Addr) (Outcome, float64) {
+	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if a <= 135 {
 			return Unreachable, 250
 		}
 		return OK, 15 + 10*f.rng.Float64()
 	}
-	f.load(1, 34, 4000)
+	f.runLoad(1, 34, 4000)
 	f.run(f.now + 1500)
-	if served, lost := f.served(from); lost > served/8 {
+	if served, lost := f.countEnds(from); lost > served/8 {
 		t.Errorf("%d queries served, %d lost", served, lost)
 	}
 }
@@ -577,20 +577,20 @@
 // A quarter of the replicas fall silent and one answer in twenty gets lost. A part
 // whose attempt and copy both hang at such must not wait there for the end of its
 // query, and lose it, while sound holders of its shard have nothing to do.
-func TestPartThatHangsTwiceIsTriedOnceMore(t *testing.T) {
-	f := newFleet(t, large(40, 15), members(60, 15))
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
-	f.load(1, 12, 5000)
-	f.node = func(_ int, a Addr) (Outcome, float64) {
+func TestPartStuckTwiceIsSentAgain(t *testing.T) {
+	f := newFleet(t, largeFleetSettings(40, 15), warmMembers(60, 15))
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
+	f.runLoad(1, 12, 5000)
+	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if a <= 15 || f.rng.Float64() < 0.05 {
 			return OK, 1e6
 		}
 		return OK, 15 + 10*f.rng.Float64()
 	}
 	from := f.now
-	f.load(1, 12, 6000)
+	f.runLoad(1, 12, 6000)
 	f.run(f.now + 1500)
-	if served, lost := f.served(from); lost > served/20 {
+	if served, lost := f.countEnds(from); lost > served/20 {
 		t.Errorf("%d queries served, %d lost", served, lost)
 	}
 }
@@ -599,23 +599,23 @@
 // doubt, and more comes than the others can do. That queries end late must be learned
 // all the same, from their other parts: else every root goes on taking in what it will
 // answer too late.
-func TestLatenessIsLearnedBesideDoubtedReplicas(t *testing.T) {
-	f := newFleet(t, large(60, 45), members(180, 45))
+func TestLateQueriesAreLearnedDespiteUnhealthyReplicas(t *testing.T) {
+	f := newFleet(t, largeFleetSettings(60, 45), warmMembers(180, 45))
 	free := map[Addr]float64{} // when each replica, one part at a time, is through
-	f.node = func(_ int, a Addr) (Outcome, float64) {
+	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if a%10 == 0 {
 			return OK, 1e6
 		}
 		free[a] = max(free[a], f.now) + 5 + 15*f.rng.ExpFloat64()
 		return OK, free[a] - f.now + 2
 	}
-	f.load(2, 34, 4000)
-	f.load(4.5, 34, 3000)
+	f.runLoad(2, 34, 4000)
+	f.runLoad(4.5, 34, 3000)
 	from := f.now
-	f.load(4.5, 34, 8000)
+	f.runLoad(4.5, 34, 8000)
 	f.run(f.now + 1500)
-	answered, _ := f.served(from)
-	late, all := f.late(from)
+	answered, _ := f.countEnds(from)
+	late, all := f.countLate(from)
 	in := all - late
 	if answered-in > answered*2/5 {
 		t.Errorf("%d of %d queries answered, %d in time", answered, all, in)
@@ -626,24 +626,24 @@
 // root has seen answered in its short life is little, but so is that life: together
 // they must send the cold ones what these can do, not a fraction, and stay within the
 // told budget.
-func TestColdReplicasGetTheirShareFromNewRoots(t *testing.T) {
-	s := large(120, 15)
-	all := members(60, 15)
+func TestNewRootsSendColdReplicasTheirShare(t *testing.T) {
+	s := largeFleetSettings(120, 15)
+	all := warmMembers(60, 15)
 	for i := range 15 {
 		all[i].ReadyAt = 1e6
 	}
 	f := newFleet(t, s, all)
-	f.node = func(_ int, a Addr) (Outcome, float64) {
+	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if a > 15 {
 			return OK, 40 + 40*f.rng.Float64() // busy
 		}
 		return OK, 15 + 10*f.rng.Float64()
 	}
-	f.load(1, 12, 2000)
+	f.runLoad(1, 12, 2000)
 	from := f.now
-	f.load(1, 12, 3000)
-	cold := float64(f.sentTo(from, func(a Addr) bool { return a <= 15 })) / 15
-	warm := float64(f.sentTo(from, func(a Addr) bool { return a > 15 })) / 45
+	f.runLoad(1, 12, 3000)
+	cold := float64(f.countSends(from, func(a Addr) bool { return a <= 15 })) / 15
+	warm := float64(f.countSends(from, func(a Addr) bool { return a > 15 })) / 45
 	least, most := s.ColdCapacityShare+(1-s.ColdCapacityShare)*2000/s.WarmUpMs, s.ColdCapacityShare+(1-s.ColdCapacityShare)*5000/s.WarmUpMs
 	if cold < 0.8*least*warm || cold > s.ColdOverloadFactor*most*warm {
 		t.Errorf("%.0f parts to a cold replica, %.0f to a warm one, of which it can do %.2f to %.2f", cold, warm, least, most)
@@ -654,22 +654,22 @@
 // among many still doubts the first, which it sends next to nothing, when the second falls
 // silent: a part that hangs there must go to the one in doubt, which may be back, rather
 // than wait for the end of its query and lose it with all its siblings answered.
-func TestHungPartGoesToAHolderInDoubt(t *testing.T) {
-	f := newFleet(t, large(40, 15), members(30, 15))
-	f.node = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
-	f.load(2, 6, 5000)
+func TestStuckPartIsSentToUnhealthyHolder(t *testing.T) {
+	f := newFleet(t, largeFleetSettings(40, 15), warmMembers(30, 15))
+	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
+	f.runLoad(2, 6, 5000)
 	begin := f.now
-	f.node = func(_ int, a Addr) (Outcome, float64) {
+	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if turn := int(f.now-begin) / 1000; (int(a)-1)/15 == turn%2 && int(a-1)%15%5 == 0 {
 			return OK, 1e6
 		}
 		return OK, 15 + 10*f.rng.Float64()
 	}
 	from := f.now
-	f.load(2, 6, 8000)
+	f.runLoad(2, 6, 8000)
 	f.run(f.now + 1500)
-	served, lost := f.served(from)
-	if late, all := f.late(from); lost > served/10 || late > all/10 {
+	served, lost := f.countEnds(from)
+	if late, all := f.countLate(from); lost > served/10 || late > all/10 {
 		t.Errorf("%d queries served, %d lost, %d of %d late", served, lost, late, all)
 	}
 }
