--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// bed drives one root and checks on every turn what must hold on any.
+// testbed drives one root and checks on every turn what must hold on all turns.
 type testbed struct {
 	t            *testing.T
 	root         *Root
@@ -16,25 +16,29 @@
 	lastID       uint64
 	lastNumber   float64
 	states       map[Addr]State
-	attemptCount map[uint64]int        // attempts of each part
-	sentTo       map[uint64][]Addr     // replica of each attempt
-	ends         map[uint64]ActionKind // final answers of queries
-	complete     map[uint64]bool       // of answers
-	queryOf      map[uint64]uint64     // query of each part
+	attemptCount map[uint64]int        // by part
+	sentTo       map[uint64][]Addr     // by part: the replica of each attempt
+	ends         map[uint64]ActionKind // by query: the action that ended it
+	complete     map[uint64]bool       // by query: whether its answer was complete
+	queryOf      map[uint64]uint64     // by part
 	events       []Event               // for the next turn
 	actions      []Action              // of the last turn
 }
 
+// testSettings returns the settings of a single root with one safe class.
 func testSettings() Settings {
 	return Settings{
 		Roots: 1, TickMs: 5, Cells: 1, CellsPerShard: 1, Shards: 4, MaxPartsPerCall: 1,
-		Classes:     []Class{{ObjectiveMs: 1000, DeadlineMs: 3000, LateWorthShare: 0.1, Worth: 1, CompleteShare: 1, MinShare: 1}},
+		Classes: []Class{{
+			ObjectiveMs: 1000, DeadlineMs: 3000, LateWorthShare: 0.1, Worth: 1, CompleteShare: 1, MinShare: 1,
+		}},
 		MaxAttempts: 3, AllowCopies: true, AllowCancel: true, SendRetryAfter: true, MaxRetryAfterMs: 1000,
 		ColdCapacityShare: 0.2, WarmUpMs: 10000, ColdOverloadFactor: 2, ColdOverloadMs: 2000,
 	}
 }
 
-// start makes a root that knows replicas 1 to n, all warm and heard of at ms.
+// newTestbed returns a testbed whose root knows replicas 1 to n, all warm. Unless latencyMs is 0, it has
+// measured that latency at each of them.
 func newTestbed(t *testing.T, s Settings, n int, latencyMs float64) *testbed {
 	b := &testbed{
 		t: t, root: New(s, 1), now: 1000, states: map[Addr]State{}, attemptCount: map[uint64]int{},
@@ -69,6 +73,7 @@
 	return b
 }
 
+// updateList queues a list update for the next turn.
 func (b *testbed) updateList(kind ListKind, members ...Member) {
 	for _, m := range members {
 		b.states[m.Addr] = m.State
@@ -76,12 +81,14 @@
 	b.events = append(b.events, Event{Kind: ListUpdate, List: kind, Members: members})
 }
 
+// addQuery queues a query of the given class for the next turn and returns its ID and those of its parts.
 func (b *testbed) addQuery(class, partCount int) (uint64, []uint64) {
 	b.lastNumber++
 	c := b.root.settings.Classes[class]
 	b.lastID++
 	q := b.lastID
-	b.events = append(b.events, Event{Kind: QueryArrived, ID: q, Class: class, TimeLeftMs: c.DeadlineMs, Number: b.lastNumber, Parts: partCount})
+	b.events = append(b.events, Event{Kind: QueryArrived, ID: q, Class: class, TimeLeftMs: c.DeadlineMs,
+		Number: b.lastNumber, Parts: partCount})
 	var parts []uint64
 	for i := range partCount {
 		b.lastID++
@@ -93,12 +100,14 @@
 	return q, parts
 }
 
+// endAttempt queues the outcome of an attempt for the next turn.
 func (b *testbed) endAttempt(part uint64, attempt int, outcome Outcome) {
-	b.events = append(b.events, Event{Kind: AttemptDone, ID: part, Attempt: attempt, Addr: b.sentTo[part][attempt], Outcome: outcome})
+	b.events = append(b.events, Event{Kind: AttemptDone, ID: part, Attempt: attempt,
+		Addr: b.sentTo[part][attempt], Outcome: outcome})
 }
 
-// step lets ms pass, with the turns that the root's timers ask for meanwhile,
-// and plays the turn.
+// advance advances the clock, with the turns that the root's timers ask for in the meantime, and then runs a turn
+// with the queued events.
 func (b *testbed) advance(ms float64) {
 	b.t.Helper()
 	b.actions = nil
@@ -110,7 +119,8 @@
 	b.advanceWithoutTurns(ms)
 }
 
-// stall lets ms pass without a turn, as when the root itself stands still.
+// advanceWithoutTurns advances the clock without turns, as if the root had stalled, and then runs a turn with the
+// queued events.
 func (b *testbed) advanceWithoutTurns(ms float64) {
 	b.t.Helper()
 	b.now += ms
@@ -118,15 +128,15 @@
 	b.events = nil
 	for _, a := range b.actions {
 		if math.IsNaN(a.Ms) {
-			b.t.Errorf("%v: action %+v holds a time that is no number", b.now, a)
+			b.t.Errorf("%v: action %+v has a time that is NaN", b.now, a)
 		}
 		switch a.Kind {
 		case Send:
 			if b.states[a.Addr] != Ready {
 				b.t.Errorf("%v: part %d sent to replica %d, which is not ready", b.now, a.ID, a.Addr)
 			}
-			if k, over := b.ends[b.queryOf[a.ID]]; over {
-				b.t.Errorf("%v: part %d sent after its query's end (%v)", b.now, a.ID, k)
+			if end, ended := b.ends[b.queryOf[a.ID]]; ended {
+				b.t.Errorf("%v: part %d sent after its query's end (%v)", b.now, a.ID, end)
 			}
 			b.attemptCount[a.ID]++
 			b.sentTo[a.ID] = append(b.sentTo[a.ID], a.Addr)
@@ -139,6 +149,7 @@
 	}
 }
 
+// sendCount returns the number of sends in the last turn.
 func (b *testbed) sendCount() (n int) {
 	for _, a := range b.actions {
 		if a.Kind == Send {
@@ -153,7 +164,7 @@
 	q, parts := b.addQuery(0, 4)
 	b.advance(0)
 	if n := b.sendCount(); n != 4 {
-		t.Fatalf("%d parts left at once, want 4", n)
+		t.Fatalf("%d parts sent at once, want 4", n)
 	}
 	b.advance(100)
 	for _, p := range parts {
@@ -161,10 +172,10 @@
 	}
 	b.advance(0)
 	if b.ends[q] != Answer || !b.complete[q] {
-		t.Errorf("query ended by %v, whole %v, want a whole answer", b.ends[q], b.complete[q])
+		t.Errorf("query ended by %v, complete %v, want a complete answer", b.ends[q], b.complete[q])
 	}
 	if n := b.sendCount(); n != 0 {
-		t.Errorf("%d copies sent for answers that landed together, want none", n)
+		t.Errorf("%d copies sent for answers that arrived in one turn, want none", n)
 	}
 }
 
@@ -172,7 +183,7 @@
 	b := newTestbed(t, testSettings(), 3, 100)
 	forks := 0
 	for range 40 {
-		b.root.classes[0].copyFraction = maxCopyFraction // 4 parts: a fork in four of ten queries
+		b.root.classes[0].copyFraction = maxCopyFraction // with 4 parts, four of ten queries fork
 		q, parts := b.addQuery(0, 4)
 		b.advance(0)
 		b.advance(100)
@@ -180,16 +191,16 @@
 			b.endAttempt(p, 0, OK)
 		}
 		b.advance(0)
-		if w := b.sentTo[parts[0]]; len(w) == 2 {
+		if sentTo := b.sentTo[parts[0]]; len(sentTo) == 2 {
 			forks++
-			if w[0] == w[1] {
-				t.Errorf("the copy went to the original's replica %d", w[0])
+			if sentTo[0] == sentTo[1] {
+				t.Errorf("the copy went to the original's replica %d", sentTo[0])
 			}
 			b.advance(10)
 			b.endAttempt(parts[0], 1, OK)
 			b.advance(0)
 			if !slices.ContainsFunc(b.actions, func(a Action) bool { return a.Kind == Cancel && a.Attempt == 0 }) {
-				t.Error("the losing twin was not cancelled")
+				t.Error("the slower attempt was not cancelled")
 			}
 			b.endAttempt(parts[0], 0, Cancelled)
 		} else {
@@ -212,8 +223,8 @@
 		draw func() float64
 		want func(p float64) bool
 	}{
-		{"constant: copies gain nothing", func() float64 { return 100 }, func(p float64) bool { return p == 0 }},
-		{"rare tail ten times the body: copies pay", func() float64 {
+		{"constant: copies are useless", func() float64 { return 100 }, func(p float64) bool { return p == 0 }},
+		{"rare long tail: copies reduce the latency", func() float64 {
 			if rng.Float64() < 0.03 {
 				return 5000
 			}
@@ -232,7 +243,7 @@
 			r.now = 1e6
 			r.chooseCopyFraction(c)
 			if !test.want(c.copyFraction) {
-				t.Errorf("p = %v", c.copyFraction)
+				t.Errorf("copy fraction %v", c.copyFraction)
 			}
 		})
 	}
@@ -240,21 +251,21 @@
 
 func TestEstimateLatency(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	// Constant times: the fork comes when all are done, and costs nothing.
-	if l, busy := estimateLatency([]float64{50, 50, 50}, 4, 0.1, rng); l != 50 || busy != 200 {
-		t.Errorf("constant: latency %v, busy %v, want 50 and 200", l, busy)
+	// Constant times: the fork comes when all parts are done, and costs nothing.
+	if latency, busy := estimateLatency([]float64{50, 50, 50}, 4, 0.1, rng); latency != 50 || busy != 200 {
+		t.Errorf("constant: latency %v, busy %v, want 50 and 200", latency, busy)
 	}
-	// Without copies the busy time is k times the mean.
-	x := []float64{10, 20, 30, 40}
-	if _, busy := estimateLatency(x, 40, 0, rng); math.Abs(busy-40*25) > 40 {
+	// Without copies the busy time is the number of parts times the mean.
+	samples := []float64{10, 20, 30, 40}
+	if _, busy := estimateLatency(samples, 40, 0, rng); math.Abs(busy-40*25) > 40 {
 		t.Errorf("no copies: busy %v, want about 1000", busy)
 	}
-	// With a tail the copy bounds the wait after the fork.
+	// With a long tail, the copy limits the wait after the fork.
 	tail := append(slices.Repeat([]float64{10}, 95), 1000, 1000, 1000, 1000, 1000)
 	slow, _ := estimateLatency(tail, 10, 0, rand.New(rand.NewPCG(3, 4)))
 	fast, _ := estimateLatency(tail, 10, 0.1, rand.New(rand.NewPCG(3, 4)))
 	if fast > slow/2 {
-		t.Errorf("tail: latency %v with copies, %v without, want under half", fast, slow)
+		t.Errorf("tail: latency %v with copies, %v without, want at most half", fast, slow)
 	}
 }
 
@@ -266,23 +277,23 @@
 			b := newTestbed(t, s, 3, 100)
 			q, _ := b.addQuery(0, 4)
 			b.advance(0)
-			ends := b.now + 3000
-			for b.now < ends-2*s.TickMs {
+			deadline := b.now + 3000
+			for b.now < deadline-2*s.TickMs {
 				b.advance(s.TickMs)
 			}
 			want := Refuse
 			if effect == Unsafe {
-				want = Abort // its parts may have run
+				want = Abort // its parts may have run, so that a retry is not safe
 			}
-			if k, over := b.ends[q]; !over || k != want {
-				t.Errorf("at its end the query had %v (ended: %v), want %v", k, over, want)
+			if end, ended := b.ends[q]; !ended || end != want {
+				t.Errorf("just before its deadline the query had ended by %v (ended: %v), want %v", end, ended, want)
 			}
 		})
 	}
 }
 
 func TestUnsafePartIsRetriedOnlyIfItNeverRan(t *testing.T) {
-	for _, test := range []struct {
+	for _, c := range []struct {
 		o    Outcome
 		want int
 	}{{Rejected, 2}, {Unreachable, 2}, {Failed, 1}, {ConnectionLost, 1}, {TimedOut, 1}} {
@@ -292,10 +303,10 @@
 		_, parts := b.addQuery(0, 4)
 		b.advance(0)
 		b.advance(20)
-		b.endAttempt(parts[0], 0, test.o)
+		b.endAttempt(parts[0], 0, c.o)
 		b.advance(0)
-		if got := b.attemptCount[parts[0]]; got != test.want {
-			t.Errorf("after outcome %v: %d attempts, want %d", test.o, got, test.want)
+		if got := b.attemptCount[parts[0]]; got != c.want {
+			t.Errorf("after outcome %v: %d attempts, want %d", c.o, got, c.want)
 		}
 	}
 }
@@ -339,20 +350,20 @@
 					b.endAttempt(p, a, OK)
 				}
 			}
-			if n := len(b.sentTo[p]); n > 1 && b.sentTo[p][1] == 1 {
-				t.Error("a failed part went back to the replica that failed it")
+			if firstSends := len(b.sentTo[p]); firstSends > 1 && b.sentTo[p][1] == 1 {
+				t.Error("a failed part was sent to the same replica again")
 			}
 		}
 		b.advance(0)
 	}
-	n := 0
-	for _, w := range b.sentTo {
-		if len(w) > 0 && w[0] == 1 {
-			n++
+	firstSends := 0
+	for _, sentTo := range b.sentTo {
+		if len(sentTo) > 0 && sentTo[0] == 1 {
+			firstSends++
 		}
 	}
-	if n > 16+30 { // a third of the warm-up's 48, cheap tries until it is known to fail nearly all, then a trickle
-		t.Errorf("%d first sends to a replica that always fails", n)
+	if firstSends > 16+30 { // a third of the warm-up's 48, some until it is known to fail nearly all, then few trials
+		t.Errorf("%d first attempts at a replica that always fails, want 46 at most", firstSends)
 	}
 }
 
@@ -366,16 +377,16 @@
 			b.endAttempt(p, 0, OK)
 		}
 	}
-	// Replica 1 stays silent while the others go on answering.
+	// Replica 1 stays silent while the others answer.
 	for b.now < 1e6 && len(b.ends) > 0 {
-		if _, over := b.ends[q]; over {
+		if _, ended := b.ends[q]; ended {
 			break
 		}
 		b.advance(5)
 		for _, p := range parts {
-			if w := b.sentTo[p]; len(w) > 1 {
-				if w[1] == 1 {
-					t.Fatal("rescued to the silent replica")
+			if sentTo := b.sentTo[p]; len(sentTo) > 1 {
+				if sentTo[1] == 1 {
+					t.Fatal("the part was sent to the silent replica again")
 				}
 				b.endAttempt(p, 1, OK)
 			}
@@ -388,7 +399,7 @@
 
 func TestUniformSlownessSuspectsNoReplica(t *testing.T) {
 	b := newTestbed(t, testSettings(), 4, 100)
-	for range 12 { // every part now takes five times as long, none is silent alone
+	for range 12 { // every part now takes five times as long at all replicas
 		_, parts := b.addQuery(0, 4)
 		b.advance(0)
 		for range 10 {
@@ -403,7 +414,7 @@
 	}
 	for _, rep := range b.root.listedReplicas {
 		if rep.suspected {
-			t.Errorf("replica %d is suspect though all are slow alike", rep.Addr)
+			t.Errorf("replica %d is suspected although all are equally slow", rep.Addr)
 		}
 	}
 }
@@ -418,16 +429,16 @@
 	}
 	other := Addr(3 - int(b.sentTo[parts[0]][0]))
 	b.updateList(ListDelta, Member{Addr: other, State: Draining})
-	b.advance(0) // bed.step fails on a send to a draining replica
+	b.advance(0) // the testbed reports sends to a draining replica
 	if b.attemptCount[parts[0]] != 1 {
-		t.Error("a copy went out though the only other holder drains")
+		t.Error("a copy was sent although the only other holder is draining")
 	}
-	c := newTestbed(t, testSettings(), 0, 0)
-	c.updateList(ListCached, Member{Addr: 1, State: Draining})
-	q, _ := c.addQuery(0, 4)
-	c.advance(0)
-	if c.ends[q] != Refuse {
-		t.Error("a query that no ready replica can serve was not refused at once")
+	restarted := newTestbed(t, testSettings(), 0, 0)
+	restarted.updateList(ListCached, Member{Addr: 1, State: Draining})
+	q, _ := restarted.addQuery(0, 4)
+	restarted.advance(0)
+	if restarted.ends[q] != Refuse {
+		t.Error("a query without a ready replica was not refused at once")
 	}
 }
 
@@ -440,7 +451,7 @@
 		b.advance(1)
 	}
 	if b.sendCount() == 0 && len(b.root.openQueries) == 0 {
-		t.Error("nothing was sent at all")
+		t.Error("no part was sent")
 	}
 }
 
@@ -449,25 +460,25 @@
 	s.Roots = 3
 	b := newTestbed(t, s, 3, 100)
 	b.updateList(ListDelta, Member{Addr: 9, ReadyAt: b.now})
-	begin, n := b.now, 0
-	for b.now < begin+s.ColdOverloadMs {
+	startedAt, coldSends := b.now, 0
+	for b.now < startedAt+s.ColdOverloadMs {
 		_, parts := b.addQuery(0, 4)
 		b.advance(0)
 		b.advance(50)
 		for _, p := range parts {
 			for a, at := range b.sentTo[p] {
-				o := OK
+				outcome := OK
 				if at == 9 {
-					n, o = n+1, Rejected // a rejection must not open the gate sooner
+					coldSends, outcome = coldSends+1, Rejected // a rejection must not raise the budget
 				}
-				b.endAttempt(p, a, o)
+				b.endAttempt(p, a, outcome)
 			}
 		}
 		b.advance(0)
 	}
-	// A warm replica takes at least the 160 parts over 2 s that three share here.
-	if limit := int(s.ColdCapacityShare * s.ColdOverloadFactor * 160 / 3 / 2); n > limit {
-		t.Errorf("%d sends to a cold replica in its first %v ms, want %d at most", n, s.ColdOverloadMs, limit)
+	// A warm replica can serve at least its third of the 160 parts that three replicas share in 2 s.
+	if limit := int(s.ColdCapacityShare * s.ColdOverloadFactor * 160 / 3 / 2); coldSends > limit {
+		t.Errorf("%d parts sent to a cold replica in its first %v ms, want %d at most", coldSends, s.ColdOverloadMs, limit)
 	}
 }
 
@@ -475,11 +486,11 @@
 	s := testSettings()
 	s.HasRetryBudget, s.RetryBudgetFloor, s.RetryBudgetRatio, s.RetryBudgetWindowMs = true, 3, 0.02, 1000
 	b := newTestbed(t, s, 6, 100)
-	type at struct{ ms, extra, taken float64 }
-	var log []at
+	type turn struct{ at, extra, arrived float64 }
+	var turns []turn
 	for range 60 {
 		_, parts := b.addQuery(0, 4)
-		log = append(log, at{b.now, 0, 5})
+		turns = append(turns, turn{b.now, 0, 5})
 		for range 4 {
 			b.advance(5)
 			extra := 0.0
@@ -488,15 +499,15 @@
 					extra++
 				}
 			}
-			log = append(log, at{b.now, extra, 0})
-			var extras, taken float64
-			for _, l := range log {
-				if l.ms >= b.now-s.RetryBudgetWindowMs {
-					extras, taken = extras+l.extra, taken+l.taken
+			turns = append(turns, turn{b.now, extra, 0})
+			var extraSum, arrived float64
+			for _, past := range turns {
+				if past.at >= b.now-s.RetryBudgetWindowMs {
+					extraSum, arrived = extraSum+past.extra, arrived+past.arrived
 				}
 			}
-			if allowed := s.RetryBudgetFloor + s.RetryBudgetRatio*(taken+30*5); extras > allowed {
-				t.Fatalf("%v further attempts in the window, %v allowed", extras, allowed)
+			if allowed := s.RetryBudgetFloor + s.RetryBudgetRatio*(arrived+30*5); extraSum > allowed {
+				t.Fatalf("%v further attempts in the window, %v allowed", extraSum, allowed)
 			}
 			for _, p := range parts {
 				for a := range b.sentTo[p] {
@@ -511,22 +522,22 @@
 	s := testSettings()
 	s.MustSubscribe, s.MaxSubscribeIntervalMs = true, 2000
 	b := newTestbed(t, s, 0, 0)
-	asked := []float64{}
+	subscribedAt := []float64{}
 	for range 2000 {
 		for _, a := range b.actions {
 			if a.Kind == Subscribe && a.Complete {
-				asked = append(asked, b.now)
+				subscribedAt = append(subscribedAt, b.now)
 				b.updateList(ListFailed)
 			}
 		}
 		b.advance(5)
 	}
-	if len(asked) < 5 {
-		t.Fatalf("asked %d times in 10 s of failures", len(asked))
+	if len(subscribedAt) < 5 {
+		t.Fatalf("subscribed %d times in 10 s of failures, want at least 5", len(subscribedAt))
 	}
-	for i := 1; i < len(asked); i++ {
-		if asked[i]-asked[i-1] > s.MaxSubscribeIntervalMs {
-			t.Errorf("silent for %v ms, %v allowed", asked[i]-asked[i-1], s.MaxSubscribeIntervalMs)
+	for i := 1; i < len(subscribedAt); i++ {
+		if subscribedAt[i]-subscribedAt[i-1] > s.MaxSubscribeIntervalMs {
+			t.Errorf("%v ms between two subscriptions, %v allowed", subscribedAt[i]-subscribedAt[i-1], s.MaxSubscribeIntervalMs)
 		}
 	}
 }
@@ -546,7 +557,7 @@
 		b.advance(5)
 	}
 	if b.ends[q] != Answer || b.complete[q] {
-		t.Errorf("ended by %v, whole %v, want a partial answer not marked whole", b.ends[q], b.complete[q])
+		t.Errorf("ended by %v, complete %v, want a partial answer", b.ends[q], b.complete[q])
 	}
 }
 
@@ -561,13 +572,14 @@
 	}
 	b.advance(100)
 	if b.ends[q] != Answer || !b.complete[q] {
-		t.Fatal("the first step was not answered whole")
+		t.Fatal("the first step has no complete answer")
 	}
-	delete(b.ends, q) // it only closed the first step
+	delete(b.ends, q) // it only ended the first step
 	for i := range 2 {
 		b.lastID++
 		b.queryOf[b.lastID] = q
-		b.events = append(b.events, Event{Kind: PartArrived, ID: b.lastID, Number: b.lastNumber, Shard: i, Weight: 0.5, TimeLeftMs: 2900})
+		b.events = append(b.events, Event{Kind: PartArrived, ID: b.lastID, Number: b.lastNumber,
+			Shard: i, Weight: 0.5, TimeLeftMs: 2900})
 	}
 	b.advance(5)
 	if n := b.sendCount(); n != 2 {
@@ -575,36 +587,36 @@
 	}
 	b.endAttempt(b.lastID, 0, OK)
 	b.advance(50)
-	if _, over := b.ends[q]; over {
-		t.Fatal("ended with a part of the second step missing")
+	if _, ended := b.ends[q]; ended {
+		t.Fatal("ended although a part of the second step is missing")
 	}
 	b.endAttempt(b.lastID-1, 0, OK)
 	b.advance(50)
 	if b.ends[q] != Answer || !b.complete[q] {
-		t.Errorf("ended by %v, whole %v, want a whole answer", b.ends[q], b.complete[q])
+		t.Errorf("ended by %v, complete %v, want a complete answer", b.ends[q], b.complete[q])
 	}
 }
 
-// A long run with every kind of outcome leaves nothing behind, and the same
-// events give the same actions.
+// A long run with every kind of outcome must leave no state behind, and the same events must cause the same
+// actions.
 func TestLongRunLeaksNothingAndIsDeterministic(t *testing.T) {
 	run := func() (string, *testbed) {
 		s := testSettings()
 		s.MaxOpen = 200
 		b := newTestbed(t, s, 6, 100)
 		rng := rand.New(rand.NewPCG(5, 5))
-		type flight struct {
+		type pending struct {
 			part uint64
 			a    int
 			at   float64
 		}
-		var air []flight
-		sum := uint64(14695981039346656037)
+		var open []pending
+		hash := uint64(14695981039346656037)
 		for turn := range 20000 {
 			if turn < 19000 && rng.IntN(4) == 0 {
 				b.addQuery(0, 4)
 			}
-			if turn%997 == 0 { // replicas come and go
+			if turn%997 == 0 { // replicas join and leave
 				b.updateList(ListDelta, Member{Addr: Addr(100 + turn)})
 			}
 			if turn%997 == 500 {
@@ -612,87 +624,87 @@
 			}
 			b.advance(5)
 			for _, a := range b.actions {
-				sum = (sum ^ a.ID ^ uint64(a.Addr)<<20 ^ uint64(a.Kind)<<40 ^ math.Float64bits(a.Ms)) * 1099511628211
+				hash = (hash ^ a.ID ^ uint64(a.Addr)<<20 ^ uint64(a.Kind)<<40 ^ math.Float64bits(a.Ms)) * 1099511628211
 				if a.Kind == Send {
-					air = append(air, flight{a.ID, b.attemptCount[a.ID] - 1, b.now + 20 + 200*rng.Float64()})
+					open = append(open, pending{a.ID, b.attemptCount[a.ID] - 1, b.now + 20 + 200*rng.Float64()})
 				}
 			}
-			air = slices.DeleteFunc(air, func(f flight) bool {
+			open = slices.DeleteFunc(open, func(f pending) bool {
 				if f.at > b.now {
 					return false
 				}
-				o := OK
+				outcome := OK
 				if rng.IntN(10) == 0 {
-					o = Outcome(rng.IntN(8))
+					outcome = Outcome(rng.IntN(8))
 				}
-				b.endAttempt(f.part, f.a, o)
+				b.endAttempt(f.part, f.a, outcome)
 				return true
 			})
 		}
 		b.advance(5)
-		return fmt.Sprint(sum), b
+		return fmt.Sprint(hash), b
 	}
-	one, b := run()
-	two, _ := run()
-	if one != two {
-		t.Error("the same events gave other actions")
+	first, b := run()
+	second, _ := run()
+	if first != second {
+		t.Error("the same events caused different actions")
 	}
 	r := b.root
 	if len(r.parts)+len(r.queriesByNumber)+len(r.openQueries) != 0 {
-		t.Errorf("left behind: %d parts, %d numbers, %d open", len(r.parts), len(r.queriesByNumber), len(r.openQueries))
+		t.Errorf("state left behind: %d parts, %d query numbers, %d open queries",
+			len(r.parts), len(r.queriesByNumber), len(r.openQueries))
 	}
 	if n := len(r.replicas); n > 8 {
-		t.Errorf("%d replicas remembered, 6 are listed", n)
+		t.Errorf("%d replicas kept, 6 are listed", n)
 	}
-	for id, k := range b.ends {
-		if k != Answer && k != Refuse {
-			t.Errorf("safe query %d ended by %v", id, k)
+	for id, end := range b.ends {
+		if end != Answer && end != Refuse {
+			t.Errorf("safe query %d ended by %v", id, end)
 		}
 	}
 }
 
-// A part none of whose siblings has answered proves nothing against its
-// replica, one with an answered sibling does.
+// A slow part is evidence against its replica only if another part of its query is answered: otherwise the query
+// may be expensive.
 func TestExpensiveQuerySuspectsNoReplica(t *testing.T) {
-	for _, siblings := range []bool{false, true} {
+	for _, siblingAnswered := range []bool{false, true} {
 		b := newTestbed(t, testSettings(), 8, 100)
 		_, parts := b.addQuery(0, 2)
 		b.advance(0)
 		b.advance(100)
-		if siblings {
+		if siblingAnswered {
 			b.endAttempt(parts[0], 0, OK)
 		}
-		suspects := 0
+		suspectedTurns := 0
 		for range 200 { // one second
 			b.advance(5)
 			for _, rep := range b.root.listedReplicas {
 				if rep.suspected {
-					suspects++
+					suspectedTurns++
 				}
 			}
 		}
-		if (suspects > 0) != siblings {
-			t.Errorf("sibling answered: %v, suspect turns: %d", siblings, suspects)
+		if (suspectedTurns > 0) != siblingAnswered {
+			t.Errorf("other part answered: %v, turns with a suspected replica: %d", siblingAnswered, suspectedTurns)
 		}
 	}
 }
 
-// A drained queue must not go on predicting the wait it once had: nothing
-// would be sent there any more, and so nothing learned.
+// Predictions must not include the wait in a queue that has drained: queries would be refused, and so nothing new
+// would be measured.
 func TestDrainedQueueAdmitsQueries(t *testing.T) {
 	b := newTestbed(t, testSettings(), 2, 100)
 	for _, rep := range b.root.listedReplicas {
-		rep.latency, rep.latencyLoad = 1500, 6 // learned with six parts out; now there are none
+		rep.latency, rep.latencyLoad = 1500, 6 // measured with six parts in flight; now there are none
 	}
 	q, _ := b.addQuery(0, 4)
 	b.advance(5)
-	if _, over := b.ends[q]; over {
-		t.Error("refused although nothing is out at any holder")
+	if _, ended := b.ends[q]; ended {
+		t.Error("refused although no holder has a part in flight")
 	}
 }
 
-// Overload must be met by refusals at arrival with a hint, not by failures at
-// the deadline.
+// Under overload queries must be refused at arrival, with a hint when to retry, rather than fail at the deadline.
 func TestOverloadRefusesAtArrivalWithHint(t *testing.T) {
 	b := newTestbed(t, testSettings(), 2, 100)
 	for _, rep := range b.root.listedReplicas {
@@ -701,11 +713,11 @@
 	q, _ := b.addQuery(0, 4)
 	b.advance(5)
 	if b.ends[q] != Refuse {
-		t.Fatal("taken in although its end is predicted past the aim")
+		t.Fatal("admitted although its end is predicted after the objective")
 	}
 	for _, a := range b.actions {
 		if a.Kind == Refuse && (a.Ms <= 0 || a.Ms > 1000) {
-			t.Errorf("hint of %v ms, want within 0 to 1000", a.Ms)
+			t.Errorf("retry hint of %v ms, want more than 0 and at most 1000", a.Ms)
 		}
 		if a.Kind == Send {
 			t.Error("a part of a refused query was sent")
@@ -713,8 +725,7 @@
 	}
 }
 
-// A single part lost at a replica that goes on answering others is copied,
-// whatever the fork's count.
+// A single part that is lost at a replica which answers other parts must be copied, even if there is no fork.
 func TestLostPartIsCopied(t *testing.T) {
 	b := newTestbed(t, testSettings(), 3, 100)
 	b.root.classes[0].copyFraction = 0 // no fork
@@ -725,7 +736,7 @@
 		b.endAttempt(p, 0, OK)
 	}
 	b.advance(0)
-	for range 30 { // other queries keep every replica heard
+	for range 30 { // other queries keep every replica measured
 		b.root.classes[0].copyFraction = 0
 		_, others := b.addQuery(0, 9)
 		b.advance(0)
@@ -738,13 +749,12 @@
 		}
 		b.advance(0)
 	}
-	if w := b.sentTo[parts[0]]; len(w) != 2 || w[0] == w[1] {
-		t.Errorf("the lost part was sent to %v, want two replicas", w)
+	if sentTo := b.sentTo[parts[0]]; len(sentTo) != 2 || sentTo[0] == sentTo[1] {
+		t.Errorf("the lost part was sent to %v, want two replicas", sentTo)
 	}
 }
 
-// A calm root that never needs a further attempt must not keep count of all it
-// ever took in.
+// A root that never needs a further attempt must not keep the times of all queries and parts that ever arrived.
 func TestArrivalsBeforeWindowAreForgotten(t *testing.T) {
 	b := newTestbed(t, testSettings(), 3, 0)
 	b.root.classes[0].copyFraction = 0
@@ -758,34 +768,34 @@
 		b.root.classes[0].copyFraction = 0
 	}
 	if window := int(defaultRetryWindowMs/20+2) * 5; len(b.root.arrivals) > window {
-		t.Errorf("%d arrivals kept, %d fit the window", len(b.root.arrivals), window)
+		t.Errorf("%d arrivals kept, the window has %d", len(b.root.arrivals), window)
 	}
 }
 
-// A replica that vanishes and is listed again with a new start is cold, also
-// to a root that knew it warm, however little it has out.
+// A replica that is removed and listed again with a new start must count as cold, even if the root knew it warm
+// and it has no parts in flight.
 func TestRelistedReplicaIsCold(t *testing.T) {
 	b := newTestbed(t, testSettings(), 3, 100)
 	b.updateList(ListDelta, Member{Addr: 1, State: Removed})
 	b.advance(5)
 	b.updateList(ListDelta, Member{Addr: 1, State: Ready, ReadyAt: b.now})
-	n := 0
-	for range 20 { // nothing is answered: the load grows everywhere
+	coldSends := 0
+	for range 20 { // without answers the load grows at all replicas
 		_, parts := b.addQuery(0, 4)
 		b.advance(5)
 		for _, p := range parts {
-			if w := b.sentTo[p]; len(w) > 0 && w[0] == 1 {
-				n++
+			if sentTo := b.sentTo[p]; len(sentTo) > 0 && sentTo[0] == 1 {
+				coldSends++
 			}
 		}
 	}
-	if n > 1 {
-		t.Errorf("%d parts sent to a replica just returned, want one in flight at most", n)
+	if coldSends > 1 {
+		t.Errorf("%d parts sent to a replica that has just restarted, want 1 at most", coldSends)
 	}
 }
 
-// Queries that take longer than predicted, for whatever reason, must make later
-// ones be refused in time, and this must fade once nothing more is learned.
+// Once queries take longer than predicted, for whatever reason, later ones must be refused in time. This must
+// decay when there are no new measurements.
 func TestPredictionOverrunRefusesAndDecays(t *testing.T) {
 	b := newTestbed(t, testSettings(), 4, 100)
 	c := &b.root.classes[0]
@@ -793,27 +803,27 @@
 		rep.latency = 600
 	}
 	c.overrun, c.lateRate, c.overrunAt = 3, 0.5, b.now
-	late, _ := b.addQuery(0, 4)
+	first, _ := b.addQuery(0, 4)
 	b.advance(5)
-	if b.ends[late] != Refuse {
-		t.Error("taken in although queries take three times the predicted 600 ms of 1000 ms")
+	if b.ends[first] != Refuse {
+		t.Error("admitted although queries take three times the predicted 600 ms, of 1000 ms")
 	}
 	for _, rep := range b.root.listedReplicas {
 		rep.latency, rep.lastAnswerAt = 600, b.now+20*decayLatencies*b.root.medianLatency
 	}
 	b.advance(20 * decayLatencies * b.root.medianLatency)
-	again, _ := b.addQuery(0, 4)
+	second, _ := b.addQuery(0, 4)
 	b.advance(5)
-	if _, over := b.ends[again]; over {
-		t.Error("still refused long after the last query that took too long")
+	if _, ended := b.ends[second]; ended {
+		t.Error("still refused long after the last query that took longer than predicted")
 	}
 }
 
-// A root that stood still itself must hold neither the age of what was out nor
-// what came meanwhile against replicas, and must not copy for it.
+// After a stall of the root itself, neither the age of open attempts nor answers that waited for the root may count
+// against replicas, and no copies may be sent for them.
 func TestOwnStallBlamesNoReplica(t *testing.T) {
 	b := newTestbed(t, testSettings(), 4, 100)
-	b.addQuery(0, 1) // keeps a timer due
+	b.addQuery(0, 1) // an open query keeps the sweep timer running
 	b.advance(5)
 	_, parts := b.addQuery(0, 4)
 	b.advance(5)
@@ -827,92 +837,92 @@
 	b.advanceWithoutTurns(900)
 	for _, rep := range b.root.listedReplicas {
 		if rep.suspected {
-			t.Errorf("replica %d suspected after the root's own absence", rep.Addr)
+			t.Errorf("replica %d suspected after the root's own stall", rep.Addr)
 		}
 	}
 	if rep := b.root.replicas[b.sentTo[parts[1]][0]]; rep.latency != latency {
-		t.Errorf("latency %v learned from an answer that waited for the root, %v before", rep.latency, latency)
+		t.Errorf("latency %v after an answer that waited for the root, %v before", rep.latency, latency)
 	}
 	if b.sendCount() != 0 {
-		t.Errorf("%d copies after the root's own absence (%d sends before)", b.sendCount(), sends)
+		t.Errorf("%d copies after the root's own stall (%d sends before)", b.sendCount(), sends)
 	}
 }
 
-// Dozens of roots together, busy and quiet ones, must not send a cold replica
-// more than the told fall budget, which the usual load of a replica measures.
+// Dozens of roots together, busy and idle ones, must not send a cold replica more than the configured overload
+// budget, based on the usual load of a replica.
 func TestColdReplicaIsNotOverloadedByManyRoots(t *testing.T) {
-	const roots, warm = 50, 9
+	const roots, warmReplicas = 50, 9
 	s := testSettings()
 	s.Roots = roots
-	perMs, cold := 0.0, 0
+	partsPerMs, coldSends := 0.0, 0
 	for i := range roots {
-		b := newTestbed(t, s, warm, 100)
+		b := newTestbed(t, s, warmReplicas, 100)
 		b.root.rng.Float64()
 		for range i {
-			b.root.rng.Float64() // as another seed would
+			b.root.rng.Float64() // the effect of another seed
 		}
 		b.updateList(ListDelta, Member{Addr: 100, State: Ready, ReadyAt: b.now})
 		b.advance(0)
-		every := 300.0 // quiet roots ask every three seconds, busy ones ten times as often
+		intervalMs := 300.0 // busy roots; idle ones get a query every three seconds
 		if i%5 > 0 {
-			every = 3000
+			intervalMs = 3000
 		}
-		for range int(6000 / every) { // settle the usual rate
-			b.runQuery(every, 100)
+		for range int(6000 / intervalMs) { // establish the usual rate
+			b.runQuery(intervalMs, 100)
 		}
 		b.updateList(ListDelta, Member{Addr: 100, State: Ready, ReadyAt: b.now})
 		b.advance(0)
-		perMs += 4 / every / (warm + 1)
+		partsPerMs += 4 / intervalMs / (warmReplicas + 1)
 		for _, rep := range b.root.listedReplicas {
-			rep.latency = 200 // slow warm ones make the cold one wanted
+			rep.latency = 200 // slow warm replicas make the cold one attractive
 		}
-		for range max(1, int(s.ColdOverloadMs/every)) {
-			for _, a := range b.runQuery(every, 100) {
+		for range max(1, int(s.ColdOverloadMs/intervalMs)) {
+			for _, a := range b.runQuery(intervalMs, 100) {
 				if a == 100 {
-					cold++
+					coldSends++
 				}
 			}
 		}
 	}
-	usual := perMs * s.ColdOverloadMs // what a warm replica gets, so less than what it can serve
-	warmth := s.ColdCapacityShare + (1-s.ColdCapacityShare)*s.ColdOverloadMs/2/s.WarmUpMs
-	if limit := s.ColdOverloadFactor * warmth * usual; float64(cold) > limit || cold == 0 {
-		t.Errorf("%d parts to the cold replica of %.0f usual in the window, want 1 to %.0f", cold, usual, limit)
+	usual := partsPerMs * s.ColdOverloadMs // what a warm replica is sent, which is less than its capacity
+	capacityShare := s.ColdCapacityShare + (1-s.ColdCapacityShare)*s.ColdOverloadMs/2/s.WarmUpMs
+	if limit := s.ColdOverloadFactor * capacityShare * usual; float64(coldSends) > limit || coldSends == 0 {
+		t.Errorf("%d parts sent to the cold replica, where %.0f are usual in the window, want 1 to %.0f", coldSends, usual, limit)
 	}
 }
 
-// played plays one query of four parts, answered after ms, then waits until
-// every has passed, and gives the replicas it was sent to.
-func (b *testbed) runQuery(every, ms float64) (to []Addr) {
+// runQuery runs one query of four parts that are answered after latencyMs, lets the rest of intervalMs pass, and
+// returns the replicas that the parts were sent to.
+func (b *testbed) runQuery(intervalMs, latencyMs float64) (replicas []Addr) {
 	_, parts := b.addQuery(0, 4)
 	b.advance(5)
-	b.advance(ms)
+	b.advance(latencyMs)
 	for _, p := range parts {
 		for a, addr := range b.sentTo[p] {
-			to = append(to, addr)
+			replicas = append(replicas, addr)
 			b.endAttempt(p, a, OK)
 		}
 	}
 	b.advance(5)
-	b.advance(every - ms - 10)
-	return to
+	b.advance(intervalMs - latencyMs - 10)
+	return replicas
 }
 
-// Impatient clients all give a short time: their tries are worth their full
-// worth, but only if predicted within it, not within the aim. What is left of
-// a client's own deadline is told from such a habit by being seen once.
+// Queries of clients that always use a short timeout have their full worth, but are admitted only if predicted
+// within that timeout rather than within the objective. A timeout that occurs once is not such a habit, but the
+// rest of a client's deadline.
 func TestImpatientClientsAreAdmittedOnlyWithinTheirTimeout(t *testing.T) {
-	s := testSettings() // aim 1000, deadline 3000
+	s := testSettings() // objective 1000 ms, deadline 3000 ms
 	c := &class{Class: s.Classes[0]}
 	for i, test := range []struct{ left, want float64 }{
 		{2000, 1000}, {2000, 1000}, {2400, 400}, {300, -1700}, {300, 1000}, {2000, 1000},
 	} {
 		if got := c.objective(&Event{TimeLeftMs: test.left}, s.TickMs); got != test.want {
-			t.Errorf("try %d, given %v ms: aim in %v, want %v", i, test.left, got, test.want)
+			t.Errorf("query %d with a timeout of %v ms: objective of %v ms, want %v", i, test.left, got, test.want)
 		}
 	}
 	b := newTestbed(t, s, 4, 400)
-	impatient := func() uint64 {
+	addImpatientQuery := func() uint64 {
 		q, _ := b.addQuery(0, 4)
 		for i := range b.events {
 			b.events[i].TimeLeftMs = 300
@@ -920,15 +930,15 @@
 		b.advance(5)
 		return q
 	}
-	impatient()
+	addImpatientQuery()
 	b.advance(1000)
-	if q := impatient(); b.ends[q] != Refuse {
-		t.Error("taken in although replicas take 400 ms and the client waits 300")
+	if q := addImpatientQuery(); b.ends[q] != Refuse {
+		t.Error("admitted although replicas take 400 ms and the client waits for 300 ms")
 	}
 }
 
-// A root that has just started knows no usual worth. A first query that is past
-// its aim and earns nothing late must be ended with numbers all the same.
+// A root that has just started knows no mean worth. One of its first queries that is late for its objective, and
+// so worth nothing, must be refused without a NaN.
 func TestWorthlessQueryIsRefusedByNewRoot(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateWorthShare = 0
@@ -941,13 +951,12 @@
 	}
 	b.advance(5)
 	if b.ends[q] != Refuse {
-		t.Error("taken in with nothing to earn")
+		t.Error("admitted although its answer is worth nothing")
 	}
 }
 
-// A slow way to another zone shows at all of its replicas together: they are
-// passed over while nearer ones are free, also those never heard, and what is
-// out there is not held against each of them in turn.
+// A slow link to another zone affects all of its replicas. They must be used only if nearer ones are loaded, also
+// those without a measurement, and must not be suspected one after the other.
 func TestSlowZoneIsDistinguishedFromSlowReplicas(t *testing.T) {
 	s := testSettings()
 	b := newTestbed(t, s, 0, 0)
@@ -957,7 +966,7 @@
 	}
 	b.updateList(ListFull, members...)
 	b.advance(0)
-	for range 60 { // the far zone answers after 1500 ms, the near one after 100
+	for range 60 { // the far zone answers after 1500 ms, the near one after 100 ms
 		_, parts := b.addQuery(0, 4)
 		b.advance(5)
 		for _, ms := range []float64{100, 1400} {
@@ -974,24 +983,26 @@
 	}
 	far, near := b.root.replicas[2], b.root.replicas[1]
 	if b.root.expectedLatency(far) <= b.root.expectedLatency(near) {
-		t.Errorf("far replicas are judged by %v ms, near ones by %v", b.root.expectedLatency(far), b.root.expectedLatency(near))
+		t.Errorf("expected latency %v ms of far replicas, %v ms of near ones",
+			b.root.expectedLatency(far), b.root.expectedLatency(near))
 	}
 	b.root.replicas[4].hasAnswered = false
 	b.advance(20)
-	if unheard := b.root.replicas[4]; unheard.rankLatency <= near.rankLatency {
-		t.Errorf("an unheard far replica counts %v ms, a near one %v", unheard.rankLatency, near.rankLatency)
+	if unmeasured := b.root.replicas[4]; unmeasured.rankLatency <= near.rankLatency {
+		t.Errorf("rank latency %v ms of a far replica without measurements, %v ms of a near one",
+			unmeasured.rankLatency, near.rankLatency)
 	}
 	_, parts := b.addQuery(0, 4)
 	b.advance(5)
 	for _, p := range parts {
 		if addr := b.sentTo[p][0]; int(addr)%2 == 0 {
-			t.Errorf("part sent across the slow way to replica %d", addr)
+			t.Errorf("part sent across the slow link to replica %d", addr)
 		}
 	}
 }
 
-// Calls that are lost one by one end in time-outs at replicas that answer all
-// else: these must not pass for latencies, or the whole fleet looks slow.
+// If single calls are lost, they end by timeouts at replicas that answer all other calls. The timeouts must not
+// count as latencies, or the whole fleet seems slow.
 func TestTimeoutLeavesLatencyUnchanged(t *testing.T) {
 	b := newTestbed(t, testSettings(), 4, 100)
 	_, parts := b.addQuery(0, 4)
@@ -1010,12 +1021,14 @@
 	}
 }
 
-// A part lost in the first of two steps must not cost the query: its partial
-// answer leaves while a second step can still be had before the aim.
+// A part that is lost in the first of two steps must not cost the whole query: its partial answer must be sent
+// while there is time for the second step before the objective.
 func TestPartialFirstStepLeavesTimeForSecond(t *testing.T) {
 	s := testSettings()
 	s.MaxAttempts = 1
-	s.Classes[0] = Class{ObjectiveMs: 1000, DeadlineMs: 3000, Worth: 1, CompleteShare: 1, MinShare: 0.5, PartialWorth: 0.8, SecondStepParts: 2}
+	s.Classes[0] = Class{
+		ObjectiveMs: 1000, DeadlineMs: 3000, Worth: 1, CompleteShare: 1, MinShare: 0.5, PartialWorth: 0.8, SecondStepParts: 2,
+	}
 	b := newTestbed(t, s, 3, 0)
 	q, parts := b.addQuery(0, 4)
 	b.advance(0)
@@ -1025,9 +1038,9 @@
 	}
 	b.advance(0)
 	for i := range 200 {
-		if _, over := b.ends[q]; over {
-			if left := 1000 - 100 - 5*float64(i); left < 100 {
-				t.Errorf("first step answered %.0f ms before the aim, no second step fits", left)
+		if _, ended := b.ends[q]; ended {
+			if leftMs := 1000 - 100 - 5*float64(i); leftMs < 100 {
+				t.Errorf("first step answered %.0f ms before the objective, too late for a second step", leftMs)
 			}
 			break
 		}
@@ -1038,11 +1051,11 @@
 	}
 }
 
-// A partial answer that earns more than a late whole one leaves just before the aim.
+// A partial answer that earns more than a late complete one must be sent just before the objective.
 func TestPartialAnswerAtObjectiveIfLateEarnsLess(t *testing.T) {
-	for _, late := range []float64{0.3, 0.9} {
+	for _, lateWorthShare := range []float64{0.3, 0.9} {
 		s := testSettings()
-		s.Classes[0].MinShare, s.Classes[0].PartialWorth, s.Classes[0].LateWorthShare = 0.5, 0.9, late
+		s.Classes[0].MinShare, s.Classes[0].PartialWorth, s.Classes[0].LateWorthShare = 0.5, 0.9, lateWorthShare
 		b := newTestbed(t, s, 3, 0)
 		q, parts := b.addQuery(0, 4)
 		b.advance(0)
@@ -1051,14 +1064,14 @@
 			b.endAttempt(p, 0, OK)
 		}
 		b.advance(880)
-		if _, over := b.ends[q]; over != (late < 0.9*0.75) {
-			t.Errorf("late share %v: ended at the aim: %v", late, over)
+		if _, ended := b.ends[q]; ended != (lateWorthShare < 0.9*0.75) {
+			t.Errorf("late worth share %v: ended at the objective: %v", lateWorthShare, ended)
 		}
 	}
 }
 
-// A query under whose parts replicas die, none answering, is ended before its
-// further attempts bring down more; one that was answered in part is not.
+// A query that crashes replicas, with none of its parts answered, must be ended before its further attempts crash
+// more. One with an answered part must not be ended.
 func TestQueryThatCrashesReplicasIsEnded(t *testing.T) {
 	b := newTestbed(t, testSettings(), 6, 100)
 	q, parts := b.addQuery(0, 4)
@@ -1066,12 +1079,13 @@
 	b.endAttempt(parts[0], 0, ConnectionLost)
 	b.advance(20)
 	if b.sendCount() > 0 {
-		t.Error("a part under which a replica died is sent on while no sibling has answered")
+		t.Error("a part that may have crashed a replica was sent again although no other part is answered")
 	}
 	b.endAttempt(parts[1], 0, ConnectionLost)
 	b.advance(5)
 	if b.ends[q] != Refuse || b.sendCount() > 0 {
-		t.Errorf("two of four parts killed: ended by %v with %d sends, want a refusal and none", b.ends[q], b.sendCount())
+		t.Errorf("two of four parts crashed replicas: ended by %v with %d sends, want a refusal and none",
+			b.ends[q], b.sendCount())
 	}
 	b = newTestbed(t, testSettings(), 6, 100)
 	q, parts = b.addQuery(0, 1)
@@ -1079,12 +1093,12 @@
 	b.endAttempt(parts[0], 0, ConnectionLost)
 	b.advance(20)
 	if b.attemptCount[parts[0]] != 2 {
-		t.Fatal("the only part was not tried once more")
+		t.Fatal("the only part was not retried once")
 	}
 	b.endAttempt(parts[0], 1, ConnectionLost)
 	b.advance(5)
 	if b.ends[q] != Refuse {
-		t.Error("a part that killed two replicas is kept")
+		t.Error("a query that crashed two replicas was not refused")
 	}
 	b = newTestbed(t, testSettings(), 6, 100)
 	q, parts = b.addQuery(0, 4)
@@ -1093,40 +1107,43 @@
 	b.endAttempt(parts[1], 0, ConnectionLost)
 	b.endAttempt(parts[2], 0, ConnectionLost)
 	b.advance(100)
-	if _, over := b.ends[q]; over || b.attemptCount[parts[1]] < 2 || b.attemptCount[parts[2]] < 2 {
-		t.Error("a query with an answer in was taken for one that kills")
+	if _, ended := b.ends[q]; ended || b.attemptCount[parts[1]] < 2 || b.attemptCount[parts[2]] < 2 {
+		t.Error("a query with an answered part was ended as if it crashed replicas")
 	}
 }
 
-// Refusals must not close the cold gate: with every replica cold, what a root
-// may send follows what it sent before and what comes, not what is left.
+// With every replica cold, what a root may send must follow what it sent before and what arrives. If it followed
+// what is left after refusals, the refusals would reduce it ever further.
 func TestRefusalsDoNotShrinkColdBudget(t *testing.T) {
 	s := testSettings()
 	b := newTestbed(t, s, 4, 100)
 	for range 60 {
-		b.runQuery(300, 100) // 13 parts a second, three a replica
+		b.runQuery(300, 100) // 13 parts per second, three per replica
 	}
-	n := 0
-	for range 5 { // all restart every six seconds, before they are warm
-		var cold []Member
+	coldSends := 0
+	for range 5 { // all replicas restart every six seconds, before they are warm
+		var restarted []Member
 		for i := range 4 {
-			cold = append(cold, Member{Addr: Addr(i + 1), ReadyAt: b.now})
+			restarted = append(restarted, Member{Addr: Addr(i + 1), ReadyAt: b.now})
 		}
-		b.updateList(ListDelta, cold...)
+		b.updateList(ListDelta, restarted...)
 		b.advance(0)
-		n = 0
+		coldSends = 0
 		for range 20 {
-			n += len(b.runQuery(300, 100))
+			coldSends += len(b.runQuery(300, 100))
 		}
 	}
 	usual := 20.0 * 4
-	low, high := coldBudgetShare*s.ColdOverloadFactor*s.ColdCapacityShare*usual, s.ColdOverloadFactor*(s.ColdCapacityShare+0.24)*usual
-	if float64(n) < low || float64(n) > high {
-		t.Errorf("%d parts sent to cold replicas in the last six seconds, want %.0f to %.0f of %.0f usual", n, low, high, usual)
+	least, most := coldBudgetShare*s.ColdOverloadFactor*s.ColdCapacityShare*usual,
+		s.ColdOverloadFactor*(s.ColdCapacityShare+0.24)*usual
+	if float64(coldSends) < least || float64(coldSends) > most {
+		t.Errorf("%d parts sent to cold replicas in the last six seconds, want %.0f to %.0f; %.0f are usual",
+			coldSends, least, most, usual)
 	}
 }
 
-// One old slow answer must not make a root refuse for ever, as it hears no other.
+// A root whose only measurement is one old slow answer must not refuse all queries for ever: it would never get
+// another measurement.
 func TestOldSlowAnswerDoesNotBlockAdmission(t *testing.T) {
 	s := testSettings()
 	b := newTestbed(t, s, 6, 0)
@@ -1137,23 +1154,22 @@
 		b.endAttempt(p, 0, OK)
 	}
 	b.advance(5)
-	taken := 0
+	admitted := 0
 	for range 20 {
 		q, _ := b.addQuery(0, 4)
 		b.advance(5)
-		if _, over := b.ends[q]; !over {
-			taken++
+		if _, ended := b.ends[q]; !ended {
+			admitted++
 		}
 		b.advance(495)
 	}
-	if taken == 0 {
-		t.Error("every query of ten seconds on an idle fleet is refused for one old answer")
+	if admitted == 0 {
+		t.Error("every query of ten seconds on an idle fleet was refused because of one old answer")
 	}
 }
 
-// Nothing of one zone answers: a root that hears from each of its replicas once
-// or twice must not send the parts of a large query there one by one, nor try
-// more than a few when it looks whether the zone is back.
+// No replica of one zone answers. A root that has only one or two outcomes of each must not send it the parts of a
+// large query one by one, and only few trials to see whether the zone is back.
 func TestUnreachableZoneIsUnhealthyAsGroup(t *testing.T) {
 	s := testSettings()
 	s.Cells, s.CellsPerShard, s.Shards = 20, 2, 20
@@ -1162,10 +1178,10 @@
 	for i := range 20 {
 		members = append(members, Member{Addr: Addr(i + 1), Cell: i, Zone: i % 2})
 	}
-	b.root.hasList = false // all long up
+	b.root.hasList = false // all replicas started long ago
 	b.updateList(ListFull, members...)
 	b.advance(0)
-	far := func() (n int) {
+	sendsToFarZone := func() (n int) {
 		_, parts := b.addQuery(0, 20)
 		b.advance(5)
 		for _, p := range parts {
@@ -1177,11 +1193,11 @@
 		for range 3 {
 			for _, p := range parts {
 				if a := len(b.sentTo[p]) - 1; a >= 0 {
-					o := OK
+					outcome := OK
 					if b.sentTo[p][a]%2 == 0 {
-						o = Unreachable
+						outcome = Unreachable
 					}
-					b.endAttempt(p, a, o)
+					b.endAttempt(p, a, outcome)
 				}
 			}
 			b.advance(5)
@@ -1189,47 +1205,47 @@
 		b.advance(50)
 		return n
 	}
-	first, sent := far(), []int{}
+	first, later := sendsToFarZone(), []int{}
 	for range 8 {
-		sent = append(sent, far())
+		later = append(later, sendsToFarZone())
 	}
-	if first < 4 || slices.Max(sent[1:]) > 1 {
-		t.Errorf("%d parts sent to the cut zone at first, then %v, want one at most at a time", first, sent)
+	if first < 4 || slices.Max(later[1:]) > 1 {
+		t.Errorf("%d parts sent to the unreachable zone at first, then %v, want 1 at most at a time", first, later)
 	}
-	b.endAttempt(b.lastID, 0, OK) // of no consequence
+	b.endAttempt(b.lastID, 0, OK) // has no effect
 	if rep := b.root.replicas[2]; !b.root.unhealthy(rep) {
-		t.Error("a replica of the cut zone is not doubted")
+		t.Error("a replica of the unreachable zone counts as healthy")
 	}
 	b.root.recordSuccess(b.root.replicas[4])
 	if rep := b.root.replicas[4]; rep.group.failureRate > groupFailureThreshold {
-		t.Error("the zone is still doubted as one after an answer")
+		t.Error("the zone is still unhealthy as a group after an answer")
 	}
 }
 
-// A query most of whose parts can be had is taken in where a partial answer may
-// be given, though no replica is left for the others; one short of its floor is not.
+// If partial answers are allowed, a query must be admitted although some of its parts have no replica, unless the
+// other parts are fewer than its minimum share.
 func TestQueryWithMinShareAvailableIsAdmitted(t *testing.T) {
 	s := testSettings()
 	s.Cells, s.CellsPerShard, s.Shards = 4, 1, 4
 	s.Classes[0].MinShare, s.Classes[0].PartialWorth = 0.5, 0.8
-	for held, want := range map[int]bool{3: true, 1: false} {
+	for holders, admitted := range map[int]bool{3: true, 1: false} {
 		b := newTestbed(t, s, 0, 0)
 		b.root.hasList = false
 		var members []Member
-		for i := range held {
+		for i := range holders {
 			members = append(members, Member{Addr: Addr(i + 1), Cell: i})
 		}
 		b.updateList(ListFull, members...)
 		b.advance(0)
 		q, _ := b.addQuery(0, 4)
 		b.advance(5)
-		if _, over := b.ends[q]; over == want {
-			t.Errorf("holders for %d of 4 parts: taken in %v, want %v", held, !over, want)
+		if _, ended := b.ends[q]; ended == admitted {
+			t.Errorf("holders for %d of 4 parts: admitted %v, want %v", holders, !ended, admitted)
 		}
 	}
 }
 
-// Only safe parts get a second copy while the first is out.
+// Only parts of safe queries may have two attempts open.
 func TestKeyedPartsGetNoCopy(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].Effect, s.Classes[0].DedupWindowMs = Keyed, 3000
@@ -1241,51 +1257,51 @@
 	}
 	b.advance(800)
 	if b.attemptCount[parts[3]] != 1 {
-		t.Errorf("%d attempts of a keyed part that is still out, want 1", b.attemptCount[parts[3]])
+		t.Errorf("%d attempts of a keyed part that is still open, want 1", b.attemptCount[parts[3]])
 	}
 }
 
-// A retry, and any query while replicas have lately died under parts, sends one
-// part ahead: it brings down one replica where all its parts would many. A sound
-// one is whole after its first answer; patience shorter than the aim is no death.
+// A retry, and any query after recent crashes, must send one part ahead, which crashes one replica where all its
+// parts would crash many. After its first answer the other parts follow. The retry of a client with a timeout
+// shorter than the objective does not indicate a crash.
 func TestOnePartIsSentAheadAfterCrashes(t *testing.T) {
 	b := newTestbed(t, testSettings(), 6, 100)
-	retry := func(left float64) (uint64, []uint64) {
+	addRetry := func(timeLeftMs float64) (uint64, []uint64) {
 		q, parts := b.addQuery(0, 4)
 		for i := range b.events {
-			b.events[i].Retry, b.events[i].TimeLeftMs = true, left
+			b.events[i].Retry, b.events[i].TimeLeftMs = true, timeLeftMs
 		}
 		b.advance(5)
 		return q, parts
 	}
-	q, parts := retry(3000)
+	q, parts := addRetry(3000)
 	if b.sendCount() != 1 {
 		t.Fatalf("%d parts of a retry sent at once, want 1", b.sendCount())
 	}
 	b.endAttempt(parts[0], 0, OK)
 	b.advance(5)
-	if _, over := b.ends[q]; over || b.sendCount() != 3 {
-		t.Errorf("%d parts follow an answer, want 3", b.sendCount())
+	if _, ended := b.ends[q]; ended || b.sendCount() != 3 {
+		t.Errorf("%d parts sent after the first answer, want 3", b.sendCount())
 	}
-	q, parts = retry(3000)
+	q, parts = addRetry(3000)
 	b.endAttempt(parts[0], 0, ConnectionLost)
 	b.advance(5)
 	if b.ends[q] != Refuse || b.sendCount() > 0 {
-		t.Error("a retry that killed a replica again is kept")
+		t.Error("a retry that crashed one more replica was not refused")
 	}
 	if q, _ := b.addQuery(0, 4); q > 0 {
 		if b.advance(5); b.sendCount() != 1 {
-			t.Errorf("%d parts of a query of the class that killed sent at once, want 1", b.sendCount())
+			t.Errorf("%d parts sent at once of a query of the class that crashed replicas, want 1", b.sendCount())
 		}
 	}
 	b = newTestbed(t, testSettings(), 6, 100)
-	if retry(900); b.sendCount() != 4 {
+	if addRetry(900); b.sendCount() != 4 {
 		t.Errorf("%d parts of an impatient client's retry sent at once, want 4", b.sendCount())
 	}
 }
 
-// A replica that answers others but lost a part of one class is passed over by
-// that class alone, and taken again once it answers one of it.
+// A replica that lost a part of one class while it answered others must be avoided by that class only, until it
+// answers a part of it.
 func TestReplicaThatLosesOneClassIsAvoidedByThatClassOnly(t *testing.T) {
 	s := testSettings()
 	s.Classes = append(s.Classes, s.Classes[0])
@@ -1316,13 +1332,13 @@
 	}
 	rep := b.root.replicas[1]
 	if rep.avoidedUntil[0] <= b.now || rep.avoidedUntil[1] != 0 || rep.suspected {
-		t.Fatalf("shunned till %v, suspect %v, want by the first class alone", rep.avoidedUntil, rep.suspected)
+		t.Fatalf("avoided until %v, suspected %v, want avoided by the first class only", rep.avoidedUntil, rep.suspected)
 	}
 	for class, want := range []bool{false, true} {
 		sent := false
 		for range 6 {
 			for _, rep := range b.root.listedReplicas {
-				rep.latency = 60 // alike but for what is shunned
+				rep.latency = 60 // equal except for the avoided class
 			}
 			_, parts := b.addQuery(class, 1)
 			b.advance(5)
@@ -1336,15 +1352,17 @@
 	}
 }
 
-// A replica that fails most parts, but at once, is asked first while the others are loaded: where it serves
-// only what happens to be tried there, they would be overloaded. What may not be repeated is not gambled on,
-// and a fast failure uses up no budget.
+// A replica that fails most parts, but fast, must be tried first while the others are loaded: they would be
+// overloaded if it only served occasional trials. Unsafe parts must not be sent there, and a retry after a fast
+// failure must not use up the retry budget.
 func TestFastFailingReplicaIsTriedFirstUnderLoad(t *testing.T) {
-	for _, load := range []bool{false, true} {
+	for _, loaded := range []bool{false, true} {
 		s := testSettings()
-		s.Classes = append(s.Classes, Class{ObjectiveMs: 1000, DeadlineMs: 3000, Worth: 1, CompleteShare: 1, MinShare: 1, Effect: Unsafe})
+		s.Classes = append(s.Classes, Class{
+			ObjectiveMs: 1000, DeadlineMs: 3000, Worth: 1, CompleteShare: 1, MinShare: 1, Effect: Unsafe,
+		})
 		b := newTestbed(t, s, 2, 20)
-		end := func(p uint64) { // at replica 1 it fails, but for one in eight; at replica 2 it is served
+		finish := func(p uint64) { // fails at replica 1, is served at replica 2
 			for a := 0; a < len(b.sentTo[p]); a++ {
 				if b.sentTo[p][a] == 1 {
 					b.advance(2)
@@ -1359,51 +1377,51 @@
 		for range 60 {
 			if _, parts := b.addQuery(0, 1); true {
 				b.advance(0)
-				end(parts[0])
+				finish(parts[0])
 			}
 		}
 		rep := b.root.replicas[1]
 		if !rep.suspected {
 			t.Fatal("the failing replica is not suspected")
 		}
-		rep.failureRate = 0.85 // as where one in some is served
+		rep.failureRate = 0.85 // as if it served some parts
 		b.advance(3 * trialIntervalLatencies * 20)
-		rep.nextTrialAt = math.Inf(1) // no trial is due: what is sent there is sent for its speed
-		if load {
+		rep.nextTrialAt = math.Inf(1) // no trial is due, so that parts are sent there for its speed only
+		if loaded {
 			for range 8 {
-				b.addQuery(1, 1) // each stays at replica 2
+				b.addQuery(1, 1) // each is sent to replica 2
 			}
 			b.advance(0)
 		}
 		_, safe := b.addQuery(0, 1)
 		_, unsafe := b.addQuery(1, 1)
 		b.advance(0)
-		if want := map[bool]Addr{false: 2, true: 1}[load]; b.sentTo[safe[0]][0] != want {
-			t.Errorf("load %v: the safe part went to replica %d", load, b.sentTo[safe[0]][0])
+		if want := map[bool]Addr{false: 2, true: 1}[loaded]; b.sentTo[safe[0]][0] != want {
+			t.Errorf("load %v: the safe part went to replica %d", loaded, b.sentTo[safe[0]][0])
 		}
 		if b.sentTo[unsafe[0]][0] != 2 {
-			t.Errorf("load %v: the unsafe part went to replica %d", load, b.sentTo[unsafe[0]][0])
+			t.Errorf("load %v: the unsafe part went to replica %d", loaded, b.sentTo[unsafe[0]][0])
 		}
-		if !load {
+		if !loaded {
 			continue
 		}
-		extras := len(b.root.extraAttempts)
+		extraAttempts := len(b.root.extraAttempts)
 		b.advance(2)
 		b.endAttempt(safe[0], 0, Failed)
 		b.advance(0)
 		if len(b.sentTo[safe[0]]) != 2 || b.sentTo[safe[0]][1] != 2 {
-			t.Errorf("after the fast failure the part is at %v", b.sentTo[safe[0]])
+			t.Errorf("after the fast failure the part was sent to %v, want replica 2 next", b.sentTo[safe[0]])
 		}
-		if len(b.root.extraAttempts) != extras {
-			t.Error("a try after a fast failure used up budget")
+		if len(b.root.extraAttempts) != extraAttempts {
+			t.Error("the retry after a fast failure used up retry budget")
 		}
 	}
 }
 
-// Where connections break under replicas that live on, a broken attempt blames neither its query nor, the first
-// time, its replica; a replica that refuses the next attempt has died.
+// If replicas survive the loss of connections, a lost one must not count against its query nor, the first time,
+// against its replica. A replica that refuses the next connection has crashed.
 func TestHarmlessConnectionLossBlamesNoQueryOrReplica(t *testing.T) {
-	for _, dies := range []bool{false, true} {
+	for _, crashes := range []bool{false, true} {
 		b := newTestbed(t, testSettings(), 3, 20)
 		for range 8 {
 			_, parts := b.addQuery(0, 1)
@@ -1416,13 +1434,13 @@
 				b.endAttempt(parts[0], n, OK)
 				b.advance(0)
 			}
-			for range 6 { // others follow: the replica answers, or refuses
+			for range 6 { // other queries follow: the replica answers, or refuses the connection
 				_, next := b.addQuery(0, 2)
 				b.advance(0)
 				b.advance(20)
 				for _, p := range next {
 					for a := 0; a < len(b.sentTo[p]); a++ {
-						if b.root.replicas[b.sentTo[p][a]].connectionLostAt > 0 && dies {
+						if b.root.replicas[b.sentTo[p][a]].connectionLostAt > 0 && crashes {
 							b.endAttempt(p, a, Unreachable)
 						} else {
 							b.endAttempt(p, a, OK)
@@ -1432,23 +1450,23 @@
 				}
 			}
 		}
-		if b.root.connectionLossIsHarmless() == dies {
-			t.Fatalf("dies %v: harmless %v", dies, b.root.connectionLossIsHarmless())
+		if b.root.connectionLossIsHarmless() == crashes {
+			t.Fatalf("replicas crash %v: connection loss harmless %v", crashes, b.root.connectionLossIsHarmless())
 		}
-		if dies {
+		if crashes {
 			continue
 		}
 		if b.now < b.root.cautiousUntil {
-			t.Error("parts still go ahead one by one")
+			t.Error("queries still send one part ahead")
 		}
 		_, parts := b.addQuery(0, 3)
 		b.advance(0)
 		rep := b.root.replicas[b.sentTo[parts[0]][0]]
-		bad := rep.suspicion
+		suspicion := rep.suspicion
 		b.endAttempt(parts[0], 0, ConnectionLost)
 		b.advance(0)
-		if rep.suspicion > bad {
-			t.Error("the replica is blamed")
+		if rep.suspicion > suspicion {
+			t.Error("the lost connection counts against the replica")
 		}
 		if b.attemptCount[parts[0]] != 2 || b.ends[b.queryOf[parts[0]]] != 0 {
 			t.Errorf("the part has %d attempts, its query's end is %v", b.attemptCount[parts[0]], b.ends[b.queryOf[parts[0]]])
@@ -1456,29 +1474,29 @@
 	}
 }
 
-// A query that a replica now in doubt has held up teaches of those that avoid it by
-// its other parts alone, which were as quick as ever.
+// A query that was delayed by a replica which is now suspected must count only with its other parts, which were as
+// fast as usual: later queries avoid that replica.
 func TestSuspectedReplicaDoesNotRaiseOverrun(t *testing.T) {
 	b := newTestbed(t, testSettings(), 3, 20)
-	slip := b.root.classes[0].overrun
+	overrun := b.root.classes[0].overrun
 	_, parts := b.addQuery(0, 3)
 	b.advance(0)
 	b.advance(20)
-	silentOne := parts[0]
+	stuck := parts[0]
 	for _, p := range parts[1:] {
 		b.endAttempt(p, 0, OK)
 	}
-	for len(b.sentTo[silentOne]) < 2 || b.sentTo[silentOne][1] == b.sentTo[silentOne][0] {
+	for len(b.sentTo[stuck]) < 2 || b.sentTo[stuck][1] == b.sentTo[stuck][0] {
 		b.advance(20)
 		if b.now > 3000 {
-			t.Fatal("the part is not rescued")
+			t.Fatal("the part was not copied to another replica")
 		}
 	}
 	b.advance(20)
-	b.endAttempt(silentOne, 1, OK)
-	b.root.replicas[b.sentTo[silentOne][0]].suspected = true
+	b.endAttempt(stuck, 1, OK)
+	b.root.replicas[b.sentTo[stuck][0]].suspected = true
 	b.advance(0)
-	if _, over := b.ends[b.queryOf[silentOne]]; !over || b.root.classes[0].overrun > slip+smoothingFactor*2 {
-		t.Errorf("over %v, slip %v, was %v", over, b.root.classes[0].overrun, slip)
+	if _, ended := b.ends[b.queryOf[stuck]]; !ended || b.root.classes[0].overrun > overrun+smoothingFactor*2 {
+		t.Errorf("ended %v, overrun %v, %v before", ended, b.root.classes[0].overrun, overrun)
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -8,38 +8,40 @@
 	"testing"
 )
 
-// fleet drives many roots as data, each with a seed and a share of the queries
-// of its own, against replicas that are shared by all: what is harmless from one
-// root shows its sum here.
+// fleet simulates many roots, each with its own seed and queries, that share their replicas. It shows the
+// sum of behaviour that is harmless at a single root.
 type fleet struct {
 	t            *testing.T
 	now          float64
 	roots        []*Root
 	queue        eventQueue
 	lastOrder    int
-	respond      func(root int, a Addr) (Outcome, float64) // how an attempt that is sent now ends, and after how long
+	respond      func(root int, a Addr) (Outcome, float64) // outcome of an attempt sent now, and its time in ms
 	sends        []sentAttempt
 	queryEnds    []queryEnd
-	openAttempts []map[uint64][]bool // by root and part: attempts without an outcome
+	openAttempts []map[uint64][]bool // by root and part: whether each attempt has no outcome yet
 	lastID       uint64
-	arrivedAt    map[uint64]float64 // when each query came
+	arrivedAt    map[uint64]float64 // by query
 	rng          *rand.Rand
 }
 
+// sentAttempt records one attempt that a root sent.
 type sentAttempt struct {
 	at      float64
 	root    int
 	to      Addr
-	earlier int // attempts of the part before
+	attempt int // its number, from 0
 }
 
+// queryEnd records how and when a query ended.
 type queryEnd struct {
-	at, took float64
-	root     int
-	kind     ActionKind
-	hint     float64
+	at, took     float64
+	root         int
+	kind         ActionKind
+	retryAfterMs float64
 }
 
+// timedEvent is an event that a root receives at a given time; order breaks ties.
 type timedEvent struct {
 	at    float64
 	order int
@@ -47,6 +49,7 @@
 	event Event
 }
 
+// eventQueue is a heap of events by time.
 type eventQueue []timedEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -62,7 +65,7 @@
 	return x
 }
 
-// large is the settings of a root among many: short aims, few queries each.
+// largeFleetSettings returns the settings of one root among many, with a short objective.
 func largeFleetSettings(roots, cells int) Settings {
 	s := testSettings()
 	s.Roots, s.TickMs, s.Cells, s.Shards = roots, 1, cells, 6*cells
@@ -71,7 +74,7 @@
 	return s
 }
 
-// newFleet starts the roots with the given members on their list.
+// newFleet starts s.Roots roots that have the given list.
 func newFleet(t *testing.T, s Settings, members []Member) *fleet {
 	f := &fleet{t: t, now: 1e6, arrivedAt: map[uint64]float64{}, rng: rand.New(rand.NewPCG(1, 2))}
 	for i := range s.Roots {
@@ -89,19 +92,21 @@
 	heap.Push(&f.queue, e)
 }
 
-// load lets queries of k parts come for ms, each root's so many a second.
+// runLoad simulates the given time with random queries at each root.
 func (f *fleet) runLoad(queriesPerSecond float64, partCount int, ms float64) {
 	f.runLoadAt(f.allRoots(), queriesPerSecond, partCount, ms)
 }
 
-// loadAt does so at some of the roots alone.
+// runLoadAt is runLoad with queries at the given roots only.
 func (f *fleet) runLoadAt(roots []int, queriesPerSecond float64, partCount int, ms float64) {
 	shards := f.roots[0].settings.Shards
 	for _, i := range roots {
-		for at := f.now + f.rng.ExpFloat64()*1000/queriesPerSecond; at < f.now+ms; at += f.rng.ExpFloat64() * 1000 / queriesPerSecond {
+		for at := f.now + f.rng.ExpFloat64()*1000/queriesPerSecond; at < f.now+ms; at += f.rng.ExpFloat64() *
+			1000 / queriesPerSecond {
 			f.lastID++
 			c := f.roots[i].settings.Classes[0]
-			e := Event{Kind: QueryArrived, ID: f.lastID, TimeLeftMs: c.DeadlineMs, Number: float64(f.lastID), Parts: partCount}
+			e := Event{Kind: QueryArrived, ID: f.lastID, TimeLeftMs: c.DeadlineMs,
+				Number: float64(f.lastID), Parts: partCount}
 			f.schedule(timedEvent{at: at, root: i, event: e})
 			for j, shard := range f.rng.Perm(shards)[:partCount] {
 				f.lastID++
@@ -113,7 +118,7 @@
 	f.run(f.now + ms)
 }
 
-// run plays all that happens until then.
+// run simulates all events until the given time.
 func (f *fleet) run(end float64) {
 	for len(f.queue) > 0 && f.queue[0].at < end {
 		f.now = f.queue[0].at
@@ -124,7 +129,7 @@
 				f.arrivedAt[e.ID] = f.now
 			}
 			if e.Kind == AttemptDone {
-				if tries := f.openAttempts[root][e.ID]; e.Attempt >= len(tries) || !tries[e.Attempt] {
+				if attempts := f.openAttempts[root][e.ID]; e.Attempt >= len(attempts) || !attempts[e.Attempt] {
 					continue // it was cancelled before
 				}
 				f.openAttempts[root][e.ID][e.Attempt] = false
@@ -141,19 +146,22 @@
 	f.now = end
 }
 
+// carryOut carries out one action of a root.
 func (f *fleet) carryOut(root int, a Action) {
 	switch a.Kind {
 	case Send:
-		n := len(f.openAttempts[root][a.ID])
+		attempt := len(f.openAttempts[root][a.ID])
 		f.openAttempts[root][a.ID] = append(f.openAttempts[root][a.ID], true)
-		f.sends = append(f.sends, sentAttempt{f.now, root, a.Addr, n})
-		o, after := f.respond(root, a.Addr)
+		f.sends = append(f.sends, sentAttempt{f.now, root, a.Addr, attempt})
+		outcome, after := f.respond(root, a.Addr)
 		if after > a.Ms {
-			o, after = TimedOut, a.Ms
+			outcome, after = TimedOut, a.Ms
 		}
-		f.schedule(timedEvent{at: f.now + after, root: root, event: Event{Kind: AttemptDone, ID: a.ID, Attempt: n, Addr: a.Addr, Outcome: o, ElapsedMs: after}})
+		f.schedule(timedEvent{at: f.now + after, root: root, event: Event{Kind: AttemptDone, ID: a.ID,
+			Attempt: attempt, Addr: a.Addr, Outcome: outcome, ElapsedMs: after}})
 	case Cancel:
-		f.schedule(timedEvent{at: f.now, root: root, event: Event{Kind: AttemptDone, ID: a.ID, Attempt: a.Attempt, Outcome: Cancelled}})
+		f.schedule(timedEvent{at: f.now, root: root, event: Event{Kind: AttemptDone, ID: a.ID,
+			Attempt: a.Attempt, Outcome: Cancelled}})
 	case Timer:
 		f.schedule(timedEvent{at: f.now + a.Ms, root: root, event: Event{Kind: TimerFired, Token: a.Token}})
 	case Answer, Refuse, Abort:
@@ -161,7 +169,7 @@
 	}
 }
 
-// members are n replicas in so many cells, all long warm.
+// warmMembers returns a list of n warm replicas in the given number of cells.
 func warmMembers(n, cells int) (all []Member) {
 	for i := range n {
 		all = append(all, Member{Addr: Addr(i + 1), Cell: i % cells, Zone: i / cells % 2, State: Ready})
@@ -169,17 +177,17 @@
 	return all
 }
 
-// sentTo counts what went to some replicas since a time.
-func (f *fleet) countSends(since float64, which func(Addr) bool) (n int) {
+// countSends counts the attempts sent to matching replicas since the given time.
+func (f *fleet) countSends(since float64, matches func(Addr) bool) (n int) {
 	for _, s := range f.sends {
-		if s.at >= since && which(s.to) {
+		if s.at >= since && matches(s.to) {
 			n++
 		}
 	}
 	return n
 }
 
-// served counts the queries that ended since a time, answered or not.
+// countEnds counts the queries that ended since the given time, answered or not.
 func (f *fleet) countEnds(since float64) (served, lost int) {
 	for _, e := range f.queryEnds {
 		switch {
@@ -193,29 +201,30 @@
 	return served, lost
 }
 
-// late counts the queries that ended since a time and those not answered within the aim.
-func (f *fleet) countLate(since float64) (late, all int) {
+// countLate counts the queries that ended since the given time, and those of them not answered within their
+// objective.
+func (f *fleet) countLate(since float64) (late, total int) {
 	for _, e := range f.queryEnds {
 		if e.at < since {
 			continue
 		}
-		if all++; e.kind != Answer || e.took > f.roots[e.root].settings.Classes[0].ObjectiveMs {
+		if total++; e.kind != Answer || e.took > f.roots[e.root].settings.Classes[0].ObjectiveMs {
 			late++
 		}
 	}
-	return late, all
+	return late, total
 }
 
-// Of eighty roots each hears of a replica every second or two. If a slow one is
-// forgotten in between, or must be met eight times to be known, each root goes on
-// meeting it for as long as it is slow, and of its dozen parts one is always there.
+// Each of 80 roots hears from a given replica every second or two only. If a root forgets in between that a
+// replica is slow, or needs eight answers to notice, nearly every query of a dozen parts meets a slow replica
+// for as long as it is slow.
 func TestSparseMeasurementsOfSlowReplicaAreKept(t *testing.T) {
 	for _, c := range []struct {
-		roots int
-		perS  float64
+		roots            int
+		queriesPerSecond float64
 	}{{80, 3.5}, {3, 93}} {
 		f := newFleet(t, largeFleetSettings(c.roots, 15), warmMembers(60, 15))
-		slow := func(a Addr) bool { return a%8 == 3 } // eight of sixty
+		slow := func(a Addr) bool { return a%8 == 3 } // eight of 60
 		from := f.now + 4000
 		f.respond = func(_ int, a Addr) (Outcome, float64) {
 			ms := 20 * (0.6 + 0.8*f.rng.Float64())
@@ -224,13 +233,13 @@
 			}
 			return OK, ms
 		}
-		f.runLoad(c.perS, 12, 4000)
-		f.runLoad(c.perS, 12, 4000)
+		f.runLoad(c.queriesPerSecond, 12, 4000)
+		f.runLoad(c.queriesPerSecond, 12, 4000)
 		since := f.now
-		f.runLoad(c.perS, 12, 8000)
+		f.runLoad(c.queriesPerSecond, 12, 8000)
 		share := float64(f.countSends(since, slow)) / float64(f.countSends(since, func(Addr) bool { return true }))
 		if share > 0.03 {
-			t.Errorf("%d roots: %.3f of what is sent goes to slow replicas, 0.13 by chance", c.roots, share)
+			t.Errorf("%d roots: share %.3f of the attempts went to slow replicas, 0.13 by chance", c.roots, share)
 		}
 		if late, all := f.countLate(since); late > all/20 {
 			t.Errorf("%d roots: %d of %d queries late", c.roots, late, all)
@@ -238,55 +247,53 @@
 	}
 }
 
-// keep the helpers honest: every attempt gets one outcome and every query one end.
+// The simulator itself must be right: every attempt gets one outcome and every query ends once.
 func TestFleetSimulatorEndsEveryAttemptAndQuery(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(5, 3), warmMembers(12, 3))
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 10 }
 	f.runLoad(20, 6, 2000)
 	f.run(f.now + 3000)
-	queries := 0
+	answers := 0
 	for _, e := range f.queryEnds {
 		if e.kind == Answer {
-			queries++
+			answers++
 		}
 	}
-	if queries < 150 || queries != len(f.queryEnds) {
-		t.Errorf("%d answers, %d ends", queries, len(f.queryEnds))
+	if answers < 150 || answers != len(f.queryEnds) {
+		t.Errorf("%d answers for %d queries that ended, want as many and at least 150", answers, len(f.queryEnds))
 	}
 	for i := range f.openAttempts {
-		for id, tries := range f.openAttempts[i] {
-			if slices.Contains(tries, true) {
-				t.Errorf("root %d: part %d without an outcome", i, id)
+		for id, attempts := range f.openAttempts[i] {
+			if slices.Contains(attempts, true) {
+				t.Errorf("root %d: part %d has an attempt without an outcome", i, id)
 			}
 		}
 	}
 }
 
-// No root has heard of any replica when the day begins, or after a release of
-// all of them. If each took the first of the list then, one in four replicas would
-// get the work of its whole cell.
+// After a start, or a release of all replicas, no root has a measurement of any replica. If each root then
+// chose the first in the list, one of the four replicas of each cell would get all of the cell's work.
 func TestUnmeasuredReplicasShareFirstQueries(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 100 }
 	f.runLoad(3.5, 12, 400)
-	cell := map[int]int{}
-	most := map[int]int{}
+	partsByCell := map[int]int{}
+	mostByCell := map[int]int{}
 	for a := Addr(1); a <= 60; a++ {
 		n := f.countSends(0, func(b Addr) bool { return a == b })
 		c := int(a-1) % 15
-		cell[c] += n
-		most[c] = max(most[c], n)
+		partsByCell[c] += n
+		mostByCell[c] = max(mostByCell[c], n)
 	}
-	for c, n := range cell {
-		if n < 40 || most[c] > n*45/100 {
-			t.Errorf("cell %d: %d of %d first parts went to one of its four replicas", c, most[c], n)
+	for c, n := range partsByCell {
+		if n < 40 || mostByCell[c] > n*45/100 {
+			t.Errorf("cell %d: %d of the first %d parts went to one of its four replicas", c, mostByCell[c], n)
 		}
 	}
 }
 
-// A replica that turns parts away for being full is not dead: a part with no
-// other holder left waits for it within its query's time, instead of spending
-// its three attempts within some milliseconds.
+// A replica that rejects parts because it is full is not down. A part that has no other holder must wait for
+// it within its query's time, rather than use up its three attempts within milliseconds.
 func TestPartsWaitForFullReplicas(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
 	cell := func(a Addr) int { return int(a-1) % 15 }
@@ -294,7 +301,7 @@
 	f.runLoad(3.5, 12, 4000)
 	from := f.now
 	f.respond = func(_ int, a Addr) (Outcome, float64) {
-		if in := int(f.now-from) % 400; cell(a) == 4 && in < 100 { // a quarter of the time, all four of them
+		if in := int(f.now-from) % 400; cell(a) == 4 && in < 100 { // all four replicas, a quarter of the time
 			return Rejected, 1
 		}
 		return OK, 15 + 10*f.rng.Float64()
@@ -307,38 +314,36 @@
 	}
 }
 
-// Both holders of some shards turn all work away, and more than half of all
-// queries need one of those shards. Each root hears of them seldom, so most of
-// these queries are found lost only after they were sent. What their other parts
-// would have taken, half of what the other replicas do, must be left to queries
-// that can be served.
+// Both holders of some shards reject all parts, and more than half of the queries need one of these shards.
+// Each root rarely hears from them, so that most of these queries are found lost only after they were sent.
+// Their other parts would take half of the other replicas' work, which queries that can be served need.
 func TestLostQueriesWasteLittleWork(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(30, 15))
-	bad := func(a Addr) bool { return int(a-1)%15 == 4 }
-	good := func(a Addr) bool { return !bad(a) }
+	rejects := func(a Addr) bool { return int(a-1)%15 == 4 }
+	accepts := func(a Addr) bool { return !rejects(a) }
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
 	f.runLoad(3.5, 12, 4000)
 	f.respond = func(_ int, a Addr) (Outcome, float64) {
-		if bad(a) {
+		if rejects(a) {
 			return Rejected, 1
 		}
 		return OK, 15 + 10*f.rng.Float64()
 	}
-	f.runLoad(3.5, 12, 2000) // each root finds out
+	f.runLoad(3.5, 12, 2000) // until each root has noticed
 	from := f.now
 	f.runLoad(3.5, 12, 4000)
 	f.run(f.now + 1500)
 	served, lost := f.countEnds(from)
-	wasted := f.countSends(from, good) - 12*served
+	wasted := f.countSends(from, accepts) - 12*served
 	if served < 350 || lost < 500 || wasted > 2*lost {
-		t.Errorf("%d queries served, %d lost, for which %d parts went to other replicas", served, lost, wasted)
+		t.Errorf("%d queries served, %d lost, with %d parts sent to other replicas for lost ones", served, lost, wasted)
 	}
 }
 
-// Where a part of the weight is enough for an answer, shards that nobody holds, or
-// whose holders refuse connections, do not keep the rest of a query back.
+// If a class allows partial answers, shards without a holder, or whose holders refuse connections, must not
+// hold back the other parts of a query.
 func TestPartialAnswersDoNotWaitForUnavailableShards(t *testing.T) {
-	for _, listed := range []int{2, 3} { // of three cells: the last has no holder, or a dead one
+	for _, listed := range []int{2, 3} { // of three cells: the last has no holder, or one that is down
 		s := largeFleetSettings(1, 3)
 		s.Classes[0].CompleteShare, s.Classes[0].MinShare, s.Classes[0].PartialWorth = 1, 0.5, 0.9
 		f := newFleet(t, s, warmMembers(3, 3)[:listed])
@@ -356,15 +361,14 @@
 	}
 }
 
-// More comes than the replicas can do, and each of many roots learns of their
-// queues seldom. Taking in what is then answered late serves nobody: of the
-// answers most must come within the aim.
+// The load exceeds the capacity of the replicas, and each of many roots rarely learns about their queues.
+// Admitting queries that are then answered late is useless: most answers must be within the objective.
 func TestFewAnswersAreLateUnderOverload(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
-	free := map[Addr]float64{} // when each replica, one part at a time, is through
+	freeAt := map[Addr]float64{} // when each replica, which serves one part at a time, is free
 	f.respond = func(_ int, a Addr) (Outcome, float64) {
-		free[a] = max(free[a], f.now) + 5 + 15*f.rng.ExpFloat64()
-		return OK, free[a] - f.now + 2
+		freeAt[a] = max(freeAt[a], f.now) + 5 + 15*f.rng.ExpFloat64()
+		return OK, freeAt[a] - f.now + 2
 	}
 	f.runLoad(2, 12, 4000)
 	from := f.now
@@ -372,14 +376,14 @@
 	f.run(f.now + 1500)
 	answered, _ := f.countEnds(from)
 	late, all := f.countLate(from)
-	if in := all - late; answered < 1500 || answered-in > answered/5 {
-		t.Errorf("%d of %d queries answered, %d in time", answered, all, in)
+	if inTime := all - late; answered < 1500 || answered-inTime > answered/5 {
+		t.Errorf("%d of %d queries answered, %d in time", answered, all, inTime)
 	}
 }
 
-// Where every holder of a shard refuses connections, nothing is to be waited
-// for: a query that needs it ends at once with a time to come back, and none of
-// its other parts is sent once that is known. A few trials tell when one is back.
+// If every holder of a shard refuses connections, a query that needs the shard must be refused at once with a
+// hint when to retry, and none of its other parts may be sent once that is known. Few parts may go to the
+// holders, as trials that show when one is back.
 func TestQueriesWithoutLiveReplicaAreRefusedAtOnce(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
 	dead := func(a Addr) bool { return int(a-1)%15 == 4 }
@@ -400,58 +404,59 @@
 		if e.at < from || e.kind == Answer {
 			continue
 		}
-		if refused++; e.took > 150 || e.hint <= 0 {
-			t.Fatalf("refused after %.0f ms with a hint of %.0f ms", e.took, e.hint)
+		if refused++; e.took > 150 || e.retryAfterMs <= 0 {
+			t.Fatalf("query refused after %.0f ms with a retry hint of %.0f ms", e.took, e.retryAfterMs)
 		}
 	}
 	tried, all := f.countSends(from, dead), f.countSends(from, func(Addr) bool { return true })
 	if refused < 500 || tried > 4*80*8/2 {
-		t.Errorf("%d queries refused, %d of %d parts sent to dead replicas", refused, tried, all)
+		t.Errorf("%d queries refused, %d of %d parts sent to replicas that are down", refused, tried, all)
 	}
 }
 
-// A replica comes back cold, and all eighty roots are told at about the same
-// time. What they send it together, each knowing its own share alone, stays
-// within the told budget in every window: so many times what it can do then,
-// reckoned from what a warm replica of its cell is sent.
+// A replica restarts cold, and all 80 roots learn of it at about the same time. Although each root only knows
+// its own traffic, together they must stay within the configured overload budget in every window: a multiple
+// of the replica's capacity at that time, based on what a warm replica of its cell is sent.
 func TestColdReplicaIsNotOverloadedByAllRootsTogether(t *testing.T) {
 	s := largeFleetSettings(80, 15)
 	f := newFleet(t, s, warmMembers(60, 15))
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
 	f.runLoad(3.5, 12, 6000)
 	cold := Addr(5)
-	warm := float64(f.countSends(f.now-4000, func(a Addr) bool { return int(a-1)%15 == 4 })) / 4 / 4000 // a ms, each of four
-	back := f.now
-	m := warmMembers(60, 15)[cold-1]
-	m.ReadyAt = back
+	// The cell has four warm replicas.
+	warmPartsPerMs := float64(f.countSends(f.now-4000, func(a Addr) bool { return int(a-1)%15 == 4 })) / 4 / 4000
+	startedAt := f.now
+	member := warmMembers(60, 15)[cold-1]
+	member.ReadyAt = startedAt
 	for i := range f.roots {
-		f.schedule(timedEvent{at: back + 50*f.rng.Float64(), root: i, event: Event{Kind: ListUpdate, List: ListDelta, Members: []Member{m}}})
+		f.schedule(timedEvent{at: startedAt + 50*f.rng.Float64(), root: i,
+			event: Event{Kind: ListUpdate, List: ListDelta, Members: []Member{member}}})
 	}
 	f.runLoad(3.5, 12, 10000)
-	var at []float64
+	var times []float64
 	for _, x := range f.sends {
-		if x.to == cold && x.at >= back+50 {
-			at = append(at, x.at)
+		if x.to == cold && x.at >= startedAt+50 {
+			times = append(times, x.at)
 		}
 	}
-	if len(at) < 20 {
-		t.Errorf("%d parts in 10 s: the replica never warms", len(at))
+	if len(times) < 20 {
+		t.Errorf("only %d parts in 10 s sent to the cold replica, want at least 20", len(times))
 	}
 	first := 0
-	for last, now := range at {
-		for now-at[first] > s.ColdOverloadMs {
+	for last, now := range times {
+		for now-times[first] > s.ColdOverloadMs {
 			first++
 		}
-		can := warm * (s.ColdCapacityShare + (1-s.ColdCapacityShare)*(at[first]-back)/s.WarmUpMs)
-		if n := float64(last - first + 1); n > s.ColdOverloadFactor*can*s.ColdOverloadMs {
-			t.Fatalf("%v parts within %v ms at %.0f ms, %.0f allowed", n, s.ColdOverloadMs, now-back, s.ColdOverloadFactor*can*s.ColdOverloadMs)
+		capacityPerMs := warmPartsPerMs * (s.ColdCapacityShare + (1-s.ColdCapacityShare)*(times[first]-startedAt)/s.WarmUpMs)
+		if n := float64(last - first + 1); n > s.ColdOverloadFactor*capacityPerMs*s.ColdOverloadMs {
+			t.Fatalf("%v parts in a window of %v ms, %.0f ms after the start, %.0f allowed",
+				n, s.ColdOverloadMs, now-startedAt, s.ColdOverloadFactor*capacityPerMs*s.ColdOverloadMs)
 		}
 	}
 }
 
-// A root that sends little, as it refuses most of what comes, must not rest dead
-// replicas for as long as that little would suggest: once they are back it tries
-// them within twenty aims.
+// A root that refuses most queries sends little. Its interval between trials must not grow with that, or it
+// would ignore replicas that are back for too long: it must try them within 20 objectives.
 func TestIdleRootTriesRecoveredReplicas(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(2, 1), warmMembers(4, 1))
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 20 }
@@ -460,16 +465,16 @@
 	f.runLoad(0.5, 2, 30000)
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 20 }
 	f.runLoad(0.5, 2, 12000)
-	back := f.now
+	from := f.now
 	f.runLoad(0.5, 2, 20000)
-	late, all := f.countLate(back)
+	late, all := f.countLate(from)
 	if all < 10 || late > all/5 {
 		t.Errorf("%d of %d queries late or refused, 12 s after all replicas are back", late, all)
 	}
 }
 
-// BenchmarkQuery is the module's cost of one query of twelve parts, with all its
-// turns and outcomes, at today's number of nodes and at a large fleet's.
+// BenchmarkQuery measures the module's cost of one query of twelve parts, with all its turns and outcomes, for
+// small and large fleets.
 func BenchmarkQuery(b *testing.B) {
 	for _, c := range []struct{ nodes, cells, roots int }{{18, 3, 3}, {60, 15, 80}, {1024, 256, 1024}} {
 		b.Run(fmt.Sprintf("nodes=%d", c.nodes), func(b *testing.B) {
@@ -477,7 +482,7 @@
 			r, now, id := New(s, 1), 1e6, uint64(0)
 			r.Step(now, []Event{{Kind: ListUpdate, List: ListCached, Members: warmMembers(c.nodes, c.cells)}}, nil)
 			var events []Event
-			var acts []Action
+			var actions []Action
 			for b.Loop() {
 				now += 280
 				id++
@@ -487,16 +492,16 @@
 					id++
 					events = append(events, Event{Kind: PartArrived, ID: id, Number: float64(query), Shard: i, Weight: 1.0 / 12})
 				}
-				acts = r.Step(now, events, acts[:0])
+				actions = r.Step(now, events, actions[:0])
 				events = events[:0]
-				for _, a := range acts {
+				for _, a := range actions {
 					if a.Kind == Send {
 						events = append(events, Event{Kind: AttemptDone, ID: a.ID, Addr: a.Addr, Outcome: OK, ElapsedMs: 20})
 					}
 				}
 				now += 20
-				for i := range events { // answers come one by one, each with a turn
-					acts = r.Step(now, events[i:i+1], acts[:0])
+				for i := range events { // each answer arrives in a turn of its own
+					actions = r.Step(now, events[i:i+1], actions[:0])
 					now += 0.5
 				}
 			}
@@ -504,58 +509,59 @@
 	}
 }
 
-// Each connection has a told price: roots that meet a set seldom stay with what they know
-// of it, for half the connections, and together load all nodes alike all the same.
+// With a penalty for new connections, roots that rarely use a cell must stay with the replicas that they know,
+// which takes about half of the connections, and the load must still be spread over all replicas.
 func TestHandshakePenaltyReducesConnections(t *testing.T) {
-	pairs := func(price float64) (made int, most float64) {
+	countConnections := func(penalty float64) (connections int, most float64) {
 		s := largeFleetSettings(40, 15)
-		s.HandshakePenalty = price
+		s.HandshakePenalty = penalty
 		f := newFleet(t, s, warmMembers(60, 15))
 		f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
 		f.runLoad(1, 12, 8000)
-		met, byNode := map[[2]uint64]bool{}, map[Addr]float64{}
+		connected, shareByReplica := map[[2]uint64]bool{}, map[Addr]float64{}
 		for _, x := range f.sends {
-			met[[2]uint64{uint64(x.root), uint64(x.to)}] = true
-			byNode[x.to] += 60 / float64(len(f.sends))
+			connected[[2]uint64{uint64(x.root), uint64(x.to)}] = true
+			shareByReplica[x.to] += 60 / float64(len(f.sends))
 		}
-		for _, share := range byNode {
+		for _, share := range shareByReplica {
 			most = max(most, share)
 		}
-		return len(met), most
+		return len(connected), most
 	}
-	free, _ := pairs(0)
-	priced, most := pairs(0.08)
-	if float64(priced) > 0.7*float64(free) || most > 2 {
-		t.Errorf("%d connections where %d are made at no price; one node got %.2f of its share", priced, free, most)
+	unpenalized, _ := countConnections(0)
+	penalized, most := countConnections(0.08)
+	if float64(penalized) > 0.7*float64(unpenalized) || most > 2 {
+		t.Errorf("%d connections with a penalty, %d without; the busiest replica got %.2f times its share",
+			penalized, unpenalized, most)
 	}
-	t.Logf("%d connections, %d at no price; the most loaded node got %.2f of its share", priced, free, most)
+	t.Logf("%d connections with a penalty, %d without; the busiest replica got %.2f times its share",
+		penalized, unpenalized, most)
 }
 
-// A release changes the list once a node: what each change costs must not grow with
-// nodes times sets.
+// BenchmarkListChange measures one change of the list. A release changes it once per replica, so that the cost
+// of a change must not grow with replicas times cells.
 func BenchmarkListChange(b *testing.B) {
 	for _, c := range []struct{ nodes, cells int }{{60, 15}, {1024, 256}} {
 		for _, kind := range []ListKind{ListDelta, ListFull} {
 			b.Run(fmt.Sprintf("nodes=%d,kind=%d", c.nodes, kind), func(b *testing.B) {
-				r, now, all := New(largeFleetSettings(1024, c.cells), 1), 1e6, warmMembers(c.nodes, c.cells)
-				r.Step(now, []Event{{Kind: ListUpdate, List: ListCached, Members: all}}, nil)
-				news := all
+				r, now, list := New(largeFleetSettings(1024, c.cells), 1), 1e6, warmMembers(c.nodes, c.cells)
+				r.Step(now, []Event{{Kind: ListUpdate, List: ListCached, Members: list}}, nil)
+				update := list
 				if kind == ListDelta {
-					news = all[:1]
+					update = list[:1]
 				}
 				for b.Loop() {
 					now += 20
-					r.Step(now, []Event{{Kind: ListUpdate, List: kind, Members: news}}, nil)
+					r.Step(now, []Event{{Kind: ListUpdate, List: kind, Members: update}}, nil)
 				}
 			})
 		}
 	}
 }
 
-// Three of the four holders of each shard are cut off: connections to them never come
-// up, which each root finds out at each of them. What never ran is no work that a
-// further attempt adds to: it must not use up what the root allows itself, or whole
-// queries are lost for one part.
+// Connections to three of the four holders of each shard fail, and each root must find that out for each of
+// them. A retry after an attempt that never ran adds no work: if it used up the retry budget, whole queries
+// would be lost for one part.
 func TestFailedConnectionsUseNoRetryBudget(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(40, 45), warmMembers(180, 45))
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
@@ -574,9 +580,8 @@
 	}
 }
 
-// A quarter of the replicas fall silent and one answer in twenty gets lost. A part
-// whose attempt and copy both hang at such must not wait there for the end of its
-// query, and lose it, while sound holders of its shard have nothing to do.
+// A quarter of the replicas become silent, and one answer in 20 is lost. A part whose attempt and copy are both
+// stuck at such replicas must not wait for its query's deadline, and lose it, while healthy holders are idle.
 func TestPartStuckTwiceIsSentAgain(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(40, 15), warmMembers(60, 15))
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
@@ -595,19 +600,18 @@
 	}
 }
 
-// One replica in ten is silent, so that each query of many parts meets one that is in
-// doubt, and more comes than the others can do. That queries end late must be learned
-// all the same, from their other parts: else every root goes on taking in what it will
-// answer too late.
+// One replica in ten is silent, so that each query of many parts meets an unhealthy one, and the load exceeds
+// the capacity of the others. The roots must still learn from the other parts that queries are late, or they go
+// on admitting queries that they answer too late.
 func TestLateQueriesAreLearnedDespiteUnhealthyReplicas(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(60, 45), warmMembers(180, 45))
-	free := map[Addr]float64{} // when each replica, one part at a time, is through
+	freeAt := map[Addr]float64{} // when each replica, which serves one part at a time, is free
 	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if a%10 == 0 {
 			return OK, 1e6
 		}
-		free[a] = max(free[a], f.now) + 5 + 15*f.rng.ExpFloat64()
-		return OK, free[a] - f.now + 2
+		freeAt[a] = max(freeAt[a], f.now) + 5 + 15*f.rng.ExpFloat64()
+		return OK, freeAt[a] - f.now + 2
 	}
 	f.runLoad(2, 34, 4000)
 	f.runLoad(4.5, 34, 3000)
@@ -616,23 +620,22 @@
 	f.run(f.now + 1500)
 	answered, _ := f.countEnds(from)
 	late, all := f.countLate(from)
-	in := all - late
-	if answered-in > answered*2/5 {
-		t.Errorf("%d of %d queries answered, %d in time", answered, all, in)
+	inTime := all - late
+	if answered-inTime > answered*2/5 {
+		t.Errorf("%d of %d queries answered, %d in time", answered, all, inTime)
 	}
 }
 
-// All roots have just started, and one holder of each shard is back, cold. What one
-// root has seen answered in its short life is little, but so is that life: together
-// they must send the cold ones what these can do, not a fraction, and stay within the
-// told budget.
+// All roots have just started, and one holder of each shard is cold. Each root has seen few answers, but in a
+// short time: together they must send the cold replicas about what these can serve, not a fraction of it, and
+// stay within the configured overload budget.
 func TestNewRootsSendColdReplicasTheirShare(t *testing.T) {
 	s := largeFleetSettings(120, 15)
-	all := warmMembers(60, 15)
+	list := warmMembers(60, 15)
 	for i := range 15 {
-		all[i].ReadyAt = 1e6
+		list[i].ReadyAt = 1e6
 	}
-	f := newFleet(t, s, all)
+	f := newFleet(t, s, list)
 	f.respond = func(_ int, a Addr) (Outcome, float64) {
 		if a > 15 {
 			return OK, 40 + 40*f.rng.Float64() // busy
@@ -644,23 +647,24 @@
 	f.runLoad(1, 12, 3000)
 	cold := float64(f.countSends(from, func(a Addr) bool { return a <= 15 })) / 15
 	warm := float64(f.countSends(from, func(a Addr) bool { return a > 15 })) / 45
-	least, most := s.ColdCapacityShare+(1-s.ColdCapacityShare)*2000/s.WarmUpMs, s.ColdCapacityShare+(1-s.ColdCapacityShare)*5000/s.WarmUpMs
+	least, most := s.ColdCapacityShare+(1-s.ColdCapacityShare)*2000/s.WarmUpMs,
+		s.ColdCapacityShare+(1-s.ColdCapacityShare)*5000/s.WarmUpMs
 	if cold < 0.8*least*warm || cold > s.ColdOverloadFactor*most*warm {
-		t.Errorf("%.0f parts to a cold replica, %.0f to a warm one, of which it can do %.2f to %.2f", cold, warm, least, most)
+		t.Errorf("%.0f parts sent to a cold replica, %.0f to a warm one; the cold one has a share %.2f to %.2f of its capacity",
+			cold, warm, least, most)
 	}
 }
 
-// Of the two holders of each shard one stands still for a second, then the other. A root
-// among many still doubts the first, which it sends next to nothing, when the second falls
-// silent: a part that hangs there must go to the one in doubt, which may be back, rather
-// than wait for the end of its query and lose it with all its siblings answered.
+// The two holders of a shard stall in turn, one second each. A root among many still considers the first
+// unhealthy, as it sends it hardly anything, when the second stalls. A part that is stuck at the second must be
+// sent to the first, which may have recovered, rather than wait and lose a query with all other parts answered.
 func TestStuckPartIsSentToUnhealthyHolder(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(40, 15), warmMembers(30, 15))
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 15 + 10*f.rng.Float64() }
 	f.runLoad(2, 6, 5000)
-	begin := f.now
+	startedAt := f.now
 	f.respond = func(_ int, a Addr) (Outcome, float64) {
-		if turn := int(f.now-begin) / 1000; (int(a)-1)/15 == turn%2 && int(a-1)%15%5 == 0 {
+		if second := int(f.now-startedAt) / 1000; (int(a)-1)/15 == second%2 && int(a-1)%15%5 == 0 {
 			return OK, 1e6
 		}
 		return OK, 15 + 10*f.rng.Float64()
