--- a/decide/decide.go
+++ b/decide/decide.go
@@ -202,7 +202,7 @@
 	subscribed, hasList                              bool
 }
 
-// New returns a root that has just started.
+// New returns a root that has just started. The seed determines its random choices.
 func New(s Settings, seed uint64) *Root {
 	s.Cells, s.MaxPartsPerCall = max(1, s.Cells), max(1, s.MaxPartsPerCall)
 	r := &Root{
@@ -332,6 +332,7 @@
 	a.failedFast = a.neverRan && e.Outcome != Rejected ||
 		e.Outcome == Failed && r.activeTime()-a.sentActive < r.medianLatency/2
 	rep, c, age := a.replica, &r.classes[p.query.classIndex], r.activeTime()-a.sentActive
+	// OK, Failed and Rejected, the first three outcomes, show that the replica accepts connections.
 	rep.refusedConnection = rep.refusedConnection && e.Outcome > Rejected
 	switch e.Outcome {
 	case OK:
@@ -362,7 +363,7 @@
 	case ConnectionLost:
 		if !r.connectionLossIsHarmless() {
 			p.query.lostParts++
-			if r.crashes.add(r.now); r.crashes.count > 1.5 {
+			if r.crashes.add(r.now); r.crashes.count > 1.5 { // more than one recently
 				r.cautiousUntil = r.now + cautionObjectives*r.shortestObjectiveMs
 			}
 			r.recordFailure(rep)
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -1047,7 +1047,7 @@
 		b.advance(5)
 	}
 	if b.ends[q] != Answer || b.complete[q] {
-		t.Errorf("ended by %v, whole %v, want a partial answer", b.ends[q], b.complete[q])
+		t.Errorf("ended by %v, complete %v, want a partial answer", b.ends[q], b.complete[q])
 	}
 }
 
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -29,11 +29,11 @@
 	}
 	for _, a := range root.Step(80, answers, nil) {
 		if a.Kind == decide.Answer {
-			fmt.Println("answer query", a.ID, "whole:", a.Complete)
+			fmt.Println("answer query", a.ID, "complete:", a.Complete)
 		}
 	}
 	// Output:
 	// send part 11
 	// send part 12
-	// answer query 10 whole: true
+	// answer query 10 complete: true
 }
