--- a/broker/answers.go
+++ b/broker/answers.go
@@ -22,7 +22,7 @@
 		if share := q.answeredShare(); share < floor || share == 0 { // never answer below the class's minimum share
 			break
 		}
-		reply.Verdict, reply.Whole = Served, action.Whole
+		reply.Verdict, reply.Whole = Served, action.Complete
 		for _, p := range q.parts {
 			if p.answered {
 				reply.Values = append(reply.Values, Value{Shard: p.shard, Data: p.value})
@@ -45,7 +45,7 @@
 // reserve that the module holds back at its end.
 func (c *Core) budgetExhausted(q *queryState, now time.Time) bool {
 	budgetMs := float64(q.Budget.Microseconds()) / 1000
-	return now.Sub(q.ArrivedAt) >= durationFromMs(c.opts.Settings.GivenUpAfter(budgetMs))-timerTolerance
+	return now.Sub(q.ArrivedAt) >= durationFromMs(c.opts.Settings.GiveUpAfterMs(budgetMs))-timerTolerance
 }
 
 // shareTolerance is by how much a sum of shares may fall short (a fraction of the whole
@@ -59,7 +59,7 @@
 		return 1 - shareTolerance, 1 - shareTolerance
 	}
 	class := &c.opts.Settings.Classes[q.Class]
-	return class.Need - shareTolerance, class.Floor - shareTolerance
+	return class.CompleteShare - shareTolerance, class.MinShare - shareTolerance
 }
 
 // answeredShare returns the total share of the parts that have been answered.
@@ -122,7 +122,7 @@
 		if c.opts.Settings.Classes[q.Class].Effect == decide.Unsafe && q.mayHaveRun() {
 			reply.Verdict = Expired
 		}
-		c.events = append(c.events, decide.Event{Kind: decide.ClientLeft, ID: q.moduleID})
+		c.events = append(c.events, decide.Event{Kind: decide.ClientDisconnected, ID: q.moduleID})
 		c.removeQuery(q, now)
 		c.sendReply(q, reply, now)
 	}
--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -33,7 +33,7 @@
 	}
 	c.events = append(c.events, decide.Event{
 		Kind: decide.AttemptDone, ID: attempt.part.id, Attempt: attempt.index, Addr: attempt.addr, Outcome: outcome,
-		TookMs: float64(now.Sub(attempt.sentAt).Microseconds()) / 1000,
+		ElapsedMs: float64(now.Sub(attempt.sentAt).Microseconds()) / 1000,
 	})
 }
 
@@ -54,7 +54,7 @@
 	node, q := c.nodes[action.Addr], part.query
 	remaining := q.Budget - now.Sub(q.ArrivedAt)
 	if c.opts.Observer != nil {
-		c.notifyAttemptOpened(attempt, node, action.Doubt, min(remaining, cmp.Or(durationFromMs(action.Ms), remaining)))
+		c.notifyAttemptOpened(attempt, node, action.Unhealthy, min(remaining, cmp.Or(durationFromMs(action.Ms), remaining)))
 	}
 	maxAttempts := c.opts.Settings.MaxAttempts
 	latestStart := c.latestStart(attempt, now.Add(remaining))
@@ -112,7 +112,7 @@
 		case decide.Unsafe:
 			return time.Time{}
 		case decide.Keyed:
-			if windowEnd := earlier.sentAt.Add(durationFromMs(class.WindowMs - c.opts.Settings.TickMs)); windowEnd.Before(queryDeadline) {
+			if windowEnd := earlier.sentAt.Add(durationFromMs(class.DedupWindowMs - c.opts.Settings.TickMs)); windowEnd.Before(queryDeadline) {
 				return windowEnd
 			}
 		}
@@ -146,7 +146,7 @@
 // flushSendBatch hands this turn's attempts to the node client, grouped by node into calls
 // of at most BundleMax parts.
 func (c *Core) flushSendBatch() {
-	maxPerCall := max(1, c.opts.Settings.BundleMax)
+	maxPerCall := max(1, c.opts.Settings.MaxPartsPerCall)
 	pending := slices.DeleteFunc(c.sendBatch, func(a Attempt) bool { // cancelled in the turn that opened it
 		t := c.attempts[a.ID]
 		return t == nil || t.cancelled
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -100,7 +100,7 @@
 	now := time.Now()
 	c := &Core{
 		opts: opts, root: decide.New(opts.Settings, opts.Seed), queue: newInputQueue(opts.Limits.QueueLimit),
-		start: now, startMs: float64(now.UnixMicro()) / 1000, startTimes: startTimeEstimator{warmUp: durationFromMs(opts.Settings.ColdMs)},
+		start: now, startMs: float64(now.UnixMicro()) / 1000, startTimes: startTimeEstimator{warmUp: durationFromMs(opts.Settings.WarmUpMs)},
 		addrByNodeID: map[string]decide.Addr{}, nodes: map[decide.Addr]*nodeState{},
 		queries: map[QueryID]*queryState{}, queriesByRequestID: map[string]*queryState{}, queriesByModuleID: map[uint64]*queryState{},
 		parts: map[uint64]*partState{}, attempts: map[AttemptID]*attemptState{},
@@ -237,7 +237,7 @@
 	case inputClientLeft:
 		if q := c.queries[in.queryID]; q != nil {
 			c.stats.left.Add(1)
-			c.events = append(c.events, decide.Event{Kind: decide.ClientLeft, ID: q.moduleID})
+			c.events = append(c.events, decide.Event{Kind: decide.ClientDisconnected, ID: q.moduleID})
 			c.removeQuery(q, now)
 			if c.opts.Observer != nil {
 				c.opts.Observer.QueryEnded(q.id, &Reply{Verdict: ClientLeft}, now)
@@ -257,7 +257,7 @@
 	case inputProbeOutcome:
 		if addr, ok := c.addrByNodeID[in.nodeID]; ok {
 			c.events = append(c.events, decide.Event{Kind: decide.ProbeDone, Addr: addr, Outcome: in.outcome,
-				TookMs: float64(in.took.Microseconds()) / 1000})
+				ElapsedMs: float64(in.took.Microseconds()) / 1000})
 		}
 	case inputRoster:
 		c.applyRoster(in.roster, now)
@@ -275,7 +275,7 @@
 	case inputLimits:
 		c.opts.Limits = in.limits
 		c.queue.setLimit(in.limits.QueueLimit)
-		c.root.Beside(in.limits.Processes)
+		c.root.SetProcesses(in.limits.Processes)
 	}
 }
 
@@ -316,15 +316,15 @@
 	q.moduleID = c.lastModuleID
 	c.queriesByModuleID[q.moduleID] = q
 	event := decide.Event{
-		Kind: decide.QueryCame, ID: q.moduleID, Class: q.Class, Number: c.lastNumber, Retry: q.Retry,
-		LeftMs: float64(remaining.Microseconds()) / 1000, Parts: len(q.Parts), Hinted: true,
+		Kind: decide.QueryArrived, ID: q.moduleID, Class: q.Class, Number: c.lastNumber, Retry: q.Retry,
+		TimeLeftMs: float64(remaining.Microseconds()) / 1000, Parts: len(q.Parts), HasEstimate: true,
 	}
 	for _, p := range q.Parts {
-		event.WorkMs += p.WorkMs
-		event.Hinted = event.Hinted && p.Hinted
+		event.EstimatedWorkMs += p.WorkMs
+		event.HasEstimate = event.HasEstimate && p.Hinted
 	}
-	if !event.Hinted {
-		event.WorkMs = 0
+	if !event.HasEstimate {
+		event.EstimatedWorkMs = 0
 	}
 	c.events = append(c.events, event)
 	for _, p := range q.Parts {
@@ -332,8 +332,8 @@
 		part := &partState{id: c.lastModuleID, query: q, shard: p.Shard}
 		c.parts[part.id] = part
 		q.parts = append(q.parts, part)
-		event.Kind, event.ID, event.Parts, event.Shard, event.Weight, event.Key = decide.PartCame, part.id, 0, p.Shard, p.Share, p.Route
-		event.WorkMs, event.Hinted = p.WorkMs, p.Hinted
+		event.Kind, event.ID, event.Parts, event.Shard, event.Weight, event.Key = decide.PartArrived, part.id, 0, p.Shard, p.Share, p.Route
+		event.EstimatedWorkMs, event.HasEstimate = p.WorkMs, p.Hinted
 		c.events = append(c.events, event)
 	}
 }
@@ -362,11 +362,11 @@
 	case decide.Log:
 		c.opts.Log.Info().Str("event", "decision").Msg(action.Text)
 		if n := c.nodes[action.Addr]; n != nil && c.opts.Observer != nil {
-			c.opts.Observer.NodeSuspected(n.ID, action.Doubt, now)
+			c.opts.Observer.NodeSuspected(n.ID, action.Unhealthy, now)
 		}
 	case decide.Subscribe:
 		if c.opts.Lister != nil {
-			c.opts.Lister.Subscribe(action.Whole)
+			c.opts.Lister.Subscribe(action.Complete)
 		}
 	case decide.FetchList:
 		if c.opts.Lister != nil {
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -47,9 +47,9 @@
 func newTestCore(maxAttempts int) (*Core, *fakeNodes) {
 	nodes := &fakeNodes{sendCalls: make(chan struct{}, 100)}
 	c := New(Options{Nodes: nodes, Log: zerolog.New(io.Discard), Settings: decide.Settings{
-		Cells: 1, InARow: 1, Shards: 8, TickMs: 5, MaxAttempts: maxAttempts, SecondCopies: true, MayCancel: true, RetryAfter: true,
-		MaxRetryAfterMs: 2000, BundleMax: 1, ColdFrom: 1, FallTimes: 3, FallMs: 2000, DrainMs: 500,
-		Classes: []decide.Class{{AimMs: 1000, DeadlineMs: 2000, Worth: 1, Need: 1, Floor: 1}},
+		Cells: 1, CellsPerShard: 1, Shards: 8, TickMs: 5, MaxAttempts: maxAttempts, AllowCopies: true, AllowCancel: true, SendRetryAfter: true,
+		MaxRetryAfterMs: 2000, MaxPartsPerCall: 1, ColdCapacityShare: 1, ColdOverloadFactor: 3, ColdOverloadMs: 2000, DrainGraceMs: 500,
+		Classes: []decide.Class{{ObjectiveMs: 1000, DeadlineMs: 2000, Worth: 1, CompleteShare: 1, MinShare: 1}},
 	}})
 	c.UpdateRoster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y"}}})
 	return c, nodes
@@ -167,8 +167,8 @@
 	replyCh := make(replyChan, 1)
 	c.queries[1].replier = replyCh
 	part.answered, part.value = true, []byte("1")
-	c.opts.Settings.Classes[0].Floor = 0.5 // an answer of one part is allowed, but not as a whole one
-	c.applyFinalAction(&decide.Action{Kind: decide.Answer, ID: c.queries[1].moduleID, Whole: true}, now)
+	c.opts.Settings.Classes[0].MinShare = 0.5 // an answer of one part is allowed, but not as a whole one
+	c.applyFinalAction(&decide.Action{Kind: decide.Answer, ID: c.queries[1].moduleID, Complete: true}, now)
 	if r := <-replyCh; r.Whole || len(r.Values) != 1 {
 		t.Errorf("an answer that lacks a part is reported as whole: %+v", r)
 	}
@@ -245,7 +245,7 @@
 func TestAttemptsCancelledInTheirOwnTurnAreNotSent(t *testing.T) {
 	for _, cancelled := range [][]int{{0}, {1}, {2}, {0, 1}, {0, 1, 2}} {
 		c, nodes := newTestCore(3)
-		c.opts.Settings.BundleMax = 4
+		c.opts.Settings.MaxPartsPerCall = 4
 		c.runTurn()
 		now := time.Now()
 		want := map[AttemptID]bool{}
@@ -283,17 +283,17 @@
 		wantLatest   time.Duration // after the first attempt; 0: the end of the query's time
 		neverSent    bool
 	}{
-		{decide.Safe, decide.Broken, 0, false},
-		{decide.Keyed, decide.Broken, window - 5*time.Millisecond, false},
+		{decide.Safe, decide.ConnectionLost, 0, false},
+		{decide.Keyed, decide.ConnectionLost, window - 5*time.Millisecond, false},
 		{decide.Keyed, decide.TimedOut, window - 5*time.Millisecond, false},
 		{decide.Keyed, decide.Unreachable, 0, false},
 		{decide.Keyed, decide.Rejected, 0, false},
 		{decide.Unsafe, decide.Rejected, 0, false},
-		{decide.Unsafe, decide.Broken, 0, true},
+		{decide.Unsafe, decide.ConnectionLost, 0, true},
 	} {
 		core, _ := newTestCore(3)
 		class := &core.opts.Settings.Classes[0]
-		class.Effect, class.WindowMs = tc.effect, float64(window.Milliseconds())
+		class.Effect, class.DedupWindowMs = tc.effect, float64(window.Milliseconds())
 		core.runTurn()
 		firstSentAt := time.Now()
 		q := newQuery()
@@ -341,7 +341,7 @@
 	for grace, window := range map[float64]time.Duration{500: maxDrainSendWindow, 1000: maxDrainSendWindow, 100: 50 * time.Millisecond} {
 		c, nodes := newTestCore(3)
 		recorder := &nodeListRecorder{fakeNodes: nodes}
-		c.opts.Nodes, c.opts.Settings.DrainMs = recorder, grace
+		c.opts.Nodes, c.opts.Settings.DrainGraceMs = recorder, grace
 		now := time.Now()
 		c.applyRoster(Roster{Kind: decide.ListFull, Nodes: []Node{{ID: "a", Addr: "x"}, {ID: "b", Addr: "y", State: decide.Draining}}}, now)
 		c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y", State: decide.Draining}}}, now.Add(time.Second))
@@ -452,7 +452,7 @@
 func TestNoAnswerBelowMinimumShare(t *testing.T) {
 	for answered, want := range []Verdict{Failed, Failed, Served} { // answered parts of two
 		c, _ := newTestCore(3)
-		c.opts.Settings.Classes[0].Floor = 0.7
+		c.opts.Settings.Classes[0].MinShare = 0.7
 		c.runTurn()
 		now, got := time.Now(), make(replyChan, 1)
 		c.admitQuery(input{queryID: 1, query: newQuery(), replier: got}, now)
@@ -470,7 +470,7 @@
 // drain that follows a ready entry starts a new send window. A node missing from a full list
 // is gone, but a later delta that contains it is newer and brings it back.
 func TestLastRosterEntryForNodeWins(t *testing.T) {
-	ready, draining, gone := Node{ID: "a", Addr: "x"}, Node{ID: "a", Addr: "x", State: decide.Draining}, Node{ID: "a", Addr: "x", State: decide.Gone}
+	ready, draining, gone := Node{ID: "a", Addr: "x"}, Node{ID: "a", Addr: "x", State: decide.Draining}, Node{ID: "a", Addr: "x", State: decide.Removed}
 	moved := Node{ID: "a", Addr: "z"}
 	c, nodes := newTestCore(3)
 	recorder := &nodeListRecorder{fakeNodes: nodes}
@@ -487,9 +487,9 @@
 		{decide.ListDelta, []Node{draining, ready}, decide.Ready, "x", false},
 		{decide.ListDelta, []Node{ready, draining}, decide.Draining, "x", true},
 		{decide.ListDelta, []Node{gone, ready, draining, moved}, decide.Ready, "z", false},
-		{decide.ListDelta, []Node{moved, gone}, decide.Gone, "", false},
+		{decide.ListDelta, []Node{moved, gone}, decide.Removed, "", false},
 		{decide.ListDelta, []Node{ready}, decide.Ready, "x", false},
-		{decide.ListFull, []Node{{ID: "b", Addr: "y"}}, decide.Gone, "", false},
+		{decide.ListFull, []Node{{ID: "b", Addr: "y"}}, decide.Removed, "", false},
 		{decide.ListDelta, []Node{draining}, decide.Draining, "x", true},
 		{decide.ListFull, []Node{draining, ready}, decide.Ready, "x", false},
 	} {
--- a/broker/counts.go
+++ b/broker/counts.go
@@ -93,11 +93,11 @@
 // countRoster computes the result of RosterCounts.
 func (c *Core) countRoster(now time.Time) (counts RosterCounts) {
 	for addr, n := range c.nodes {
-		if n.State == decide.Gone {
+		if n.State == decide.Removed {
 			continue
 		}
 		counts.Listed++
-		if n.State != decide.Ready || c.root.InDoubt(addr) && now.Sub(n.lastSentAt) > outOfRotationAfter {
+		if n.State != decide.Ready || c.root.Unhealthy(addr) && now.Sub(n.lastSentAt) > outOfRotationAfter {
 			counts.OutOfRotation++
 		}
 	}
--- a/broker/observe_test.go
+++ b/broker/observe_test.go
@@ -141,12 +141,12 @@
 	c.queries[1] = q
 	p := &partState{id: 5, query: q, shard: 3}
 	c.parts[5] = p
-	c.openAttempt(&decide.Action{ID: 5, Addr: 1, Doubt: true}, now)
+	c.openAttempt(&decide.Action{ID: 5, Addr: 1, Unhealthy: true}, now)
 	c.openAttempt(&decide.Action{ID: 5, Addr: 2}, now)
 	c.cancelAttempt(p.attempts[0], now)
 	c.endAttempt(p.attempts[1], decide.Failed, EndedByNode, now, now)
 	c.openAttempt(&decide.Action{ID: 5, Addr: 2}, now)
-	c.executeAction(&decide.Action{Kind: decide.Log, Addr: 2, Doubt: true, Text: "x"}, now)
+	c.executeAction(&decide.Action{Kind: decide.Log, Addr: 2, Unhealthy: true, Text: "x"}, now)
 	want := []string{
 		fmt.Sprintf("opened 1 shard 3 index 0 reason %d", ReasonProbation), fmt.Sprintf("opened 2 shard 3 index 1 reason %d", ReasonCopy), "cancelled 1",
 		fmt.Sprintf("ended 2 %d by 0", decide.Failed), fmt.Sprintf("opened 3 shard 3 index 2 reason %d", ReasonRetry), "suspected b true",
--- a/broker/roster.go
+++ b/broker/roster.go
@@ -28,7 +28,7 @@
 // applyRoster updates the core's list of nodes and passes the changes to the module and the
 // node client.
 func (c *Core) applyRoster(roster Roster, now time.Time) {
-	event := decide.Event{Kind: decide.ListNews, List: roster.Kind}
+	event := decide.Event{Kind: decide.ListUpdate, List: roster.Kind}
 	if roster.Kind == decide.ListFailed {
 		c.events = append(c.events, event)
 		return
@@ -40,7 +40,7 @@
 		}
 		for _, n := range c.nodes {
 			if !listedIDs[n.ID] {
-				n.markUnavailable(decide.Gone, now)
+				n.markUnavailable(decide.Removed, now)
 			}
 		}
 	}
@@ -68,7 +68,7 @@
 	var listedNodes []Node
 	for addr, n := range c.nodes {
 		switch {
-		case n.State != decide.Gone:
+		case n.State != decide.Removed:
 			if n.Latest = (time.Time{}); !n.leftAt.IsZero() {
 				n.Latest = n.leftAt.Add(c.drainSendWindow())
 			}
@@ -87,7 +87,7 @@
 // drainSendWindow returns how long after the announcement of its drain a node may still be
 // sent attempts.
 func (c *Core) drainSendWindow() time.Duration {
-	return min(maxDrainSendWindow, durationFromMs(c.opts.Settings.DrainMs/2))
+	return min(maxDrainSendWindow, durationFromMs(c.opts.Settings.DrainGraceMs/2))
 }
 
 // markUnavailable sets the state Draining or Gone. leftAt keeps the time of the first report.
--- a/config/config.go
+++ b/config/config.go
@@ -374,9 +374,9 @@
 	// commas, but the list of nodes and the clients use the names as written here.
 	c.Zones, c.Kinds = stringList(tree["zones"]), stringList(tree["kinds"])
 	for i := range s.Classes {
-		if s.Classes[i].Fetch > 0 { // the protocol cannot express it: the first answer is the final one
+		if s.Classes[i].SecondStepParts > 0 { // the protocol cannot express it: the first answer is the final one
 			c.Warnings = append(c.Warnings, FieldError{"settings.domain.classFetch", errors.New("second steps are not supported by this protocol, ignored")})
-			s.Classes[i].Fetch = 0
+			s.Classes[i].SecondStepParts = 0
 		}
 		name := ""
 		if all, ok := tree["classes"].([]any); ok && i < len(all) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -187,7 +187,7 @@
 	d.frameNodes = nodeclient.New(nodeclient.Options{
 		Loop: loop, Dialer: dialer, Sink: sink, StreamsPerConn: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
 		ServerIdleTimeout: cfg.ConnIdle, MaxConns: frameConns, Observer: wireObserver,
-		ProbesSupported: cfg.Settings.MayProbe, DisableCancel: !cfg.Settings.MayCancel, Log: log,
+		ProbesSupported: cfg.Settings.AllowProbes, DisableCancel: !cfg.Settings.AllowCancel, Log: log,
 	})
 	d.flightNodes = flightnode.New(flightnode.Options{
 		Sink: sink, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ServerIdleTimeout: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wireObserver, Log: log,
@@ -289,11 +289,11 @@
 func (d *Daemon) watchDiscovery(addr string, version *int64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	brokers := 0
-	if d.cfg.Settings.AskForList {
+	if d.cfg.Settings.MustSubscribe {
 		brokers = d.cfg.Settings.Roots
 	}
 	maxStaleness := maxListStaleness
-	if ms := d.cfg.Settings.AskWithinMs; ms > 0 {
+	if ms := d.cfg.Settings.MaxSubscribeIntervalMs; ms > 0 {
 		maxStaleness = min(maxStaleness, time.Duration(ms*float64(time.Millisecond)))
 	}
 	onAnswer, deliver := d.roster.addSource(cancel)
@@ -403,7 +403,7 @@
 	classes := make([]tracing.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
 		s := &cfg.Settings.Classes[i]
-		classes[i] = tracing.Class{Name: c.Name, Wanted: milliseconds(s.AimMs), Stretch: s.AimStretch, Most: milliseconds(s.DeadlineMs)}
+		classes[i] = tracing.Class{Name: c.Name, Wanted: milliseconds(s.ObjectiveMs), Stretch: s.ObjectiveWorkFactor, Most: milliseconds(s.DeadlineMs)}
 	}
 	return classes
 }
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -132,7 +132,7 @@
 		clear(r.nodes)
 	}
 	for _, n := range update.Nodes {
-		if r.nodes[n.ID] = n; n.State == decide.Gone {
+		if r.nodes[n.ID] = n; n.State == decide.Removed {
 			delete(r.nodes, n.ID)
 		}
 	}
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -179,7 +179,7 @@
 	switch outcome {
 	case decide.OK, decide.Failed, decide.Rejected:
 		c.multiDialer.ReportAnswer(n.id, addr, now)
-	case decide.Broken:
+	case decide.ConnectionLost:
 		c.multiDialer.ReportReset(n.id, addr, now)
 	case decide.TimedOut:
 		c.multiDialer.ReportSilence(n.id, addr, sentAt, now)
@@ -489,7 +489,7 @@
 	case codes.Canceled:
 		return decide.Cancelled
 	case codes.Unavailable, codes.Unknown:
-		return decide.Broken
+		return decide.ConnectionLost
 	}
 	return decide.Failed
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -11,12 +11,12 @@
 // loadFields maps the simulator's name of each value of a load report to that of package
 // decide.
 var loadFields = map[string]string{
-	"outstanding":  decide.LoadHeld,
-	"backlog":      decide.LoadWaiting,
-	"utilization":  decide.LoadBusy,
-	"recent_ms":    decide.LoadTime,
-	"throughput":   decide.LoadRate,
-	"errors_per_s": decide.LoadErrors,
+	"outstanding":  decide.LoadInFlight,
+	"backlog":      decide.LoadQueued,
+	"utilization":  decide.LoadUtilization,
+	"recent_ms":    decide.LoadServiceTime,
+	"throughput":   decide.LoadRequestRate,
+	"errors_per_s": decide.LoadErrorRate,
 }
 
 // settingsReader converts settings, given as text by path, and keeps the first error.
@@ -132,47 +132,47 @@
 	_, hasShare := reader.values["safety.extraPerRequest"]
 	_, hasFloor := reader.values["safety.extraFloor"]
 	s := decide.Settings{
-		Index:           reader.integer("index", 0),
-		Roots:           max(1, reader.integer("balancers", 1)),
-		Zone:            reader.integer("myZone", 0),
-		TickMs:          reader.float("tickMs", 1),
-		AskForList:      reader.choice("discovery", "pushed", "on_request") == 1,
-		OverShareWorth:  reader.float("overShareWorth", 1),
-		WorthByWork:     reader.choice("worthBy", "request", "work") == 1,
-		Cells:           max(1, reader.integer("domain.cells", 1)),
-		InARow:          max(1, reader.integer("domain.inARow", 1)),
-		Shards:          reader.integer("domain.ranges", 0),
-		BundleMax:       max(1, reader.integer("domain.bundleMax", 1)),
-		CallWorkMs:      reader.float("domain.perCallWorkMs", 0),
-		WarmKeys:        reader.boolean("domain.warmKeys"),
-		MaxAttempts:     reader.integer("caps.maxAttempts", 0),
-		MaxOpen:         reader.integer("caps.maxOpen", 0),
-		MaxRetryAfterMs: reader.float("caps.maxRetryAfterMs", 0),
-		RetryAfter:      reader.boolean("caps.retryAfter"),
-		SecondCopies:    reader.boolean("caps.secondCopies"),
-		MayCancel:       reader.boolean("caps.cancel"),
-		MayProbe:        reader.boolean("caps.probes"),
-		MayTell:         reader.boolean("caps.mayTell"),
-		ReportInline:    reader.choice("report.how", "off", "inline", "on_probe") == 1,
-		GraceMs:         reader.float("safety.graceToAnswerMs", 0),
-		AskWithinMs:     reader.float("safety.askWithinMs", 0),
-		DrainMs:         reader.float("safety.drainGraceMs", 0),
-		ColdFrom:        reader.float("safety.coldFrom", 1),
-		ColdMs:          reader.float("safety.coldMs", 0),
-		FallTimes:       reader.float("safety.fallMultiple", 1),
-		FallMs:          reader.float("safety.fallMs", 0),
-		HasBudget:       hasShare || hasFloor,
-		ExtraFloor:      reader.float("safety.extraFloor", 0),
-		ExtraShare:      reader.float("safety.extraPerRequest", 0),
-		ExtraSpanMs:     reader.float("safety.ratioSpanMs", 0),
-		PriceCross:      reader.float("penalties.crossZone", 0),
-		PriceProbe:      reader.float("penalties.probe", 0),
-		PriceHandshake:  reader.float("penalties.handshake", 0),
-		PriceWaste:      reader.float("penalties.waste", 0),
+		Index:                  reader.integer("index", 0),
+		Roots:                  max(1, reader.integer("balancers", 1)),
+		Zone:                   reader.integer("myZone", 0),
+		TickMs:                 reader.float("tickMs", 1),
+		MustSubscribe:          reader.choice("discovery", "pushed", "on_request") == 1,
+		OverShareWorth:         reader.float("overShareWorth", 1),
+		WorthIsPerWork:         reader.choice("worthBy", "request", "work") == 1,
+		Cells:                  max(1, reader.integer("domain.cells", 1)),
+		CellsPerShard:          max(1, reader.integer("domain.inARow", 1)),
+		Shards:                 reader.integer("domain.ranges", 0),
+		MaxPartsPerCall:        max(1, reader.integer("domain.bundleMax", 1)),
+		CallOverheadMs:         reader.float("domain.perCallWorkMs", 0),
+		ReplicasCacheKeys:      reader.boolean("domain.warmKeys"),
+		MaxAttempts:            reader.integer("caps.maxAttempts", 0),
+		MaxOpen:                reader.integer("caps.maxOpen", 0),
+		MaxRetryAfterMs:        reader.float("caps.maxRetryAfterMs", 0),
+		SendRetryAfter:         reader.boolean("caps.retryAfter"),
+		AllowCopies:            reader.boolean("caps.secondCopies"),
+		AllowCancel:            reader.boolean("caps.cancel"),
+		AllowProbes:            reader.boolean("caps.probes"),
+		AllowPeerMessages:      reader.boolean("caps.mayTell"),
+		LoadReportInline:       reader.choice("report.how", "off", "inline", "on_probe") == 1,
+		AnswerGraceMs:          reader.float("safety.graceToAnswerMs", 0),
+		MaxSubscribeIntervalMs: reader.float("safety.askWithinMs", 0),
+		DrainGraceMs:           reader.float("safety.drainGraceMs", 0),
+		ColdCapacityShare:      reader.float("safety.coldFrom", 1),
+		WarmUpMs:               reader.float("safety.coldMs", 0),
+		ColdOverloadFactor:     reader.float("safety.fallMultiple", 1),
+		ColdOverloadMs:         reader.float("safety.fallMs", 0),
+		HasRetryBudget:         hasShare || hasFloor,
+		RetryBudgetFloor:       reader.float("safety.extraFloor", 0),
+		RetryBudgetRatio:       reader.float("safety.extraPerRequest", 0),
+		RetryBudgetWindowMs:    reader.float("safety.ratioSpanMs", 0),
+		CrossZonePenalty:       reader.float("penalties.crossZone", 0),
+		ProbePenalty:           reader.float("penalties.probe", 0),
+		HandshakePenalty:       reader.float("penalties.handshake", 0),
+		WastePenalty:           reader.float("penalties.waste", 0),
 	}
 	if v := reader.values["report.fields"]; v != "" {
 		for _, f := range strings.Split(v, ",") {
-			s.ReportFields = append(s.ReportFields, loadFields[f])
+			s.LoadReportFields = append(s.LoadReportFields, loadFields[f])
 		}
 	}
 	n := reader.count("classes.count")
@@ -183,29 +183,29 @@
 	for i := range n {
 		prefix := fmt.Sprintf("classes.%d.", i)
 		c := decide.Class{
-			AimStretch: reader.float(prefix+"aimStretch", 0),
-			DeadlineMs: reader.float(prefix+"deadlineMs", 0),
-			LateShare:  reader.float(prefix+"lateShare", 0),
-			Worth:      reader.float(prefix+"worth", 1),
-			Effect:     decide.Effect(reader.choice(prefix+"idempotency", "safe", "keyed", "unsafe")),
-			WindowMs:   reader.float(prefix+"windowMs", 0),
-			Stream:     reader.boolean(prefix + "stream"),
-			Need:       needs[i],
-			Floor:      floors[i],
-			Partial:    partials[i],
-			Fetch:      int(fetches[i]),
+			ObjectiveWorkFactor: reader.float(prefix+"aimStretch", 0),
+			DeadlineMs:          reader.float(prefix+"deadlineMs", 0),
+			LateWorthShare:      reader.float(prefix+"lateShare", 0),
+			Worth:               reader.float(prefix+"worth", 1),
+			Effect:              decide.Effect(reader.choice(prefix+"idempotency", "safe", "keyed", "unsafe")),
+			DedupWindowMs:       reader.float(prefix+"windowMs", 0),
+			Stream:              reader.boolean(prefix + "stream"),
+			CompleteShare:       needs[i],
+			MinShare:            floors[i],
+			PartialWorth:        partials[i],
+			SecondStepParts:     int(fetches[i]),
 		}
 		if _, present := reader.values[prefix+"idempotency"]; !present {
 			c.Effect = decide.Unsafe // no setting says that a retry is safe
 		}
-		c.AimMs = reader.float(prefix+"objectiveMs", c.DeadlineMs)
+		c.ObjectiveMs = reader.float(prefix+"objectiveMs", c.DeadlineMs)
 		s.Classes = append(s.Classes, c)
 	}
 	for i := range reader.count("tenants.count") {
 		prefix := fmt.Sprintf("tenants.%d.", i)
 		s.Tenants = append(s.Tenants, decide.Tenant{
-			PerS:  reader.float(prefix+"allowancePerS", 0),
-			Share: reader.float(prefix+"share", 0),
+			QueriesPerSecond: reader.float(prefix+"allowancePerS", 0),
+			Share:            reader.float(prefix+"share", 0),
 		})
 	}
 	return s, reader.err
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -162,7 +162,7 @@
 	case eventHalt:
 		item.Op = OpStop
 	case eventList:
-		event.Kind = decide.ListNews
+		event.Kind = decide.ListUpdate
 		slot := le.Uint16(record[14:])
 		switch record[5] {
 		case 0:
@@ -183,39 +183,39 @@
 			event.Members = d.lists[slot]
 		}
 	case eventCall:
-		event.Kind, event.ID = decide.QueryCame, le.Uint64(record[5:])
+		event.Kind, event.ID = decide.QueryArrived, le.Uint64(record[5:])
 		event.Class, event.Tenant, event.Key = int(record[13]), int(le.Uint16(record[14:])), le.Uint64(record[16:])
-		event.LeftMs, event.WorkMs, event.Number = readFloat64(record[24:]), readFloat64(record[32:]), readFloat32(record[40:])
+		event.TimeLeftMs, event.EstimatedWorkMs, event.Number = readFloat64(record[24:]), readFloat64(record[32:]), readFloat32(record[40:])
 		shard, measure := readFloat32(record[44:]), readFloat32(record[48:])
-		if !(event.LeftMs >= -1e12 && event.LeftMs <= 1e12) || !(shard > -1e9 && shard < 1e9) || !(measure > -1e9 && measure < 1e9) {
+		if !(event.TimeLeftMs >= -1e12 && event.TimeLeftMs <= 1e12) || !(shard > -1e9 && shard < 1e9) || !(measure > -1e9 && measure < 1e9) {
 			return fmt.Errorf("call %d: time left, shard or measure is out of range or not a number", event.ID)
 		}
 		if shard >= 0 {
-			event.Kind, event.Shard, event.Weight = decide.PartCame, int(shard), measure
+			event.Kind, event.Shard, event.Weight = decide.PartArrived, int(shard), measure
 		} else {
 			event.Parts = int(measure)
 		}
-		event.Hinted, event.Retry, event.Write = record[52]&1 != 0, record[52]&2 != 0, record[52]&4 != 0
+		event.HasEstimate, event.Retry, event.Write = record[52]&1 != 0, record[52]&2 != 0, record[52]&4 != 0
 	case eventHeaders:
-		event.Kind, event.ID = decide.StreamBegan, le.Uint64(record[5:])
-		event.Addr, event.Attempt, event.TookMs = readAddr(record[13:]), int(le.Uint16(record[19:])), readFloat64(record[21:])
+		event.Kind, event.ID = decide.StreamStarted, le.Uint64(record[5:])
+		event.Addr, event.Attempt, event.ElapsedMs = readAddr(record[13:]), int(le.Uint16(record[19:])), readFloat64(record[21:])
 	case eventSettled:
-		event.Kind, event.ID, event.TookMs = decide.AttemptDone, le.Uint64(record[5:]), readFloat64(record[13:])
+		event.Kind, event.ID, event.ElapsedMs = decide.AttemptDone, le.Uint64(record[5:]), readFloat64(record[13:])
 		event.Addr, event.Attempt = readAddr(record[22:]), int(le.Uint16(record[28:]))
 		if event.Outcome, err = parseOutcome(le.Uint16(record[30:])); err == nil {
 			event.Load, err = d.appendLoad(record[32:])
 		}
 	case eventHangup:
-		event.Kind, event.ID = decide.ClientLeft, le.Uint64(record[5:])
+		event.Kind, event.ID = decide.ClientDisconnected, le.Uint64(record[5:])
 	case eventWakeup:
 		event.Kind, event.Token = decide.TimerFired, le.Uint64(record[5:])
 	case eventPong:
-		event.Kind, event.Addr, event.TookMs = decide.ProbeDone, readAddr(record[5:]), readFloat64(record[11:])
+		event.Kind, event.Addr, event.ElapsedMs = decide.ProbeDone, readAddr(record[5:]), readFloat64(record[11:])
 		if event.Outcome, err = parseOutcome(le.Uint16(record[19:])); err == nil {
 			event.Load, err = d.appendLoad(record[21:])
 		}
 	case eventMail:
-		event.Kind, event.Peer = decide.PeerSaid, int(le.Uint16(record[5:]))
+		event.Kind, event.Peer = decide.PeerMessage, int(le.Uint16(record[5:]))
 		var text []byte
 		text, err = tailRange(tail, record[7:], 1)
 		event.Text = bytes.Clone(text)
@@ -246,7 +246,7 @@
 		case 1:
 			member.State = decide.Ready
 		case 2:
-			member.State = decide.Gone
+			member.State = decide.Removed
 		case 3:
 			member.State = decide.Draining
 		default:
@@ -272,7 +272,7 @@
 	case 502:
 		return decide.Unreachable, nil
 	case 598:
-		return decide.Broken, nil
+		return decide.ConnectionLost, nil
 	case 499:
 		return decide.Cancelled, nil
 	case 410:
@@ -302,18 +302,18 @@
 
 // actionCodes has the code of each kind of action.
 var actionCodes = [...]byte{
-	decide.Send:      65,
-	decide.Refuse:    66,
-	decide.Abort:     67,
-	decide.Cancel:    68,
-	decide.Timer:     69,
-	decide.Probe:     70,
-	decide.CloseIdle: 71,
-	decide.Tell:      72,
-	decide.Log:       73,
-	decide.Subscribe: 75,
-	decide.FetchList: 76,
-	decide.Answer:    77,
+	decide.Send:        65,
+	decide.Refuse:      66,
+	decide.Abort:       67,
+	decide.Cancel:      68,
+	decide.Timer:       69,
+	decide.Probe:       70,
+	decide.CloseIdle:   71,
+	decide.MessagePeer: 72,
+	decide.Log:         73,
+	decide.Subscribe:   75,
+	decide.FetchList:   76,
+	decide.Answer:      77,
 }
 
 // Add appends an action of a root to the reply.
@@ -338,7 +338,7 @@
 		le.PutUint64(record[13:], a.Token)
 	case decide.Answer:
 		le.PutUint64(record[5:], a.ID)
-		record[13] = boolByte(a.Whole)
+		record[13] = boolByte(a.Complete)
 	case decide.Refuse:
 		le.PutUint64(record[5:], a.ID)
 		le.PutUint64(record[13:], math.Float64bits(a.Ms))
@@ -346,13 +346,13 @@
 		le.PutUint64(record[5:], a.ID)
 	case decide.Probe, decide.CloseIdle:
 		putAddr(record[5:], a.Addr)
-	case decide.Tell:
+	case decide.MessagePeer:
 		le.PutUint32(record[5:], uint32(int32(a.Peer)))
 		e.putText(record[9:], a.Text)
 	case decide.Log:
 		e.putText(record[5:], a.Text)
 	case decide.Subscribe:
-		record[5] = boolByte(a.Whole)
+		record[5] = boolByte(a.Complete)
 	}
 	e.records = append(e.records, record[:]...)
 	e.count++
--- a/nodeclient/client_test.go
+++ b/nodeclient/client_test.go
@@ -156,7 +156,7 @@
 	n.SetResponder(func(call testkit.Part) string {
 		return []string{testkit.Done, testkit.Failed, testkit.Full, testkit.Disconnect, testkit.NeverAnswer}[call.Shard%5]
 	})
-	for id, want := range []decide.Outcome{decide.OK, decide.Failed, decide.Rejected, decide.Broken} {
+	for id, want := range []decide.Outcome{decide.OK, decide.Failed, decide.Rejected, decide.ConnectionLost} {
 		c.send("n", attempt(id))
 		s.expect(t, broker.AttemptID(id), want)
 	}
@@ -185,7 +185,7 @@
 	}
 	n.WaitFor(t, "the new attempt", func() bool { return len(n.Parts()) == 6 })
 	n.ResetConnections()
-	s.expect(t, 15, decide.Broken)
+	s.expect(t, 15, decide.ConnectionLost)
 }
 
 // clientWithBlockedFrame returns the client of a node that reads nothing, with one part
@@ -242,7 +242,7 @@
 		cn := c.nodes["n"].conns[0]
 		c.mu.Unlock()
 		cn.Closed(errno)
-		s.expect(t, broker.AttemptID(i), decide.Broken)
+		s.expect(t, broker.AttemptID(i), decide.ConnectionLost)
 	}
 }
 
@@ -252,7 +252,7 @@
 	_, s, _, _ := clientWithBlockedFrame(t)
 	// Its bytes are not taken by the socket, so the connection is closed.
 	s.expect(t, 2, decide.Unreachable)
-	s.expect(t, 1, decide.Broken)
+	s.expect(t, 1, decide.ConnectionLost)
 }
 
 // A frame that waits for a full socket must not be written once its part may not begin any
@@ -291,7 +291,7 @@
 	if err == nil {
 		t.Errorf("the node got all %d bytes of a cancelled part", got)
 	}
-	s.expect(t, 1, decide.Broken)
+	s.expect(t, 1, decide.ConnectionLost)
 }
 
 // A frame has been taken by the local kernel but not by the node, whose link is down or
@@ -310,7 +310,7 @@
 	if got, err := io.CopyN(io.Discard, peer, int64(len(big.Text))); err == nil {
 		t.Errorf("the node got all %d bytes of a part whose client had left", got)
 	}
-	s.expect(t, 1, decide.Broken)
+	s.expect(t, 1, decide.ConnectionLost)
 }
 
 // Another server may answer at a node's address after another process has got the port: a
@@ -354,7 +354,7 @@
 		}
 		s.mu.Lock()
 		for id, got := range s.outcomes {
-			if got != decide.Failed && got != decide.Broken && got != decide.Cancelled {
+			if got != decide.Failed && got != decide.ConnectionLost && got != decide.Cancelled {
 				t.Errorf("%s, attempt %d: %v", name, id, got)
 			}
 		}
@@ -598,8 +598,8 @@
 		t.Fatalf("%d connections for two parts, want 1", c.connCount())
 	}
 	n.ResetConnections()
-	s.expect(t, 1, decide.Broken)
-	s.expect(t, 2, decide.Broken)
+	s.expect(t, 1, decide.ConnectionLost)
+	s.expect(t, 2, decide.ConnectionLost)
 	send(3)
 	if c.connCount() != 2 {
 		t.Errorf("%d connections after a break, want one for each part", c.connCount())
--- a/reach/outcome.go
+++ b/reach/outcome.go
@@ -40,9 +40,9 @@
 	FailureNoHandshake:       {true, decide.Unreachable},
 	FailureClosedBeforeFrame: {true, decide.Unreachable},
 	FailureClosedMidFrame:    {false, decide.Unreachable},
-	FailureClosedAfterFrame:  {false, decide.Broken},
+	FailureClosedAfterFrame:  {false, decide.ConnectionLost},
 	FailureStreamNotOpened:   {true, decide.Unreachable},
-	FailureStreamEnded:       {false, decide.Broken},
+	FailureStreamEnded:       {false, decide.ConnectionLost},
 	FailureNoAnswer:          {false, decide.TimedOut},
 }
 
