--- a/config/config.go
+++ b/config/config.go
@@ -495,7 +495,7 @@
 		return wrong("flight.listen", "got %q, want a loopback host:port", c.Flight.Listen)
 	}
 	if c.Tracing != nil {
-		if err := c.Tracing.Check(); err != nil {
+		if err := c.Tracing.Validate(); err != nil {
 			if f := (*tracing.FieldError)(nil); errors.As(err, &f) {
 				return &Field{"tracing." + f.Field, f.Err}
 			}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -392,7 +392,7 @@
 	all := make([]tracing.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
 		s := &cfg.Settings.Classes[i]
-		all[i] = tracing.Class{Name: c.Name, Wanted: ms(s.AimMs), Stretch: s.AimStretch, Most: ms(s.DeadlineMs)}
+		all[i] = tracing.Class{Name: c.Name, Objective: ms(s.AimMs), WorkFactor: s.AimStretch, MaxObjective: ms(s.DeadlineMs)}
 	}
 	return all
 }
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -122,7 +122,7 @@
 	root.SetArgs([]string{"trace", "tail", "--addr", d.FlightAddr().String()})
 	tailed := make(chan error, 1)
 	go func() { tailed <- root.ExecuteContext(context.Background()) }()
-	testkit.Eventually(t, "a follower", func() bool { return d.Status().Tracing.Following == 1 })
+	testkit.Eventually(t, "a follower", func() bool { return d.Status().Tracing.Followers == 1 })
 	if err := d.Stop(context.Background()); err != nil { // with the time for its drain used up
 		t.Error(err)
 	}
@@ -156,7 +156,7 @@
 	ask := func(id string, shards ...int) string {
 		return testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: id, Shards: shards, Within: 500 * time.Millisecond}).Kind
 	}
-	testkit.Eventually(t, "a follower", func() bool { return d.Status().Tracing.Following == 1 })
+	testkit.Eventually(t, "a follower", func() bool { return d.Status().Tracing.Followers == 1 })
 	if a, b := ask("fast", 1, 2), ask("slow0", 3, 5); a != "served" || b != "served" {
 		t.Fatalf("%s and %s, want both served", a, b)
 	}
--- a/tracing/export/export_test.go
+++ b/tracing/export/export_test.go
@@ -24,7 +24,7 @@
 	return e
 }
 
-var short = Limits{Queue: 8, Bytes: 1 << 20, Batch: 4, Wait: 5 * time.Millisecond, Back: 10 * time.Millisecond, Most: 40 * time.Millisecond, Longest: time.Minute, Tries: 6}
+var short = Limits{MaxTraces: 8, MaxBytes: 1 << 20, MaxBatch: 4, MaxBatchDelay: 5 * time.Millisecond, InitialBackoff: 10 * time.Millisecond, MaxBackoff: 40 * time.Millisecond, MaxRetryAfter: time.Minute, MaxAttempts: 6}
 
 func trace(i int) *record.Trace {
 	return &record.Trace{ID: record.TraceID{1, byte(i)}, Span: record.SpanID{2, byte(i)}, Came: time.Unix(1_800_000_000, 0),
@@ -38,13 +38,13 @@
 		testkit.Scripted{Do: testkit.Reset}, testkit.Scripted{Status: 429})
 	e := exporter(t, c.Addr, short)
 	for i := range 3 {
-		e.Put(trace(i))
+		e.Enqueue(trace(i))
 	}
 	testkit.Eventually(t, "all spans", func() bool { return len(c.Spans()) == 6 })
 	testkit.Eventually(t, "the answer", func() bool { return e.Counts().Sent == 3 })
 	e.Close(context.Background())
 	got := e.Counts()
-	if got.Sent != 3 || got.Again != 4 || len(got.Dropped) != 0 || c.Requests() != 5 {
+	if got.Sent != 3 || got.Retries != 4 || len(got.Dropped) != 0 || c.Requests() != 5 {
 		t.Errorf("counts %+v after %d requests", got, c.Requests())
 	}
 	seen := map[string]int{}
@@ -61,10 +61,10 @@
 func TestCollectorRefuses(t *testing.T) {
 	c := testkit.NewCollector(t, testkit.Scripted{Status: 400}, testkit.Scripted{Do: testkit.HalfDone})
 	e := exporter(t, c.Addr, short)
-	e.Put(trace(1))
+	e.Enqueue(trace(1))
 	testkit.Eventually(t, "the refusal", func() bool { return e.Counts().Dropped[Refused] == 1 })
-	e.Put(trace(2))
-	e.Put(trace(3))
+	e.Enqueue(trace(2))
+	e.Enqueue(trace(3))
 	testkit.Eventually(t, "the rest", func() bool { n := e.Counts(); return n.Sent+n.Dropped[Rejected] == 2 })
 	e.Close(context.Background())
 	if got := e.Counts(); got.Dropped[Rejected] == 0 {
@@ -75,18 +75,18 @@
 // Without a collector the queue is bounded, Put never waits, and the end comes.
 func TestNoCollector(t *testing.T) {
 	l := short
-	l.Tries = 1000
+	l.MaxAttempts = 1000
 	e := exporter(t, "127.0.0.1:1", l)
 	for i := range 50 {
-		e.Put(trace(i))
+		e.Enqueue(trace(i))
 	}
-	if got := e.Counts(); got.Waiting > l.Queue || got.Dropped[QueueFull] < 50-int64(l.Queue) {
+	if got := e.Counts(); got.Queued > l.MaxTraces || got.Dropped[QueueFull] < 50-int64(l.MaxTraces) {
 		t.Errorf("counts %+v", got)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	e.Close(ctx)
-	if got := e.Counts(); got.Waiting != 0 || got.Dropped[Stopped] == 0 {
+	if got := e.Counts(); got.Queued != 0 || got.Dropped[Stopped] == 0 {
 		t.Errorf("after the end: %+v", got)
 	}
 }
@@ -97,7 +97,7 @@
 		"": 0, "7": 7 * time.Second, "-7": 0, "x": 0, "Sat, 02 Jan 2027 03:04:35 GMT": 30 * time.Second, "Sat, 02 Jan 2027 03:04:00 GMT": 0,
 		"99999999999999999999": 0,
 	} {
-		if got := retryAfter(text, now); got != want {
+		if got := parseRetryAfter(text, now); got != want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
@@ -107,9 +107,9 @@
 // Retry-After is honoured, and each trace is counted exactly once.
 func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{Queue: rapid.IntRange(1, 9).Draw(t, "queue"), Bytes: rapid.IntRange(20, 90).Draw(t, "bytes"), Batch: rapid.IntRange(1, 5).Draw(t, "batch"),
-			Wait: 20, Back: 10, Most: 80, Longest: 100, Tries: rapid.IntRange(1, 4).Draw(t, "tries")}
-		p := NewPlan(l, rapid.Uint64().Draw(t, "seed"))
+		l := Limits{MaxTraces: rapid.IntRange(1, 9).Draw(t, "queue"), MaxBytes: rapid.IntRange(20, 90).Draw(t, "bytes"), MaxBatch: rapid.IntRange(1, 5).Draw(t, "batch"),
+			MaxBatchDelay: 20, InitialBackoff: 10, MaxBackoff: 80, MaxRetryAfter: 100, MaxAttempts: rapid.IntRange(1, 4).Draw(t, "tries")}
+		p := NewScheduler(l, rapid.Uint64().Draw(t, "seed"))
 		now, put, out := time.Duration(0), int64(0), 0
 		notBefore := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
@@ -117,16 +117,16 @@
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
 				put++
-				p.Put(now, rapid.IntRange(1, 30).Draw(t, "size"))
+				p.Enqueue(now, rapid.IntRange(1, 30).Draw(t, "size"))
 			case 1:
-				n, at := p.Next(now)
-				if n > 0 && (out > 0 || n > l.Batch || now < notBefore) {
+				n, at := p.NextBatch(now)
+				if n > 0 && (out > 0 || n > l.MaxBatch || now < notBefore) {
 					t.Fatalf("%d leave at %d, with %d out, none before %d", n, now, out, notBefore)
 				}
-				if n == 0 && at > 0 && (at <= now || at > now+max(l.Wait, l.Longest)) {
+				if n == 0 && at > 0 && (at <= now || at > now+max(l.MaxBatchDelay, l.MaxRetryAfter)) {
 					t.Fatalf("asks to come back at %d, now %d", at, now)
 				}
-				if n == 0 && at == 0 && out == 0 && p.Counts().Waiting > 0 {
+				if n == 0 && at == 0 && out == 0 && p.Counts().Queued > 0 {
 					t.Fatal("traces wait, and nothing will wake them")
 				}
 				out = max(out, n)
@@ -134,23 +134,23 @@
 				if out == 0 {
 					continue
 				}
-				a := Answer(rapid.IntRange(0, 3).Draw(t, "answer"))
+				a := Result(rapid.IntRange(0, 3).Draw(t, "answer"))
 				after := time.Duration(rapid.IntRange(0, 120).Draw(t, "after"))
-				gone := p.Answered(now, a, after, rapid.IntRange(-1, 9).Draw(t, "rejected"))
-				if gone != out && (gone != 0 || a == Accepted || a == Never) {
+				gone := p.Complete(now, a, after, rapid.IntRange(-1, 9).Draw(t, "rejected"))
+				if gone != out && (gone != 0 || a == Accepted || a == PermanentError) {
 					t.Fatalf("%d of %d leave after answer %d", gone, out, a)
 				}
-				if notBefore = 0; a == Busy || a == Lost {
-					notBefore = now + max(l.Back/2, min(after, l.Longest))
+				if notBefore = 0; a == RetryableError || a == NoResponse {
+					notBefore = now + max(l.InitialBackoff/2, min(after, l.MaxRetryAfter))
 				}
 				out = 0
 			}
 			c := p.Counts()
-			sum := c.Sent + int64(c.Waiting)
+			sum := c.Sent + int64(c.Queued)
 			for _, n := range c.Dropped {
 				sum += n
 			}
-			if c.Waiting > l.Queue || c.Bytes > l.Bytes || sum != put {
+			if c.Queued > l.MaxTraces || c.Bytes > l.MaxBytes || sum != put {
 				t.Fatalf("%+v after %d", c, put)
 			}
 		}
--- a/tracing/export/exporter.go
+++ b/tracing/export/exporter.go
@@ -33,47 +33,47 @@
 
 // Exporter owns the queue and the one goroutine that sends.
 type Exporter struct {
-	opts   Options
-	client otlptrace.Client
-	seen   *watcher
-	stop   context.CancelFunc
-	done   sync.WaitGroup
-	wake   chan struct{}
-
-	mu    sync.Mutex
-	plan  *Plan
-	queue []*record.Trace
-	told  Answer // the state of the collector that the log knows
+	opts     Options
+	client   otlptrace.Client
+	recorder *responseRecorder
+	cancel   context.CancelFunc
+	done     sync.WaitGroup
+	wake     chan struct{}
+
+	mu           sync.Mutex
+	scheduler    *Scheduler
+	queue        []*record.Trace
+	loggedResult Result // the state of the collector that the log knows
 }
 
 // watcher keeps what the collector last answered: the library's client tells
 // a failure's kind and Retry-After in words only.
-type watcher struct {
-	next     http.RoundTripper
-	status   atomic.Int64
-	after    atomic.Int64 // nanoseconds
-	rejected atomic.Int64 // spans of an accepted request
+type responseRecorder struct {
+	next          http.RoundTripper
+	status        atomic.Int64
+	retryAfterNs  atomic.Int64 // nanoseconds
+	rejectedSpans atomic.Int64 // spans of an accepted request
 }
 
 // maxAnswer bounds what is read of a collector's answer.
-const maxAnswer = 64 << 10
+const maxResponseBytes = 64 << 10
 
 // RoundTrip implements http.RoundTripper.
-func (w *watcher) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w *responseRecorder) RoundTrip(r *http.Request) (*http.Response, error) {
 	w.status.Store(0)
-	w.after.Store(0)
-	w.rejected.Store(0)
+	w.retryAfterNs.Store(0)
+	w.rejectedSpans.Store(0)
 	res, err := w.next.RoundTrip(r)
 	if err != nil {
 		return nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	_ = res.Body.Close()
 	w.status.Store(int64(res.StatusCode))
-	w.after.Store(int64(retryAfter(res.Header.Get("Retry-After"), time.Now())))
+	w.retryAfterNs.Store(int64(parseRetryAfter(res.Header.Get("Retry-After"), time.Now())))
 	var answer coltracepb.ExportTraceServiceResponse
 	if err == nil && res.Header.Get("Content-Type") == "application/x-protobuf" && proto.Unmarshal(body, &answer) == nil {
-		w.rejected.Store(max(0, answer.GetPartialSuccess().GetRejectedSpans()))
+		w.rejectedSpans.Store(max(0, answer.GetPartialSuccess().GetRejectedSpans()))
 	}
 	res.Body = io.NopCloser(bytes.NewReader(body))
 	return res, nil
@@ -81,7 +81,7 @@
 
 // retryAfter reads the header of RFC 9110, section 10.2.3: seconds, or a date.
 // What cannot be read counts for nothing.
-func retryAfter(text string, now time.Time) time.Duration {
+func parseRetryAfter(text string, now time.Time) time.Duration {
 	if s, err := strconv.ParseUint(text, 10, 31); err == nil {
 		return time.Duration(s) * time.Second
 	}
@@ -92,29 +92,29 @@
 }
 
 // New starts an exporter. The collector need not be there.
-func New(o Options) (*Exporter, error) {
-	w := &watcher{next: &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}}
+func New(opts Options) (*Exporter, error) {
+	recorder := &responseRecorder{next: &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}}
 	client := otlptracehttp.NewClient(
-		otlptracehttp.WithEndpoint(o.Endpoint), otlptracehttp.WithInsecure(), otlptracehttp.WithTimeout(o.Timeout),
+		otlptracehttp.WithEndpoint(opts.Endpoint), otlptracehttp.WithInsecure(), otlptracehttp.WithTimeout(opts.Timeout),
 		otlptracehttp.WithRetry(otlptracehttp.RetryConfig{Enabled: false}), // the plan's to decide
-		otlptracehttp.WithHTTPClient(&http.Client{Transport: w, Timeout: o.Timeout,
+		otlptracehttp.WithHTTPClient(&http.Client{Transport: recorder, Timeout: opts.Timeout,
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}),
 	)
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	if err := client.Start(ctx); err != nil {
-		stop()
+		cancel()
 		return nil, fmt.Errorf("starting the exporter: %w", err)
 	}
-	e := &Exporter{opts: o, client: client, seen: w, stop: stop, wake: make(chan struct{}, 1), plan: NewPlan(o.Limits, o.Seed)}
+	e := &Exporter{opts: opts, client: client, recorder: recorder, cancel: cancel, wake: make(chan struct{}, 1), scheduler: NewScheduler(opts.Limits, opts.Seed)}
 	e.done.Add(1)
 	go e.run(ctx)
 	return e, nil
 }
 
 // Put queues a trace, which must not change any more. It never blocks.
-func (e *Exporter) Put(t *record.Trace) {
+func (e *Exporter) Enqueue(t *record.Trace) {
 	e.mu.Lock()
-	if e.plan.Put(e.opts.Now(), t.Size()) {
+	if e.scheduler.Enqueue(e.opts.Now(), t.Size()) {
 		e.queue = append(e.queue, t)
 	}
 	e.mu.Unlock()
@@ -128,24 +128,24 @@
 func (e *Exporter) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.plan.Counts()
+	return e.scheduler.Counts()
 }
 
 // Close gives what waits a last request, within ctx, and ends the goroutine.
 func (e *Exporter) Close(ctx context.Context) {
-	e.stop()
+	e.cancel()
 	e.done.Wait()
 	e.mu.Lock()
-	e.plan.until = 0
-	e.plan.limits.Wait = 0
+	e.scheduler.notBefore = 0
+	e.scheduler.limits.MaxBatchDelay = 0
 	e.mu.Unlock()
 	for ctx.Err() == nil {
-		if sent, _ := e.once(ctx); !sent {
+		if sent, _ := e.sendBatch(ctx); !sent {
 			break
 		}
 	}
 	e.mu.Lock()
-	e.plan.Stop()
+	e.scheduler.Stop()
 	e.queue = nil
 	e.mu.Unlock()
 	_ = e.client.Stop(ctx) // it holds nothing by now
@@ -163,12 +163,12 @@
 		case <-timer.C:
 		}
 		for ctx.Err() == nil {
-			sent, at := e.once(ctx)
+			sent, retryAt := e.sendBatch(ctx)
 			if sent {
 				continue
 			}
-			if at > 0 {
-				timer.Reset(max(0, at-e.opts.Now()))
+			if retryAt > 0 {
+				timer.Reset(max(0, retryAt-e.opts.Now()))
 			}
 			break
 		}
@@ -177,45 +177,45 @@
 
 // once sends a batch if one is due; else at is when one may be, 0 for not
 // before a trace comes.
-func (e *Exporter) once(ctx context.Context) (sent bool, at time.Duration) {
+func (e *Exporter) sendBatch(ctx context.Context) (sent bool, retryAt time.Duration) {
 	e.mu.Lock()
-	n, at := e.plan.Next(e.opts.Now())
+	n, retryAt := e.scheduler.NextBatch(e.opts.Now())
 	batch := append([]*record.Trace(nil), e.queue[:n]...)
 	e.mu.Unlock()
 	if n == 0 {
-		return false, at
+		return false, retryAt
 	}
 	spans := Spans(e.opts.Broker, batch)
 	err := e.client.UploadTraces(ctx, spans)
-	answer, after, rejected := e.classify(len(spans[0].ScopeSpans[0].Spans), n)
+	result, retryAfter, rejected := e.classify(len(spans[0].ScopeSpans[0].Spans), n)
 	e.mu.Lock()
-	gone := e.plan.Answered(e.opts.Now(), answer, after, rejected)
-	e.queue = append(e.queue[:0:0], e.queue[gone:]...)
-	changed := answer != e.told
-	e.told = answer
+	removed := e.scheduler.Complete(e.opts.Now(), result, retryAfter, rejected)
+	e.queue = append(e.queue[:0:0], e.queue[removed:]...)
+	changed := result != e.loggedResult
+	e.loggedResult = result
 	e.mu.Unlock()
-	if changed && answer == Accepted {
+	if changed && result == Accepted {
 		e.opts.Log.Info().Str("event", "trace-export").Str("endpoint", e.opts.Endpoint).Msg("the collector takes traces again")
 	} else if changed {
-		e.opts.Log.Warn().Str("event", "trace-export").Str("endpoint", e.opts.Endpoint).Int64("status", e.seen.status.Load()).
-			Dur("retry_after", after).Err(err).Msg("the collector did not take traces; they wait, and beyond the queue are dropped")
+		e.opts.Log.Warn().Str("event", "trace-export").Str("endpoint", e.opts.Endpoint).Int64("status", e.recorder.status.Load()).
+			Dur("retry_after", retryAfter).Err(err).Msg("the collector did not take traces; they wait, and beyond the queue are dropped")
 	}
 	return true, 0
 }
 
 // classify reads the last answer as the protocol's page says (OTLP 1.x, section
 // "OTLP/HTTP Response").
-func (e *Exporter) classify(spans, traces int) (a Answer, after time.Duration, rejected int) {
-	switch status := e.seen.status.Load(); {
+func (e *Exporter) classify(spans, traces int) (result Result, retryAfter time.Duration, rejected int) {
+	switch status := e.recorder.status.Load(); {
 	case status == 0:
-		return Lost, 0, 0
+		return NoResponse, 0, 0
 	case status >= 200 && status < 300:
 		// The collector counts spans; as traces that is an estimate, rounded up.
-		n := min(int(e.seen.rejected.Load()), spans)
+		n := min(int(e.recorder.rejectedSpans.Load()), spans)
 		return Accepted, 0, (n*traces + spans - 1) / max(1, spans)
 	case status == http.StatusTooManyRequests || status == http.StatusBadGateway ||
 		status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout:
-		return Busy, time.Duration(e.seen.after.Load()), 0
+		return RetryableError, time.Duration(e.recorder.retryAfterNs.Load()), 0
 	}
-	return Never, 0, 0
+	return PermanentError, 0, 0
 }
--- a/tracing/export/otlp.go
+++ b/tracing/export/otlp.go
@@ -13,22 +13,22 @@
 	"onyxsail/tracing/record"
 )
 
-const scopeName = "gannetchute"
+const serviceName = "gannetchute"
 
-func text(key, value string) *commonpb.KeyValue {
+func stringAttribute(key, value string) *commonpb.KeyValue {
 	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_StringValue{StringValue: value}}}
 }
 
-func integer(key string, n int64) *commonpb.KeyValue {
-	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_IntValue{IntValue: n}}}
+func intAttribute(key string, value int64) *commonpb.KeyValue {
+	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_IntValue{IntValue: value}}}
 }
 
-func boolean(key string, on bool) *commonpb.KeyValue {
-	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_BoolValue{BoolValue: on}}}
+func boolAttribute(key string, value bool) *commonpb.KeyValue {
+	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_BoolValue{BoolValue: value}}}
 }
 
-func double(key string, x float64) *commonpb.KeyValue {
-	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_DoubleValue{DoubleValue: x}}}
+func doubleAttribute(key string, value float64) *commonpb.KeyValue {
+	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_DoubleValue{DoubleValue: value}}}
 }
 
 // Spans renders traces as OTLP: the query is a server's span, each attempt a
@@ -43,24 +43,26 @@
 	}
 	return []*tracepb.ResourceSpans{{
 		Resource: &resourcepb.Resource{Attributes: []*commonpb.KeyValue{
-			text("service.name", scopeName), text("service.instance.id", brokerName),
+			stringAttribute("service.name", serviceName), stringAttribute("service.instance.id", brokerName),
 		}},
-		ScopeSpans: []*tracepb.ScopeSpans{{Scope: &commonpb.InstrumentationScope{Name: scopeName}, Spans: spans}},
+		ScopeSpans: []*tracepb.ScopeSpans{{Scope: &commonpb.InstrumentationScope{Name: serviceName}, Spans: spans}},
 	}}
 }
 
-func at(t *record.Trace, d time.Duration) uint64 { return uint64(max(0, t.Came.Add(d).UnixNano())) }
+func unixNano(t *record.Trace, offset time.Duration) uint64 {
+	return uint64(max(0, t.Came.Add(offset).UnixNano()))
+}
 
 func querySpan(t *record.Trace) *tracepb.Span {
 	s := &tracepb.Span{
 		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), t.Span[:]...), TraceState: t.State,
 		Name: t.Class, Kind: tracepb.Span_SPAN_KIND_SERVER,
-		StartTimeUnixNano: at(t, 0), EndTimeUnixNano: at(t, t.Took()),
+		StartTimeUnixNano: unixNano(t, 0), EndTimeUnixNano: unixNano(t, t.Took()),
 		Attributes: []*commonpb.KeyValue{
-			text("gannetchute.query", t.Query), text("gannetchute.verdict", t.Verdict.String()),
-			text("gannetchute.reasons", t.Reasons.String()), text("gannetchute.kept", t.Kept.String()),
-			double("gannetchute.probability", t.Probability), integer("gannetchute.parts", int64(t.Parts)),
-			integer("gannetchute.wanted_ms", t.Wanted.Milliseconds()), boolean("gannetchute.whole", t.Whole),
+			stringAttribute("gannetchute.query", t.Query), stringAttribute("gannetchute.verdict", t.Verdict.String()),
+			stringAttribute("gannetchute.reasons", t.Reasons.String()), stringAttribute("gannetchute.kept", t.Kept.String()),
+			doubleAttribute("gannetchute.probability", t.Probability), intAttribute("gannetchute.parts", int64(t.Parts)),
+			intAttribute("gannetchute.wanted_ms", t.Wanted.Milliseconds()), boolAttribute("gannetchute.whole", t.Whole),
 		},
 		Status: &tracepb.Status{},
 	}
@@ -80,8 +82,8 @@
 	return s
 }
 
-func event(t *record.Trace, name string, o record.Offset) *tracepb.Span_Event {
-	return &tracepb.Span_Event{Name: name, TimeUnixNano: at(t, o.Duration())}
+func event(t *record.Trace, name string, offset record.Offset) *tracepb.Span_Event {
+	return &tracepb.Span_Event{Name: name, TimeUnixNano: unixNano(t, offset.Duration())}
 }
 
 func attemptSpan(t *record.Trace, a *record.Attempt) *tracepb.Span {
@@ -93,12 +95,12 @@
 		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), a.Span[:]...),
 		ParentSpanId: append([]byte(nil), t.Span[:]...), TraceState: t.State,
 		Name: fmt.Sprintf("part %d, %s", a.Shard, a.Why), Kind: tracepb.Span_SPAN_KIND_CLIENT,
-		StartTimeUnixNano: at(t, a.Opened.Duration()), EndTimeUnixNano: at(t, end),
+		StartTimeUnixNano: unixNano(t, a.Opened.Duration()), EndTimeUnixNano: unixNano(t, end),
 		Attributes: []*commonpb.KeyValue{
-			integer("gannetchute.shard", int64(a.Shard)), integer("gannetchute.attempt", int64(a.N)),
-			text("gannetchute.why", a.Why.String()), text("gannetchute.node", a.Node), integer("gannetchute.cell", int64(a.Cell)),
-			text("server.address", a.Addr), text("gannetchute.outcome", a.Outcome.String()),
-			boolean("gannetchute.may_run", a.MayRun), boolean("gannetchute.doubt", a.Doubt), boolean("gannetchute.ours", a.Ours),
+			intAttribute("gannetchute.shard", int64(a.Shard)), intAttribute("gannetchute.attempt", int64(a.N)),
+			stringAttribute("gannetchute.why", a.Why.String()), stringAttribute("gannetchute.node", a.Node), intAttribute("gannetchute.cell", int64(a.Cell)),
+			stringAttribute("server.address", a.Addr), stringAttribute("gannetchute.outcome", a.Outcome.String()),
+			boolAttribute("gannetchute.may_run", a.MayRun), boolAttribute("gannetchute.doubt", a.Doubt), boolAttribute("gannetchute.ours", a.Ours),
 		},
 		Status: &tracepb.Status{},
 	}
@@ -119,7 +121,7 @@
 	}
 	if a.LateAt.Set() && a.LateOutcome != nil {
 		e := event(t, "late-outcome", a.LateAt)
-		e.Attributes = []*commonpb.KeyValue{text("gannetchute.outcome", a.LateOutcome.String())}
+		e.Attributes = []*commonpb.KeyValue{stringAttribute("gannetchute.outcome", a.LateOutcome.String())}
 		s.Events = append(s.Events, e)
 	}
 	return s
--- a/tracing/owed.go
+++ b/tracing/owed.go
@@ -5,88 +5,92 @@
 	"onyxsail/tracing/spool"
 )
 
-// spoolRecord is one record for the spool.
+// spoolRecord is a record to be written to the spool.
 type spoolRecord struct {
 	kind    spool.Kind
 	payload []byte
-	cause   spool.Cause // why it is not written yet
+	cause   spool.Cause // why it has not been written yet
 }
 
-// owed holds the records that the spool's disk has not taken, the oldest first, within a
-// bound of bytes. The tracer's goroutine alone uses it.
-type owed struct {
-	records []spoolRecord
-	bytes   int
-	most    int // bytes
+// writeQueue holds the records that have not yet been written to the spool's disk,
+// oldest first, up to maxBytes. Only the tracer's writer goroutine uses it.
+type writeQueue struct {
+	records  []spoolRecord
+	bytes    int
+	maxBytes int
 }
 
-// add takes a record in, and returns those that it pushes out.
-func (o *owed) add(r spoolRecord) (out []spoolRecord) {
-	o.records = append(o.records, r)
-	o.bytes += len(r.payload)
-	for o.bytes > o.most {
-		out = append(out, o.take())
+// push appends a record and returns the oldest records, removed to stay within maxBytes.
+func (q *writeQueue) push(r spoolRecord) (evicted []spoolRecord) {
+	q.records = append(q.records, r)
+	q.bytes += len(r.payload)
+	for q.bytes > q.maxBytes {
+		evicted = append(evicted, q.popOldest())
 	}
-	return out
+	return evicted
 }
 
-// take removes the oldest record.
-func (o *owed) take() spoolRecord {
-	r := o.records[0]
-	o.records[0] = spoolRecord{} // or the array's start would keep it
-	o.records = o.records[1:]
-	o.bytes -= len(r.payload)
+// popOldest removes and returns the oldest record.
+func (q *writeQueue) popOldest() spoolRecord {
+	r := q.records[0]
+	q.records[0] = spoolRecord{} // so that the backing array does not retain the payload
+	q.records = q.records[1:]
+	q.bytes -= len(r.payload)
 	return r
 }
 
-// passes says whether a record that was not written may be written later.
-func passes(cause spool.Cause) bool { return cause == spool.DropPaused || cause == spool.DropFailed }
+// isTransient reports whether a record that failed to be written may be written later.
+func isTransient(cause spool.Cause) bool {
+	return cause == spool.DropPaused || cause == spool.DropFailed
+}
 
-// store writes records to the spool, behind those that a disk which failed still owes.
-func (t *Tracer) store(traces []*record.Trace, notes []record.Note) {
+// writeToSpool writes traces and notes to the spool, after the records still queued
+// from an earlier disk failure.
+func (t *Tracer) writeToSpool(traces []*record.Trace, notes []record.Note) {
 	for _, tr := range traces {
 		if data, err := record.Encode(tr); err == nil {
-			t.owe(spoolRecord{kind: spool.KindTrace, payload: data})
+			t.queueWrite(spoolRecord{kind: spool.KindTrace, payload: data})
 		}
 	}
-	for _, n := range notes {
-		if data, err := spool.EncodeNote(n); err == nil {
-			t.owe(spoolRecord{kind: spool.KindNote, payload: data})
+	for _, note := range notes {
+		if data, err := spool.EncodeNote(note); err == nil {
+			t.queueWrite(spoolRecord{kind: spool.KindNote, payload: data})
 		}
 	}
-	t.settle()
+	t.flushQueue()
 }
 
-// owe puts a record behind all that is to be written.
-func (t *Tracer) owe(r spoolRecord) {
+// queueWrite appends a record to the write queue.
+func (t *Tracer) queueWrite(r spoolRecord) {
 	r.cause = spool.DropPaused
-	for _, out := range t.owed.add(r) {
-		t.spool.GiveUp(out.cause)
+	for _, evicted := range t.spoolQueue.push(r) {
+		t.spool.GiveUp(evicted.cause)
 	}
 }
 
-// settle writes what is owed, until the disk fails.
-func (t *Tracer) settle() {
-	for len(t.owed.records) > 0 {
-		oldest := &t.owed.records[0]
+// flushQueue writes queued records to the spool until the queue is empty or the disk fails.
+func (t *Tracer) flushQueue() {
+	for len(t.spoolQueue.records) > 0 {
+		oldest := &t.spoolQueue.records[0]
 		cause := t.spool.Offer(oldest.kind, oldest.payload)
-		if passes(cause) {
+		if isTransient(cause) {
 			if cause == spool.DropFailed || oldest.cause != spool.DropFailed {
 				oldest.cause = cause
 			}
 			return
 		}
-		t.owed.take()
+		t.spoolQueue.popOldest()
 		if cause != spool.DropNone {
 			t.spool.GiveUp(cause)
 		}
 	}
 }
 
-// spoolCounts are the spool's, with what is owed among the dropped: it is on no disk.
+// spoolCounts returns the spool's counts. Queued records count as dropped, as they are
+// not on disk.
 func (t *Tracer) spoolCounts() spool.Counts {
 	c := t.spool.Counts()
-	for _, r := range t.owed.records {
+	for _, r := range t.spoolQueue.records {
 		c.Dropped[r.cause]++
 	}
 	return c
--- a/tracing/read.go
+++ b/tracing/read.go
@@ -11,46 +11,47 @@
 	"onyxsail/tracing/spool"
 )
 
-// ring holds the latest kept traces within a bound of bytes. They are shared
-// with readers and never changed: a note makes a copy.
-type ring struct {
-	traces []*record.Trace
-	bytes  int
-	most   int
+// recentTraces holds the most recently kept traces, up to maxBytes. Traces are
+// shared with readers and immutable: applyNote replaces a trace by an updated copy.
+type recentTraces struct {
+	traces   []*record.Trace
+	bytes    int
+	maxBytes int
 }
 
-func (r *ring) add(t *record.Trace) {
+func (r *recentTraces) add(t *record.Trace) {
 	r.traces = append(r.traces, t)
 	r.bytes += t.Size()
-	n := 0
-	for r.bytes > r.most {
-		r.bytes -= r.traces[n].Size()
-		r.traces[n] = nil // or the array's start would keep it
-		n++
+	evicted := 0
+	for r.bytes > r.maxBytes {
+		r.bytes -= r.traces[evicted].Size()
+		r.traces[evicted] = nil // so that the backing array does not retain the trace
+		evicted++
 	}
-	r.traces = r.traces[n:]
+	r.traces = r.traces[evicted:]
 }
 
-func (r *ring) note(n record.Note) {
+func (r *recentTraces) applyNote(note record.Note) {
 	for i, t := range r.traces {
-		if t.ID == n.ID && t.Span == n.Span {
-			c := *t
-			c.Attempts = append([]record.Attempt(nil), t.Attempts...)
-			n.Apply(&c)
-			r.traces[i] = &c
+		if t.ID == note.ID && t.Span == note.Span {
+			updated := *t
+			updated.Attempts = append([]record.Attempt(nil), t.Attempts...)
+			note.Apply(&updated)
+			r.traces[i] = &updated
 			return
 		}
 	}
 }
 
-// Read returns what is kept and matches: the spool's traces and those in memory,
-// each once, in the order of their coming. bad names what could not be read.
-func (t *Tracer) Read(f record.Filter) (traces []*record.Trace, bad []spool.Unreadable, err error) {
+// Read returns the kept traces that match the filter, from the spool and from
+// memory, without duplicates, in order of arrival. unreadable lists what could not
+// be read from the spool.
+func (t *Tracer) Read(filter record.Filter) (traces []*record.Trace, unreadable []spool.Unreadable, err error) {
 	t.mu.Lock()
 	recent := append([]*record.Trace(nil), t.recent.traces...)
 	t.mu.Unlock()
 	if t.spool != nil {
-		if traces, bad, err = spool.Read(t.opts.Config.Dir, f.Match, f.Limit); err != nil {
+		if traces, unreadable, err = spool.Read(t.opts.Config.Dir, filter.Match, filter.Limit); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -59,41 +60,41 @@
 		seen[tr.Span] = true
 	}
 	for _, tr := range recent {
-		if !seen[tr.Span] && f.Match(tr) {
+		if !seen[tr.Span] && filter.Match(tr) {
 			traces = append(traces, tr)
 		}
 	}
 	slices.SortStableFunc(traces, func(a, b *record.Trace) int { return cmp.Compare(a.Came.UnixNano(), b.Came.UnixNano()) })
-	return f.Last(traces), bad, nil
+	return filter.Last(traces), unreadable, nil
 }
 
-// Follow calls f with each trace that is kept from now on and matches, until
-// ctx ends, f fails or followers are ended. A reader that is too slow misses
-// traces, which Counts tells.
-func (t *Tracer) Follow(ctx context.Context, filter record.Filter, f func(*record.Trace) error) error {
-	ch := make(chan *record.Trace, maxFollow)
+// Follow calls deliver with each matching trace that is kept from now on, until ctx
+// ends, deliver fails or EndFollowers is called. A follower that is too slow misses
+// traces, which Counts reports as FollowerDrops.
+func (t *Tracer) Follow(ctx context.Context, filter record.Filter, deliver func(*record.Trace) error) error {
+	traces := make(chan *record.Trace, followerBuffer)
 	t.mu.Lock()
-	if t.follow == nil { // they have been ended
+	if t.followers == nil { // EndFollowers has been called
 		t.mu.Unlock()
 		return nil
 	}
-	t.follow[ch] = true
+	t.followers[traces] = true
 	t.mu.Unlock()
 	defer func() {
 		t.mu.Lock()
-		delete(t.follow, ch)
+		delete(t.followers, traces)
 		t.mu.Unlock()
 	}()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case tr, ok := <-ch:
+		case tr, ok := <-traces:
 			if !ok {
 				return nil
 			}
 			if filter.Match(tr) {
-				if err := f(tr); err != nil {
+				if err := deliver(tr); err != nil {
 					return err
 				}
 			}
@@ -101,31 +102,32 @@
 	}
 }
 
-// EndFollowers ends all calls of Follow, and those to come: a broker that is
-// told to stop waits for its clients' streams, which these would never end.
+// EndFollowers ends all current and future calls of Follow. A broker that shuts
+// down waits for its clients' streams, and a follower's stream would never end by
+// itself.
 func (t *Tracer) EndFollowers() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for ch := range t.follow {
-		close(ch)
+	for follower := range t.followers {
+		close(follower)
 	}
-	t.follow = nil
+	t.followers = nil
 }
 
-// Counts is what the tracer tells of itself.
+// Counts holds the tracer's totals since the start and its present sizes.
 type Counts struct {
-	Open       int            `json:"open"`
-	Held       int            `json:"held"` // over, and waiting for the sampler
-	Recent     int            `json:"recent"`
-	Bytes      int            `json:"bytes"` // of the traces in memory
-	Sampled    sample.Counts  `json:"sampled"`
-	Unseen     int64          `json:"unseen"`     // queries that were not followed
-	NoSlot     int64          `json:"no_slot"`    // queries that a kill would leave no evidence of
-	Late       int64          `json:"late"`       // outcomes that came after all
-	Following  int            `json:"following"`  // readers that follow
-	Unfollowed int64          `json:"unfollowed"` // traces that a slow one missed
-	Spool      *spool.Counts  `json:"spool,omitempty"`
-	Export     *export.Counts `json:"export,omitempty"`
+	Open          int            `json:"open"`
+	Held          int            `json:"held"` // ended queries that await the sampler's decision
+	Recent        int            `json:"recent"`
+	Bytes         int            `json:"bytes"` // size of the traces in memory
+	Sampled       sample.Counts  `json:"sampled"`
+	Untracked     int64          `json:"unseen"`     // queries not traced because too many were open
+	NoSlot        int64          `json:"no_slot"`    // queries without a slot in the table of open queries, lost after a kill
+	LateOutcomes  int64          `json:"late"`       // outcomes of attempts that were known only after their query's end
+	Followers     int            `json:"following"`  // current calls of Follow
+	FollowerDrops int64          `json:"unfollowed"` // traces that slow followers missed
+	Spool         *spool.Counts  `json:"spool,omitempty"`
+	Export        *export.Counts `json:"export,omitempty"`
 }
 
 // Counts returns the totals since the start.
@@ -133,10 +135,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := Counts{
-		Open: t.open.n, Held: len(t.held), Recent: len(t.recent.traces), Bytes: t.recent.bytes + t.owing,
-		Sampled: t.sampler.Counts(), Unseen: t.unseen, Late: t.noted, Following: len(t.follow), Unfollowed: t.missed,
+		Open: t.openQueries.count, Held: len(t.held), Recent: len(t.recent.traces), Bytes: t.recent.bytes + t.queuedBytes,
+		Sampled: t.sampler.Counts(), Untracked: t.untracked, LateOutcomes: t.lateOutcomes, Followers: len(t.followers), FollowerDrops: t.followerDrops,
 	}
-	t.open.each(func(l *live) { c.Bytes += l.Size() })
+	t.openQueries.forEach(func(l *liveQuery) { c.Bytes += l.Size() })
 	for _, l := range t.held {
 		c.Bytes += l.Size()
 	}
@@ -144,7 +146,7 @@
 		c.NoSlot = t.table.Full()
 	}
 	if t.spool != nil {
-		s := t.spooled
+		s := t.lastSpoolCounts
 		c.Spool = &s
 	}
 	if t.exporter != nil {
@@ -155,7 +157,8 @@
 	return c
 }
 
-// ReadDir reads a spool's folder, also of a broker that is dead.
-func ReadDir(dir string, f record.Filter) ([]*record.Trace, []spool.Unreadable, error) {
-	return spool.Read(dir, f.Match, f.Limit)
+// ReadDir reads the matching traces of a spool directory, whether or not its broker
+// is running.
+func ReadDir(dir string, filter record.Filter) ([]*record.Trace, []spool.Unreadable, error) {
+	return spool.Read(dir, filter.Match, filter.Limit)
 }
--- a/tracing/sample/sample.go
+++ b/tracing/sample/sample.go
@@ -26,48 +26,48 @@
 )
 
 const (
-	reasons = 16 // bits of record.Reasons
+	reasonBits = 16 // bits of record.Reasons
 	// maxGroups bounds the groups of one window; beyond it nodes are not told
 	// apart.
-	maxGroups = 4096
+	maxReservoirs = 4096
 	// Latencies are kept in units of unit up to longest, over spans of span.
-	unit    = 100 * time.Microsecond
-	longest = time.Minute
-	span    = 10 * time.Second
-	spans   = 6
-	digits  = 2
+	latencyUnit        = 100 * time.Microsecond
+	maxLatency         = time.Minute
+	histogramInterval  = 10 * time.Second
+	histogramIntervals = 6
+	significantDigits  = 2
 )
 
 // Config is what a Sampler is told.
 type Config struct {
-	Window  time.Duration // how long decisions are held; 0: a second
-	Budget  int           // traces kept in a window
-	Bytes   int           // traces held in a window, in bytes
-	Usual   float64       // share of the good ones that is kept
-	Asked   int           // traces kept in a window because the caller asked
-	Classes int
+	Window       time.Duration // how long decisions are held; 0: a second
+	MaxTraces    int           // traces kept in a window
+	MaxBytes     int           // traces held in a window, in bytes
+	GoodRate     float64       // share of the good ones that is kept
+	MaxRequested int           // traces kept in a window because the caller asked
+	Classes      int
 	// Slow is the quantile of its class's recent latencies beyond which a query
 	// is unusually slow, from SlowLeast latencies on; 0: none is.
-	Slow      float64
-	SlowLeast int
-	Seed      uint64
+	SlowQuantile   float64
+	SlowMinSamples int
+	Seed           uint64
 }
 
 // Item is a query at its end.
-type Item struct {
-	Key     uint64        // the caller's name of the trace
-	At      time.Duration // since a moment of the caller's; a step back counts as none
-	Class   int
-	Node    string // at which it lost its time
-	Took    time.Duration
-	Served  bool
-	Reasons record.Reasons // as record.Trace.Judge gives them
-	Asked   bool
-	Size    int // of the trace, in bytes
+type Query struct {
+	Key       uint64        // the caller's name of the trace
+	EndedAt   time.Duration // since a moment of the caller's; a step back counts as none
+	Class     int
+	Node      string // at which it lost its time
+	Latency   time.Duration
+	Served    bool
+	Reasons   record.Reasons // as record.Trace.Judge gives them
+	Requested bool
+	Size      int // of the trace, in bytes
 }
 
 // Kept is a trace that is kept.
-type Kept struct {
+type Selection struct {
 	Key         uint64
 	Reasons     record.Reasons // all of them
 	Reason      record.Reasons // the one for which it was kept
@@ -83,45 +83,45 @@
 
 // Sampler decides. It is not safe for concurrent use.
 type Sampler struct {
-	cfg     Config
-	rng     *rand.Rand
-	now     time.Duration
-	until   time.Duration // the window's end
-	groups  map[group]*pool
-	held    int
-	bytes   int
-	asked   int
-	heat    [reasons]float64 // how often each reason came of late
-	by      [reasons]*tier
-	classes []class
-	counts  Counts
-	shed    [reasons]int64
-	tooBig  int64
-	out     []uint64
+	cfg             Config
+	rng             *rand.Rand
+	now             time.Duration
+	windowEnd       time.Duration // the window's end
+	reservoirs      map[reservoirKey]*reservoir
+	held            int
+	bytes           int
+	requested       int
+	reasonFrequency [reasonBits]float64 // how often each reason came of late
+	reasons         [reasonBits]*reasonTotals
+	classes         []classLatency
+	counts          Counts
+	shedByReason    [reasonBits]int64
+	oversized       int64
+	dropped         []uint64
 }
 
 // group is what traces are told apart by.
-type group struct {
+type reservoirKey struct {
 	reason record.Reasons
 	class  int
 	node   string
 }
 
 // tier counts what is held under one reason and under each of its classes.
-type tier struct {
+type reasonTotals struct {
 	held    int
-	classes map[int]*classTier
+	byClass map[int]*classTotals
 }
 
-type classTier struct {
-	held  int
-	nodes map[string]*pool
+type classTotals struct {
+	held   int
+	byNode map[string]*reservoir
 }
 
 // pool is one group's share of the window: a heap with the greatest priority
 // on top.
-type pool struct {
-	group
+type reservoir struct {
+	reservoirKey
 	seen int
 	held []entry
 }
@@ -133,36 +133,36 @@
 	reasons  record.Reasons
 }
 
-func (p *pool) Len() int           { return len(p.held) }
-func (p *pool) Less(i, j int) bool { return p.held[i].priority > p.held[j].priority }
-func (p *pool) Swap(i, j int)      { p.held[i], p.held[j] = p.held[j], p.held[i] }
-func (p *pool) Push(x any)         { p.held = append(p.held, x.(entry)) }
-func (p *pool) Pop() any {
+func (p *reservoir) Len() int           { return len(p.held) }
+func (p *reservoir) Less(i, j int) bool { return p.held[i].priority > p.held[j].priority }
+func (p *reservoir) Swap(i, j int)      { p.held[i], p.held[j] = p.held[j], p.held[i] }
+func (p *reservoir) Push(x any)         { p.held = append(p.held, x.(entry)) }
+func (p *reservoir) Pop() any {
 	last := p.held[len(p.held)-1]
 	p.held = p.held[:len(p.held)-1]
 	return last
 }
 
 // class is the recent latencies of one class.
-type class struct {
-	recent *hdrhistogram.WindowedHistogram
-	turned time.Duration // when the present span began
-	fresh  int           // latencies since slow was reckoned
-	count  int64
-	slow   time.Duration // 0: not known yet
+type classLatency struct {
+	histogram     *hdrhistogram.WindowedHistogram
+	rotatedAt     time.Duration // when the present span began
+	sinceUpdate   int           // latencies since slow was reckoned
+	total         int64
+	slowThreshold time.Duration // 0: not known yet
 }
 
 // New returns a sampler.
-func New(c Config) *Sampler {
-	if c.Window <= 0 {
-		c.Window = time.Second
+func New(cfg Config) *Sampler {
+	if cfg.Window <= 0 {
+		cfg.Window = time.Second
 	}
 	s := &Sampler{
-		cfg: c, rng: rand.New(rand.NewPCG(c.Seed, 0x7261636573)), until: c.Window,
-		groups: map[group]*pool{}, classes: make([]class, max(1, c.Classes)),
+		cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 0x7261636573)), windowEnd: cfg.Window,
+		reservoirs: map[reservoirKey]*reservoir{}, classes: make([]classLatency, max(1, cfg.Classes)),
 	}
 	for i := range s.classes {
-		s.classes[i].recent = hdrhistogram.NewWindowed(spans, 1, int64(longest/unit), digits)
+		s.classes[i].histogram = hdrhistogram.NewWindowed(histogramIntervals, 1, int64(maxLatency/latencyUnit), significantDigits)
 	}
 	return s
 }
@@ -170,224 +170,224 @@
 // Offer decides on a query. hold says that its trace may be kept: Due tells
 // later, or a drop does. The keys in drop, valid until the next call, were held
 // before and are not kept after all; an offered key is never among them.
-func (s *Sampler) Offer(it Item) (hold bool, drop []uint64) {
-	s.out = s.out[:0]
-	s.now = max(s.now, it.At)
+func (s *Sampler) Offer(query Query) (hold bool, dropped []uint64) {
+	s.dropped = s.dropped[:0]
+	s.now = max(s.now, query.EndedAt)
 	s.counts.Seen++
-	if s.held == 0 && s.now >= s.until { // a window begins with what comes first
-		s.begin()
+	if s.held == 0 && s.now >= s.windowEnd { // a window begins with what comes first
+		s.startWindow()
 	}
-	r := it.Reasons
-	if it.Served && s.slow(it.Class, it.Took) {
-		r |= record.Slow
+	reasons := query.Reasons
+	if query.Served && s.observeLatency(query.Class, query.Latency) {
+		reasons |= record.Slow
 	}
-	if r != 0 {
+	if reasons != 0 {
 		s.counts.Bad++
 	}
-	if it.Asked {
-		if s.asked < s.cfg.Asked {
-			s.asked++
-			r |= record.Asked
+	if query.Requested {
+		if s.requested < s.cfg.MaxRequested {
+			s.requested++
+			reasons |= record.Asked
 		} else {
 			s.counts.AskedOver++
 		}
 	}
-	if r == 0 {
-		if s.rng.Float64() >= s.cfg.Usual {
+	if reasons == 0 {
+		if s.rng.Float64() >= s.cfg.GoodRate {
 			return false, nil
 		}
-		r = record.Usual
+		reasons = record.Usual
 	}
-	if it.Size > s.cfg.Bytes || s.cfg.Budget < 1 {
-		s.tooBig++
+	if query.Size > s.cfg.MaxBytes || s.cfg.MaxTraces < 1 {
+		s.oversized++
 		return false, nil
 	}
-	p := s.pool(s.rarest(r), it.Class, it.Node)
-	p.seen++
-	heap.Push(p, entry{key: it.Key, priority: s.rng.Float64(), size: it.Size, reasons: r})
-	s.count(p, 1, it.Size)
+	res := s.reservoirFor(s.rarestReason(reasons), query.Class, query.Node)
+	res.seen++
+	heap.Push(res, entry{key: query.Key, priority: s.rng.Float64(), size: query.Size, reasons: reasons})
+	s.addHeld(res, 1, query.Size)
 	hold = true
-	for s.held > s.cfg.Budget || s.bytes > s.cfg.Bytes {
-		p := s.fullest()
-		e := heap.Pop(p).(entry)
-		s.count(p, -1, -e.size)
-		if p.reason != record.Usual && p.reason != record.Asked {
-			s.shed[index(p.reason)]++
+	for s.held > s.cfg.MaxTraces || s.bytes > s.cfg.MaxBytes {
+		res := s.fullestReservoir()
+		e := heap.Pop(res).(entry)
+		s.addHeld(res, -1, -e.size)
+		if res.reason != record.Usual && res.reason != record.Asked {
+			s.shedByReason[reasonIndex(res.reason)]++
 		}
-		if e.key == it.Key {
+		if e.key == query.Key {
 			hold = false
 		} else {
-			s.out = append(s.out, e.key)
+			s.dropped = append(s.dropped, e.key)
 		}
 	}
-	return hold, s.out
+	return hold, s.dropped
 }
 
 // rarest picks the reason that came least of late, the graver of equals: by
 // its commonest reason a rare failure would be lost among the common.
-func (s *Sampler) rarest(r record.Reasons) record.Reasons {
-	var best record.Reasons
-	r.Each(func(one record.Reasons) {
-		if best == 0 || s.heat[index(one)] < s.heat[index(best)] {
-			best = one
+func (s *Sampler) rarestReason(reasons record.Reasons) record.Reasons {
+	var rarest record.Reasons
+	reasons.Each(func(reason record.Reasons) {
+		if rarest == 0 || s.reasonFrequency[reasonIndex(reason)] < s.reasonFrequency[reasonIndex(rarest)] {
+			rarest = reason
 		}
 	})
-	r.Each(func(one record.Reasons) { s.heat[index(one)]++ })
-	return best
+	reasons.Each(func(reason record.Reasons) { s.reasonFrequency[reasonIndex(reason)]++ })
+	return rarest
 }
 
-func index(r record.Reasons) int {
-	for i := range reasons {
+func reasonIndex(r record.Reasons) int {
+	for i := range reasonBits {
 		if r == 1<<i {
 			return i
 		}
 	}
-	return reasons - 1
+	return reasonBits - 1
 }
 
-func (s *Sampler) pool(r record.Reasons, class int, node string) *pool {
-	g := group{r, class, node}
-	if s.groups[g] == nil && len(s.groups) >= maxGroups {
-		g.node = ""
+func (s *Sampler) reservoirFor(reason record.Reasons, class int, node string) *reservoir {
+	key := reservoirKey{reason, class, node}
+	if s.reservoirs[key] == nil && len(s.reservoirs) >= maxReservoirs {
+		key.node = ""
 	}
-	p := s.groups[g]
-	if p != nil {
-		return p
+	res := s.reservoirs[key]
+	if res != nil {
+		return res
 	}
-	p = &pool{group: g}
-	s.groups[g] = p
-	t := s.by[index(r)]
-	if t == nil {
-		t = &tier{classes: map[int]*classTier{}}
-		s.by[index(r)] = t
+	res = &reservoir{reservoirKey: key}
+	s.reservoirs[key] = res
+	totals := s.reasons[reasonIndex(reason)]
+	if totals == nil {
+		totals = &reasonTotals{byClass: map[int]*classTotals{}}
+		s.reasons[reasonIndex(reason)] = totals
 	}
-	c := t.classes[class]
-	if c == nil {
-		c = &classTier{nodes: map[string]*pool{}}
-		t.classes[class] = c
+	classSum := totals.byClass[class]
+	if classSum == nil {
+		classSum = &classTotals{byNode: map[string]*reservoir{}}
+		totals.byClass[class] = classSum
 	}
-	c.nodes[g.node] = p
-	return p
+	classSum.byNode[key.node] = res
+	return res
 }
 
-func (s *Sampler) count(p *pool, n, bytes int) {
-	s.held += n
+func (s *Sampler) addHeld(res *reservoir, traces, bytes int) {
+	s.held += traces
 	s.bytes += bytes
-	t := s.by[index(p.reason)]
-	t.held += n
-	t.classes[p.class].held += n
+	totals := s.reasons[reasonIndex(res.reason)]
+	totals.held += traces
+	totals.byClass[res.class].held += traces
 }
 
 // fullest finds the group that gives up a trace. Ties go by the order of
 // reasons, classes and names, so that the verdict does not hang on a map's.
-func (s *Sampler) fullest() *pool {
-	var t *tier
-	for _, x := range s.by {
-		if x != nil && (t == nil || x.held >= t.held) { // of equals the less grave
-			t = x
+func (s *Sampler) fullestReservoir() *reservoir {
+	var fullestReason *reasonTotals
+	for _, x := range s.reasons {
+		if x != nil && (fullestReason == nil || x.held >= fullestReason.held) { // of equals the less grave
+			fullestReason = x
 		}
 	}
-	var c *classTier
-	at := 0
-	for class, x := range t.classes {
-		if c == nil || x.held > c.held || x.held == c.held && class > at {
-			c, at = x, class
+	var fullestClass *classTotals
+	fullestIndex := 0
+	for class, x := range fullestReason.byClass {
+		if fullestClass == nil || x.held > fullestClass.held || x.held == fullestClass.held && class > fullestIndex {
+			fullestClass, fullestIndex = x, class
 		}
 	}
-	var p *pool
-	for node, x := range c.nodes {
-		if p == nil || len(x.held) > len(p.held) || len(x.held) == len(p.held) && node > p.node {
-			p = x
+	var fullest *reservoir
+	for node, x := range fullestClass.byNode {
+		if fullest == nil || len(x.held) > len(fullest.held) || len(x.held) == len(fullest.held) && node > fullest.node {
+			fullest = x
 		}
 	}
-	return p
+	return fullest
 }
 
 // slow says whether a latency lies beyond its class's quantile, and learns it.
-func (s *Sampler) slow(at int, took time.Duration) bool {
-	if at < 0 || at >= len(s.classes) || s.cfg.Slow <= 0 {
+func (s *Sampler) observeLatency(class int, latency time.Duration) bool {
+	if class < 0 || class >= len(s.classes) || s.cfg.SlowQuantile <= 0 {
 		return false
 	}
-	c := &s.classes[at]
-	if s.now-c.turned >= span {
-		c.recent.Rotate()
-		c.turned = s.now
+	recent := &s.classes[class]
+	if s.now-recent.rotatedAt >= histogramInterval {
+		recent.histogram.Rotate()
+		recent.rotatedAt = s.now
 	}
 	// Beyond longest it is slow by any measure; the histogram holds no more.
-	_ = c.recent.Current.RecordValue(min(int64(took/unit), int64(longest/unit)))
-	c.fresh++
-	c.count++
-	if least := max(1, s.cfg.SlowLeast); c.fresh >= least {
-		c.fresh = 0
-		all := c.recent.Merge()
-		if all.TotalCount() >= int64(least) {
-			c.slow = time.Duration(all.ValueAtQuantile(s.cfg.Slow*100)) * unit
+	_ = recent.histogram.Current.RecordValue(min(int64(latency/latencyUnit), int64(maxLatency/latencyUnit)))
+	recent.sinceUpdate++
+	recent.total++
+	if minSamples := max(1, s.cfg.SlowMinSamples); recent.sinceUpdate >= minSamples {
+		recent.sinceUpdate = 0
+		merged := recent.histogram.Merge()
+		if merged.TotalCount() >= int64(minSamples) {
+			recent.slowThreshold = time.Duration(merged.ValueAtQuantile(s.cfg.SlowQuantile*100)) * latencyUnit
 		}
 	}
-	return c.slow > 0 && took > c.slow+unit
+	return recent.slowThreshold > 0 && latency > recent.slowThreshold+latencyUnit
 }
 
 // Next is when the window ends; held says whether anything waits for it.
-func (s *Sampler) Next() (at time.Duration, held bool) { return s.until, s.held > 0 }
+func (s *Sampler) WindowEnd() (end time.Duration, held bool) { return s.windowEnd, s.held > 0 }
 
 // Due ends the window if its time has come, and returns what is kept of it, in
 // the order of the keys.
-func (s *Sampler) Due(now time.Duration) []Kept {
-	if s.now = max(s.now, now); s.now < s.until {
+func (s *Sampler) CloseDueWindow(now time.Duration) []Selection {
+	if s.now = max(s.now, now); s.now < s.windowEnd {
 		return nil
 	}
-	return s.flush()
+	return s.endWindow()
 }
 
 // Flush ends the window now, as at the end of the program.
-func (s *Sampler) Flush() []Kept { return s.flush() }
+func (s *Sampler) Flush() []Selection { return s.endWindow() }
 
-func (s *Sampler) flush() []Kept {
-	var kept []Kept
-	for i := range s.by {
-		if s.by[i] == nil {
+func (s *Sampler) endWindow() []Selection {
+	var selected []Selection
+	for i := range s.reasons {
+		if s.reasons[i] == nil {
 			continue
 		}
-		for _, c := range s.by[i].classes {
-			for _, p := range c.nodes {
+		for _, c := range s.reasons[i].byClass {
+			for _, p := range c.byNode {
 				for _, e := range p.held {
-					k := Kept{Key: e.key, Reasons: e.reasons, Reason: p.reason, Probability: float64(len(p.held)) / float64(p.seen)}
+					k := Selection{Key: e.key, Reasons: e.reasons, Reason: p.reason, Probability: float64(len(p.held)) / float64(p.seen)}
 					if p.reason == record.Usual {
-						k.Probability *= s.cfg.Usual
+						k.Probability *= s.cfg.GoodRate
 					}
-					kept = append(kept, k)
+					selected = append(selected, k)
 				}
 			}
 		}
 	}
-	slices.SortFunc(kept, func(a, b Kept) int { return cmp.Compare(a.Key, b.Key) })
-	s.counts.Kept += int64(len(kept))
-	s.begin()
-	return kept
+	slices.SortFunc(selected, func(a, b Selection) int { return cmp.Compare(a.Key, b.Key) })
+	s.counts.Kept += int64(len(selected))
+	s.startWindow()
+	return selected
 }
 
 // begin empties the window and starts the next.
-func (s *Sampler) begin() {
-	clear(s.groups)
-	clear(s.by[:])
-	for i := range s.heat {
-		s.heat[i] /= 2
+func (s *Sampler) startWindow() {
+	clear(s.reservoirs)
+	clear(s.reasons[:])
+	for i := range s.reasonFrequency {
+		s.reasonFrequency[i] /= 2
 	}
-	s.held, s.bytes, s.asked = 0, 0, 0
-	s.until = s.now + s.cfg.Window
+	s.held, s.bytes, s.requested = 0, 0, 0
+	s.windowEnd = s.now + s.cfg.Window
 }
 
 // Counts returns the totals.
 func (s *Sampler) Counts() Counts {
 	c := s.counts
 	c.Shed = map[string]int64{}
-	for i, n := range s.shed {
+	for i, n := range s.shedByReason {
 		if n > 0 {
 			c.Shed[record.Reasons(1<<i).String()] = n
 		}
 	}
-	if s.tooBig > 0 {
-		c.Shed["size"] = s.tooBig
+	if s.oversized > 0 {
+		c.Shed["size"] = s.oversized
 	}
 	return c
 }
--- a/tracing/sample/sample_test.go
+++ b/tracing/sample/sample_test.go
@@ -12,11 +12,11 @@
 )
 
 func config() Config {
-	return Config{Budget: 20, Bytes: 1 << 20, Usual: 0.1, Asked: 3, Classes: 3, Slow: 0.99, SlowLeast: 100, Seed: 5}
+	return Config{MaxTraces: 20, MaxBytes: 1 << 20, GoodRate: 0.1, MaxRequested: 3, Classes: 3, SlowQuantile: 0.99, SlowMinSamples: 100, Seed: 5}
 }
 
 // play offers items and returns what is kept, by key.
-func play(s *Sampler, items []Item) map[uint64]Kept {
+func play(s *Sampler, items []Query) map[uint64]Selection {
 	held := map[uint64]bool{}
 	for _, it := range items {
 		hold, drop := s.Offer(it)
@@ -25,7 +25,7 @@
 			held[k] = false
 		}
 	}
-	kept := map[uint64]Kept{}
+	kept := map[uint64]Selection{}
 	for _, k := range s.Flush() {
 		if !held[k.Key] {
 			panic("kept what was dropped")
@@ -44,9 +44,9 @@
 // Ten times more bad queries than budget, all of one reason, and one failure.
 func TestRareReasonSurvivesFlood(t *testing.T) {
 	s := New(config())
-	var items []Item
+	var items []Query
 	for i := range 200 {
-		items = append(items, Item{Key: uint64(i), Class: i % 3, Node: "n", Reasons: record.Late, Size: 100})
+		items = append(items, Query{Key: uint64(i), Class: i % 3, Node: "n", Reasons: record.Late, Size: 100})
 	}
 	items[117].Reasons = record.Failed
 	items[42].Reasons = record.Late | record.Partial // its common reason must not hide the rare one
@@ -68,9 +68,9 @@
 // A class or node with few traces keeps them beside one with many.
 func TestFairOverClassAndNode(t *testing.T) {
 	s := New(config())
-	var items []Item
+	var items []Query
 	for i := range 300 {
-		it := Item{Key: uint64(i), Reasons: record.Late, Node: "loud", Size: 100}
+		it := Query{Key: uint64(i), Reasons: record.Late, Node: "loud", Size: 100}
 		switch {
 		case i%100 == 50:
 			it.Class = 1
@@ -98,19 +98,19 @@
 		c := config()
 		c.Seed = uint64(round)
 		s := New(c)
-		var items []Item
+		var items []Query
 		for i := range 300 {
-			it := Item{Key: uint64(i), Took: time.Duration(i) * time.Millisecond, Size: 100}
+			it := Query{Key: uint64(i), Latency: time.Duration(i) * time.Millisecond, Size: 100}
 			if i%2 == 0 {
 				it.Reasons = record.Late
-				truth += it.Took.Seconds() / rounds
+				truth += it.Latency.Seconds() / rounds
 			}
 			items = append(items, it)
 		}
 		for k, v := range play(s, items) {
 			if v.Reasons == record.Late {
 				bad += 1 / v.Probability / rounds
-				weightTook += items[k].Took.Seconds() / v.Probability / rounds
+				weightTook += items[k].Latency.Seconds() / v.Probability / rounds
 			} else {
 				good += 1 / v.Probability / rounds
 			}
@@ -129,7 +129,7 @@
 	key := uint64(0)
 	offer := func(class int, took time.Duration) (hold bool) {
 		key++
-		hold, _ = s.Offer(Item{Key: key, At: time.Duration(key) * time.Millisecond, Class: class, Took: took, Served: true, Size: 10})
+		hold, _ = s.Offer(Query{Key: key, EndedAt: time.Duration(key) * time.Millisecond, Class: class, Latency: took, Served: true, Size: 10})
 		return hold
 	}
 	for i := range 400 {
@@ -156,13 +156,13 @@
 // crowds out the bad nor is counted as such.
 func TestAskedIsBounded(t *testing.T) {
 	c := config()
-	c.Usual = 0
+	c.GoodRate = 0
 	s := New(c)
-	var items []Item
+	var items []Query
 	for i := range 100 {
-		items = append(items, Item{Key: uint64(i), Asked: true, Served: true, Size: 100})
+		items = append(items, Query{Key: uint64(i), Requested: true, Served: true, Size: 100})
 	}
-	items = append(items, Item{Key: 100, Reasons: record.Expired, Asked: true, Size: 100})
+	items = append(items, Query{Key: 100, Reasons: record.Expired, Requested: true, Size: 100})
 	kept := play(s, items)
 	if len(kept) != 4 || kept[100].Reason != record.Expired {
 		t.Errorf("kept %v, want three that were asked for and the expired one", kept)
@@ -178,18 +178,18 @@
 func TestSamplerProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Config{
-			Budget: rapid.IntRange(1, 12).Draw(t, "budget"), Bytes: rapid.IntRange(200, 3000).Draw(t, "bytes"),
-			Usual: 0.3, Asked: 2, Classes: 3, Slow: 0.9, SlowLeast: 5, Seed: rapid.Uint64().Draw(t, "seed"),
+			MaxTraces: rapid.IntRange(1, 12).Draw(t, "budget"), MaxBytes: rapid.IntRange(200, 3000).Draw(t, "bytes"),
+			GoodRate: 0.3, MaxRequested: 2, Classes: 3, SlowQuantile: 0.9, SlowMinSamples: 5, Seed: rapid.Uint64().Draw(t, "seed"),
 		}
 		a, b := New(c), New(c)
-		held := map[uint64]Item{}
+		held := map[uint64]Query{}
 		reason := map[uint64]record.Reasons{}
 		for i := range rapid.IntRange(1, 120).Draw(t, "offers") {
-			it := Item{
-				Key: uint64(i), At: time.Duration(rapid.IntRange(-3000, 3000).Draw(t, "at")) * time.Millisecond,
+			it := Query{
+				Key: uint64(i), EndedAt: time.Duration(rapid.IntRange(-3000, 3000).Draw(t, "at")) * time.Millisecond,
 				Class: rapid.IntRange(0, 2).Draw(t, "class"), Node: rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "node"),
-				Took: time.Duration(rapid.IntRange(0, 90_000).Draw(t, "took")) * time.Millisecond, Served: rapid.Bool().Draw(t, "served"),
-				Reasons: record.Reasons(rapid.IntRange(0, 1<<9-1).Draw(t, "reasons")), Asked: rapid.Bool().Draw(t, "asked"),
+				Latency: time.Duration(rapid.IntRange(0, 90_000).Draw(t, "took")) * time.Millisecond, Served: rapid.Bool().Draw(t, "served"),
+				Reasons: record.Reasons(rapid.IntRange(0, 1<<9-1).Draw(t, "reasons")), Requested: rapid.Bool().Draw(t, "asked"),
 				Size: rapid.IntRange(50, 900).Draw(t, "size"),
 			}
 			hold, drop := a.Offer(it)
@@ -210,12 +210,12 @@
 			for _, h := range held {
 				bytes += h.Size
 			}
-			if len(held) > c.Budget || bytes > c.Bytes || len(held) != a.held || bytes != a.bytes {
-				t.Fatalf("%d held with %d bytes, of %d and %d; counted %d and %d", len(held), bytes, c.Budget, c.Bytes, a.held, a.bytes)
+			if len(held) > c.MaxTraces || bytes > c.MaxBytes || len(held) != a.held || bytes != a.bytes {
+				t.Fatalf("%d held with %d bytes, of %d and %d; counted %d and %d", len(held), bytes, c.MaxTraces, c.MaxBytes, a.held, a.bytes)
 			}
 			if rapid.IntRange(0, 20).Draw(t, "due") == 0 {
-				kept := a.Due(it.At)
-				b.Due(it.At)
+				kept := a.CloseDueWindow(it.EndedAt)
+				b.CloseDueWindow(it.EndedAt)
 				for _, k := range kept {
 					if _, ok := held[k.Key]; !ok || k.Probability <= 0 || k.Probability > 1 || k.Reasons&k.Reason == 0 {
 						t.Fatalf("kept %+v", k)
--- a/tracing/slots.go
+++ b/tracing/slots.go
@@ -1,67 +1,67 @@
 package tracing
 
-// slots is a map from numbers that are given out in turn, with few in use at
-// once: they fall into an array by their last bits, and into a map only where
-// an older one is still there. On the core's path a map alone would cost most of
-// what tracing does.
-type slots[V any] struct {
-	at   []slot[V]
-	over map[uint64]V
-	n    int
+// directMap is a map for sequentially assigned keys of which few are in use at
+// once. An entry is stored in an array at the index given by the key's low bits,
+// and in an overflow map only if that index is still taken by an older key. A
+// plain map would account for most of the cost of tracing on the core's path.
+type directMap[V any] struct {
+	entries  []directMapEntry[V]
+	overflow map[uint64]V
+	count    int
 }
 
-type slot[V any] struct {
-	key   uint64 // 0: free
+type directMapEntry[V any] struct {
+	key   uint64 // 0 if the entry is free
 	value V
 }
 
-// newSlots returns an empty one; size is a power of two.
-func newSlots[V any](size int) slots[V] {
-	return slots[V]{at: make([]slot[V], size), over: map[uint64]V{}}
+// newDirectMap returns an empty map. size must be a power of two.
+func newDirectMap[V any](size int) directMap[V] {
+	return directMap[V]{entries: make([]directMapEntry[V], size), overflow: map[uint64]V{}}
 }
 
-func (s *slots[V]) get(key uint64) (v V, ok bool) {
-	if e := &s.at[key&uint64(len(s.at)-1)]; e.key == key {
+func (m *directMap[V]) get(key uint64) (v V, ok bool) {
+	if e := &m.entries[key&uint64(len(m.entries)-1)]; e.key == key {
 		return e.value, true
 	}
-	if len(s.over) > 0 {
-		v, ok = s.over[key]
+	if len(m.overflow) > 0 {
+		v, ok = m.overflow[key]
 	}
 	return v, ok
 }
 
-// put adds a key that is not there, and not 0.
-func (s *slots[V]) put(key uint64, v V) {
-	s.n++
-	if e := &s.at[key&uint64(len(s.at)-1)]; e.key == 0 {
+// put adds a key, which must be neither present nor 0.
+func (m *directMap[V]) put(key uint64, v V) {
+	m.count++
+	if e := &m.entries[key&uint64(len(m.entries)-1)]; e.key == 0 {
 		e.key, e.value = key, v
 		return
 	}
-	s.over[key] = v
+	m.overflow[key] = v
 }
 
-func (s *slots[V]) remove(key uint64) {
-	if e := &s.at[key&uint64(len(s.at)-1)]; e.key == key {
-		*e = slot[V]{}
-		s.n--
+func (m *directMap[V]) remove(key uint64) {
+	if e := &m.entries[key&uint64(len(m.entries)-1)]; e.key == key {
+		*e = directMapEntry[V]{}
+		m.count--
 		return
 	}
-	if len(s.over) > 0 {
-		if _, ok := s.over[key]; ok {
-			delete(s.over, key)
-			s.n--
+	if len(m.overflow) > 0 {
+		if _, ok := m.overflow[key]; ok {
+			delete(m.overflow, key)
+			m.count--
 		}
 	}
 }
 
-// each calls f with every value, in no order.
-func (s *slots[V]) each(f func(V)) {
-	for i := range s.at {
-		if s.at[i].key != 0 {
-			f(s.at[i].value)
+// forEach calls visit with every value, in unspecified order.
+func (m *directMap[V]) forEach(visit func(V)) {
+	for i := range m.entries {
+		if m.entries[i].key != 0 {
+			visit(m.entries[i].value)
 		}
 	}
-	for _, v := range s.over {
-		f(v)
+	for _, v := range m.overflow {
+		visit(v)
 	}
 }
--- a/tracing/slots_test.go
+++ b/tracing/slots_test.go
@@ -10,7 +10,7 @@
 // It is a map, whatever falls on what.
 func TestSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s, want := newSlots[int](4), map[uint64]int{}
+		s, want := newDirectMap[int](4), map[uint64]int{}
 		for range rapid.IntRange(0, 80).Draw(t, "steps") {
 			key := rapid.Uint64Range(1, 16).Draw(t, "key")
 			_, have := want[key]
@@ -23,9 +23,9 @@
 				s.put(key, int(key)*3)
 			}
 			got := map[uint64]int{}
-			s.each(func(v int) { got[uint64(v/3)] = v })
-			if s.n != len(want) || !maps.Equal(got, want) {
-				t.Fatalf("%v, %d, want %v", got, s.n, want)
+			s.forEach(func(v int) { got[uint64(v/3)] = v })
+			if s.count != len(want) || !maps.Equal(got, want) {
+				t.Fatalf("%v, %d, want %v", got, s.count, want)
 			}
 			for key := uint64(1); key <= 16; key++ {
 				if v, ok := s.get(key); v != want[key] || ok != (want[key] != 0) {
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -1,7 +1,8 @@
-// Package tracing follows every query and keeps the traces that explain a bad
-// one. A Tracer is the core's Observer and its node clients' WireObserver; the
-// sampler decides at a query's end, and one goroutine writes what is kept to
-// the spool and hands it to the exporter.
+// Package tracing records a trace of every query and keeps those that explain why
+// a query went badly (tail-based sampling). A Tracer observes the broker's core as
+// its Observer and the node clients as their WireObserver. The sampler decides at
+// the end of a query whether its trace is kept, and one writer goroutine writes the
+// kept traces to the spool and hands them to the exporter.
 package tracing
 
 import (
@@ -26,185 +27,189 @@
 )
 
 const (
-	// lateFor is how long the outcome of an attempt is awaited after its trace
-	// was written, and maxLate how many are at once.
-	lateFor = 5 * time.Second
-	maxLate = 4096
-	// maxOpen bounds the queries that are followed at once; the core bounds them
-	// closer where the settings tell a figure.
-	maxOpen   = 1 << 14
-	maxSpare  = 64 // traces that are kept for use again
-	maxFollow = 256
-	// owedEvery is how often what a disk has not taken is tried again while no trace comes.
-	owedEvery = time.Second
+	// lateOutcomeTimeout is how long the outcome of an attempt is awaited after
+	// its trace was written; maxLateAttempts bounds the attempts awaited at once.
+	lateOutcomeTimeout = 5 * time.Second
+	maxLateAttempts    = 4096
+	// maxOpenQueries bounds the queries traced at once. The core has a lower limit
+	// if one is set in the settings.
+	maxOpenQueries = 1 << 14
+	maxFreeQueries = 64  // queries pooled for reuse
+	followerBuffer = 256 // traces buffered for each follower
+	// spoolRetryInterval is how often queued spool writes are retried while no new
+	// trace is kept.
+	spoolRetryInterval = time.Second
 )
 
-// Class is what the tracer needs of a class, by its index.
+// Class describes a query class to the tracer. A query refers to it by index.
 type Class struct {
-	Name    string
-	Wanted  time.Duration // an answer within this is in time
-	Stretch float64       // and this multiple of the query's own work more
-	Most    time.Duration // but never later than this
+	Name         string
+	Objective    time.Duration // an answer within this time is on time
+	WorkFactor   float64       // multiple of the query's estimated work that is added to Objective
+	MaxObjective time.Duration // upper bound of the sum
 }
 
-// Options make a Tracer.
+// Options configure a Tracer.
 type Options struct {
-	Config  Config // with its defaults
-	Broker  string
+	Config  Config // with defaults filled in
+	Broker  string // the instance's name
 	Classes []Class
 	Log     zerolog.Logger
-	// Write takes the place of the spool's writes, in tests of a disk that fails.
+	// Write replaces the spool's file writes in tests of disk failures.
 	Write func(*os.File, []byte) (int, error)
 }
 
-// live is a query that is open, or over and waiting for the sampler's verdict.
-type live struct {
+// liveQuery is a query that is open, or has ended and awaits the sampler's decision.
+type liveQuery struct {
 	record.Trace
-	came  time.Time
-	class int
-	slot  int // in the table of open queries; -1: none
-	ended bool
+	arrived   time.Time // with the monotonic reading, which record.Trace's time lacks
+	class     int
+	tableSlot int // index in the table of open queries; -1 if it has none
+	ended     bool
 }
 
-type tryRef struct {
-	l *live
-	i int
+// attemptRef refers to an attempt by its query and its index there.
+type attemptRef struct {
+	query *liveQuery
+	index int
 }
 
-// lateRef is an attempt whose trace is written, and which may still answer.
-type lateRef struct {
-	id   record.TraceID
-	span record.SpanID
-	came time.Time
-	till time.Time
+// lateAttempt identifies an attempt that may still answer after its trace was written.
+type lateAttempt struct {
+	traceID   record.TraceID
+	querySpan record.SpanID
+	arrived   time.Time
+	expires   time.Time
 }
 
-// Tracer implements broker.Observer and broker.WireObserver.
+// Tracer records, samples, stores and exports the traces of a broker's queries. It
+// implements broker.Observer and broker.WireObserver.
 type Tracer struct {
 	opts  Options
-	start time.Time // all times are told from its monotonic reading
+	start time.Time // origin of all times, by its monotonic reading
 	stop  chan struct{}
-	wake  chan struct{} // something waits for the goroutine
+	wake  chan struct{} // tells the writer goroutine that there is work
 	done  sync.WaitGroup
 
-	spool    *spool.Spool     // the goroutine's; nil: none
-	owed     owed             // the goroutine's: what the spool's disk has not taken
-	exporter *export.Exporter // nil: none
-
-	mu      sync.Mutex
-	rng     *rand.ChaCha8
-	open    slots[*live]     // by the core's number of the query
-	byTry   slots[tryRef]    // by its number of the attempt
-	held    map[uint64]*live // over, by the sampler's key
-	lastKey uint64
-	spare   []*live
-	sampler *sample.Sampler
-	table   *spool.Table // nil: none
-	late    map[broker.AttemptID]lateRef
-	lateQ   []broker.AttemptID // in the order of their time
-	notes   []record.Note      // to be written
-	recent  ring
-	unseen  int64 // queries that were not followed
-	noted   int64 // late outcomes
-	spooled spool.Counts
-	owing   int // bytes of what is owed
-	follow  map[chan *record.Trace]bool
-	missed  int64 // traces that a reader who follows was too slow for
-	lost    bool  // the loss of the table is in the log
+	spool      *spool.Spool     // used by the writer goroutine only; nil without a spool
+	spoolQueue writeQueue       // used by the writer goroutine only
+	exporter   *export.Exporter // nil without an export
+
+	mu              sync.Mutex
+	rng             *rand.ChaCha8
+	openQueries     directMap[*liveQuery] // by the core's broker.QueryID
+	attempts        directMap[attemptRef] // by the core's broker.AttemptID
+	held            map[uint64]*liveQuery // ended queries that await the sampler's decision, by its key
+	lastKey         uint64
+	freeQueries     []*liveQuery
+	sampler         *sample.Sampler
+	table           *spool.Table // of open queries; nil without one
+	lateAttempts    map[broker.AttemptID]lateAttempt
+	lateQueue       []broker.AttemptID // keys of lateAttempts by expiry, including removed ones
+	unwrittenNotes  []record.Note      // late outcomes not yet written to the spool
+	recent          recentTraces
+	untracked       int64 // queries not traced because too many were open
+	lateOutcomes    int64 // outcomes known only after their query's end
+	lastSpoolCounts spool.Counts
+	queuedBytes     int // size of spoolQueue at the last write
+	followers       map[chan *record.Trace]bool
+	followerDrops   int64 // traces that slow followers missed
+	tableLossLogged bool
 }
 
-// Start starts a tracer. A disk that cannot be used does not keep it from
-// starting: the log says so, and traces are kept in memory alone.
-func Start(o Options) (*Tracer, error) {
+// Start starts a tracer. If the spool's disk cannot be used, Start logs it and
+// traces are kept in memory only.
+func Start(opts Options) (*Tracer, error) {
 	var seed [32]byte
 	if _, err := crand.Read(seed[:]); err != nil {
 		return nil, fmt.Errorf("seeding the tracer: %w", err)
 	}
-	c := o.Config
-	t := &Tracer{
-		opts: o, start: time.Now(), stop: make(chan struct{}), wake: make(chan struct{}, 1), rng: rand.NewChaCha8(seed),
-		open: newSlots[*live](512), byTry: newSlots[tryRef](2048), held: map[uint64]*live{},
-		late: map[broker.AttemptID]lateRef{}, follow: map[chan *record.Trace]bool{},
-		recent: ring{most: c.MemoryKB << 10 / 4},
+	cfg := opts.Config
+	tracer := &Tracer{
+		opts: opts, start: time.Now(), stop: make(chan struct{}), wake: make(chan struct{}, 1), rng: rand.NewChaCha8(seed),
+		openQueries: newDirectMap[*liveQuery](512), attempts: newDirectMap[attemptRef](2048), held: map[uint64]*liveQuery{},
+		lateAttempts: map[broker.AttemptID]lateAttempt{}, followers: map[chan *record.Trace]bool{},
+		recent: recentTraces{maxBytes: cfg.MemoryKB << 10 / 4},
 		sampler: sample.New(sample.Config{
-			Budget: c.BudgetPerS, Bytes: c.MemoryKB << 10 / 2, Usual: c.GoodShare, Asked: c.AskedPerS, Classes: len(o.Classes),
-			Slow: c.SlowQuantile, SlowLeast: 200, Seed: binary.LittleEndian.Uint64(seed[:]),
+			MaxTraces: cfg.BudgetPerS, MaxBytes: cfg.MemoryKB << 10 / 2, GoodRate: cfg.GoodShare, MaxRequested: cfg.AskedPerS, Classes: len(opts.Classes),
+			SlowQuantile: cfg.SlowQuantile, SlowMinSamples: 200, Seed: binary.LittleEndian.Uint64(seed[:]),
 		}),
 	}
-	if c.Dir != "" { // what its disk does not take shares the room of the recent ones
-		t.recent.most /= 2
-		t.owed.most = t.recent.most
-		t.openSpool()
+	if cfg.Dir != "" { // the spool queue and the recent traces share one memory budget
+		tracer.recent.maxBytes /= 2
+		tracer.spoolQueue.maxBytes = tracer.recent.maxBytes
+		tracer.openSpool()
 	}
-	if c.OTLP != nil {
+	if cfg.OTLP != nil {
 		var err error
-		t.exporter, err = export.New(export.Options{
-			Endpoint: c.OTLP.Endpoint, Broker: o.Broker, Timeout: time.Duration(c.OTLP.TimeoutMs) * time.Millisecond,
-			Limits: export.Limits{Queue: c.OTLP.Queue, Bytes: c.MemoryKB << 10 / 4, Batch: c.OTLP.Batch,
-				Wait: time.Duration(c.OTLP.WaitMs) * time.Millisecond, Back: backFirst, Most: backMost, Longest: backLongest, Tries: c.OTLP.Tries},
-			Seed: binary.LittleEndian.Uint64(seed[8:]), Log: o.Log, Now: t.now,
+		tracer.exporter, err = export.New(export.Options{
+			Endpoint: cfg.OTLP.Endpoint, Broker: opts.Broker, Timeout: time.Duration(cfg.OTLP.TimeoutMs) * time.Millisecond,
+			Limits: export.Limits{MaxTraces: cfg.OTLP.Queue, MaxBytes: cfg.MemoryKB << 10 / 4, MaxBatch: cfg.OTLP.Batch,
+				MaxBatchDelay: time.Duration(cfg.OTLP.WaitMs) * time.Millisecond, InitialBackoff: initialBackoff, MaxBackoff: maxBackoff, MaxRetryAfter: maxRetryAfter, MaxAttempts: cfg.OTLP.Tries},
+			Seed: binary.LittleEndian.Uint64(seed[8:]), Log: opts.Log, Now: tracer.now,
 		})
 		if err != nil {
-			t.closeSpool()
+			tracer.closeSpool()
 			return nil, err
 		}
 	}
-	t.done.Add(1)
-	go t.run()
-	return t, nil
+	tracer.done.Add(1)
+	go tracer.runWriter()
+	return tracer, nil
 }
 
 func (t *Tracer) now() time.Duration { return time.Since(t.start) }
 
-// openSpool takes the folder and reports what a killed broker left open.
+// openSpool opens the spool directory and records the queries that a killed broker
+// left open as interrupted.
 func (t *Tracer) openSpool() {
-	c, log := t.opts.Config, t.opts.Log
-	s, err := spool.Open(spool.Options{
-		Dir: c.Dir, Log: log, Now: t.now, Write: t.opts.Write,
-		Limits: spool.Limits{Segment: int64(c.SegmentKB) << 10, Total: int64(c.SpoolMB) << 20, Back: backFirst, Most: backMost},
+	cfg, log := t.opts.Config, t.opts.Log
+	opened, err := spool.Open(spool.Options{
+		Dir: cfg.Dir, Log: log, Now: t.now, Write: t.opts.Write,
+		Limits: spool.Limits{Segment: int64(cfg.SegmentKB) << 10, Total: int64(cfg.SpoolMB) << 20, Back: initialBackoff, Most: maxBackoff},
 	})
 	if err != nil {
-		log.Warn().Str("event", "trace-spool").Str("dir", c.Dir).Err(err).Msg("the spool cannot be used; traces are kept in memory alone")
+		log.Warn().Str("event", "trace-spool").Str("dir", cfg.Dir).Err(err).Msg("the spool cannot be opened; traces are kept in memory only")
 		return
 	}
-	t.spool = s
-	table, left, unreadable, err := spool.OpenTable(c.Dir, c.OpenQueries)
+	t.spool = opened
+	table, interrupted, unreadable, err := spool.OpenTable(cfg.Dir, cfg.OpenQueries)
 	if err != nil {
-		log.Warn().Str("event", "trace-spool").Str("dir", c.Dir).Err(err).
-			Msg("the table of open queries cannot be used; a kill will leave no evidence of them")
+		log.Warn().Str("event", "trace-spool").Str("dir", cfg.Dir).Err(err).
+			Msg("the table of open queries cannot be opened; queries that are open when the broker is killed will not be reported")
 	}
 	carried := 0
-	for _, tr := range left {
-		tr.Broker = t.opts.Broker
-		tr.Interrupt()
-		if t.write(tr) {
+	for _, trace := range interrupted {
+		trace.Broker = t.opts.Broker
+		trace.Interrupt()
+		if t.writeTrace(trace) {
 			continue
 		}
-		carried++ // the segment took none: the new table keeps it for the next start
+		carried++ // not written to the spool: the new table keeps it for the next start
 		if table != nil {
-			table.Carry(tr)
+			table.Carry(trace)
 		}
 	}
 	if table != nil {
 		if err := table.Reset(); err != nil {
-			log.Warn().Str("event", "trace-spool").Err(err).Msg("a kill will leave no evidence of open queries")
+			log.Warn().Str("event", "trace-spool").Err(err).Msg("the table of open queries cannot be reset; queries that are open when the broker is killed may not be reported")
 		}
 		t.table = table
 	}
-	if len(left)+unreadable > 0 {
-		log.Warn().Str("event", "trace-interrupted").Int("queries", len(left)).Int("unreadable", unreadable).Int("carried", carried).
-			Msg("the broker before this one ended under queries; `gannetchute trace list --reason interrupted` shows them")
+	if len(interrupted)+unreadable > 0 {
+		log.Warn().Str("event", "trace-interrupted").Int("queries", len(interrupted)).Int("unreadable", unreadable).Int("carried", carried).
+			Msg("the previous broker process ended with queries open; `gannetchute trace list --reason interrupted` shows them")
 	}
 }
 
-// write puts a trace into the spool and says whether it is there.
-func (t *Tracer) write(tr *record.Trace) bool {
+// writeTrace writes a trace to the spool and reports whether that succeeded.
+func (t *Tracer) writeTrace(tr *record.Trace) bool {
 	data, err := record.Encode(tr)
 	return err == nil && t.spool.Append(spool.KindTrace, data) == spool.DropNone
 }
 
-// Close writes and sends what is kept, and ends the tracer. No call may come
-// any more.
+// Close ends the sampler's window early, writes and sends the kept traces and stops
+// the tracer. ctx bounds the export. No method may be called after Close.
 func (t *Tracer) Close(ctx context.Context) {
 	t.EndFollowers()
 	close(t.stop)
@@ -219,19 +224,19 @@
 func (t *Tracer) closeSpool() {
 	if t.table != nil {
 		if err := t.table.Close(); err != nil {
-			t.opts.Log.Warn().Str("event", "trace-spool").Err(err).Msg("the table of open queries did not close in order")
+			t.opts.Log.Warn().Str("event", "trace-spool").Err(err).Msg("closing the table of open queries failed")
 		}
 	}
 	if t.spool != nil {
 		if err := t.spool.Close(); err != nil {
-			t.opts.Log.Warn().Str("event", "trace-spool").Err(err).Msg("the spool did not close in order")
+			t.opts.Log.Warn().Str("event", "trace-spool").Err(err).Msg("closing the spool failed")
 		}
 	}
 }
 
-// run collects at the end of each of the sampler's windows. While nothing is
-// held it sleeps.
-func (t *Tracer) run() {
+// runWriter collects kept traces at the end of each of the sampler's windows. It
+// sleeps while no trace is held and nothing waits to be written.
+func (t *Tracer) runWriter() {
 	defer t.done.Done()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -249,346 +254,356 @@
 			t.collect(false)
 		}
 		t.mu.Lock()
-		at, held := t.sampler.Next()
-		held = held || len(t.notes) > 0
+		windowEnd, waiting := t.sampler.WindowEnd()
+		waiting = waiting || len(t.unwrittenNotes) > 0
 		t.mu.Unlock()
 		switch {
-		case held:
-			timer.Reset(max(time.Millisecond, at-t.now()))
-		case len(t.owed.records) > 0:
-			timer.Reset(owedEvery)
+		case waiting:
+			timer.Reset(max(time.Millisecond, windowEnd-t.now()))
+		case len(t.spoolQueue.records) > 0:
+			timer.Reset(spoolRetryInterval)
 		}
-		armed = held
+		armed = waiting
 	}
 }
 
-// rouse wakes the goroutine; t.mu is held.
-func (t *Tracer) rouse() {
+// wakeWriter wakes the writer goroutine. The caller holds t.mu.
+func (t *Tracer) wakeWriter() {
 	select {
 	case t.wake <- struct{}{}:
 	default:
 	}
 }
 
-// collect takes what is kept from the sampler and passes it on. Slots are given
-// back only after their traces are in the spool.
-func (t *Tracer) collect(all bool) {
+// collect takes the kept traces from the sampler and passes them to the followers,
+// the exporter and the spool. If final is set, it ends the sampler's window early.
+// Slots of the table of open queries are freed only after their traces were handed
+// to the spool, so that a kill in between loses none.
+func (t *Tracer) collect(final bool) {
 	now := time.Now()
 	t.mu.Lock()
-	var kept []sample.Kept
-	if all {
-		kept = t.sampler.Flush()
+	var selections []sample.Selection
+	if final {
+		selections = t.sampler.Flush()
 	} else {
-		kept = t.sampler.Due(now.Sub(t.start))
-	}
-	traces, slots := make([]*record.Trace, 0, len(kept)), make([]int, 0, len(kept))
-	for _, k := range kept {
-		l := t.held[k.Key]
-		delete(t.held, k.Key)
-		l.Reasons, l.Kept, l.Probability = k.Reasons, k.Reason, k.Probability
-		t.awaitLate(l, now)
-		t.recent.add(&l.Trace)
-		traces, slots = append(traces, &l.Trace), append(slots, l.slot)
-		for ch := range t.follow {
+		selections = t.sampler.CloseDueWindow(now.Sub(t.start))
+	}
+	traces, tableSlots := make([]*record.Trace, 0, len(selections)), make([]int, 0, len(selections))
+	for _, selection := range selections {
+		query := t.held[selection.Key]
+		delete(t.held, selection.Key)
+		query.Reasons, query.Kept, query.Probability = selection.Reasons, selection.Reason, selection.Probability
+		t.expectLateOutcomes(query, now)
+		t.recent.add(&query.Trace)
+		traces, tableSlots = append(traces, &query.Trace), append(tableSlots, query.tableSlot)
+		for follower := range t.followers {
 			select {
-			case ch <- &l.Trace:
+			case follower <- &query.Trace:
 			default:
-				t.missed++
+				t.followerDrops++
 			}
 		}
 	}
-	for len(t.lateQ) > 0 && t.late[t.lateQ[0]].till.Before(now) {
-		delete(t.late, t.lateQ[0])
-		t.lateQ = t.lateQ[1:]
+	for len(t.lateQueue) > 0 && t.lateAttempts[t.lateQueue[0]].expires.Before(now) {
+		delete(t.lateAttempts, t.lateQueue[0])
+		t.lateQueue = t.lateQueue[1:]
 	}
-	notes := t.notes
-	t.notes = nil
-	if t.table != nil && t.table.Lost() != nil && !t.lost {
-		t.lost = true
+	notes := t.unwrittenNotes
+	t.unwrittenNotes = nil
+	if t.table != nil && t.table.Lost() != nil && !t.tableLossLogged {
+		t.tableLossLogged = true
 		t.opts.Log.Warn().Str("event", "trace-spool").Err(t.table.Lost()).
-			Msg("the table of open queries was lost; a kill will leave no evidence of them")
+			Msg("the table of open queries failed; queries that are open when the broker is killed will not be reported")
 	}
 	t.mu.Unlock()
 
 	if t.exporter != nil {
 		for _, tr := range traces {
-			t.exporter.Put(tr)
+			t.exporter.Enqueue(tr)
 		}
 	}
-	before := len(t.owed.records)
+	queuedBefore := len(t.spoolQueue.records)
 	if t.spool != nil {
-		t.store(traces, notes)
+		t.writeToSpool(traces, notes)
 	}
-	if len(traces)+len(notes)+before == 0 {
+	if len(traces)+len(notes)+queuedBefore == 0 {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.spool != nil {
-		t.spooled, t.owing = t.spoolCounts(), t.owed.bytes
+		t.lastSpoolCounts, t.queuedBytes = t.spoolCounts(), t.spoolQueue.bytes
 	}
 	if t.table != nil {
-		for _, slot := range slots {
+		for _, slot := range tableSlots {
 			t.table.Free(slot)
 		}
 	}
 }
 
-// awaitLate moves a written trace's open attempts to where their outcomes are
-// noted apart; t.mu is held.
-func (t *Tracer) awaitLate(l *live, now time.Time) {
-	for i := range l.Attempts {
-		a := &l.Attempts[i]
-		id := broker.AttemptID(a.ID)
-		if ref, ok := t.byTry.get(a.ID); !ok || ref.l != l {
+// expectLateOutcomes moves a kept trace's unanswered attempts to lateAttempts: from
+// now on their outcomes are recorded as separate notes. The caller holds t.mu.
+func (t *Tracer) expectLateOutcomes(query *liveQuery, now time.Time) {
+	for i := range query.Attempts {
+		attempt := &query.Attempts[i]
+		id := broker.AttemptID(attempt.ID)
+		if ref, ok := t.attempts.get(attempt.ID); !ok || ref.query != query {
 			continue
 		}
-		t.byTry.remove(a.ID)
-		if a.MayRun && !a.LateAt.Set() && len(t.lateQ) < maxLate {
-			t.late[id] = lateRef{l.ID, l.Span, l.came, now.Add(lateFor)}
-			t.lateQ = append(t.lateQ, id)
+		t.attempts.remove(attempt.ID)
+		if attempt.MayRun && !attempt.LateAt.Set() && len(t.lateQueue) < maxLateAttempts {
+			t.lateAttempts[id] = lateAttempt{query.ID, query.Span, query.arrived, now.Add(lateOutcomeTimeout)}
+			t.lateQueue = append(t.lateQueue, id)
 		}
 	}
 }
 
-// take returns an empty live query for a new one; t.mu is held.
-func (t *Tracer) take(q *broker.Query, at time.Time) *live {
-	var l *live
-	if n := len(t.spare); n > 0 {
-		l = t.spare[n-1]
-		t.spare = t.spare[:n-1]
-		*l = live{Trace: record.Trace{Attempts: l.Attempts[:0]}}
+// newLiveQuery returns the initial trace of a query, reusing a pooled one if there
+// is any. The caller holds t.mu.
+func (t *Tracer) newLiveQuery(q *broker.Query, at time.Time) *liveQuery {
+	var query *liveQuery
+	if n := len(t.freeQueries); n > 0 {
+		query = t.freeQueries[n-1]
+		t.freeQueries = t.freeQueries[:n-1]
+		*query = liveQuery{Trace: record.Trace{Attempts: query.Attempts[:0]}}
 	} else {
-		l = &live{Trace: record.Trace{Attempts: make([]record.Attempt, 0, len(q.Parts)+1)}}
-	}
-	l.came, l.slot, l.class = q.Came, -1, q.Class
-	l.ID, l.Parent, l.Sampled, l.State = q.Trace.ID, q.Trace.Parent, q.Trace.Sampled, q.Trace.State
-	if l.ID == (record.TraceID{}) {
-		binary.LittleEndian.PutUint64(l.ID[:], t.rng.Uint64())
-		binary.LittleEndian.PutUint64(l.ID[8:], t.rng.Uint64()|1) // zero is no id
-	}
-	binary.LittleEndian.PutUint64(l.Span[:], t.rng.Uint64()|1)
-	l.Broker, l.Query, l.Retry, l.Parts, l.Budget = t.opts.Broker, q.Name, q.Retry, len(q.Parts), q.Budget
-	// The wall clock is read once, at the start: one that steps moves no trace.
-	l.Came = t.start.Add(q.Came.Sub(t.start)).Round(0)
-	l.Taken = record.After(at.Sub(q.Came))
-	l.Verdict = record.Verdict(record.Open)
+		query = &liveQuery{Trace: record.Trace{Attempts: make([]record.Attempt, 0, len(q.Parts)+1)}}
+	}
+	query.arrived, query.tableSlot, query.class = q.Came, -1, q.Class
+	query.ID, query.Parent, query.Sampled, query.State = q.Trace.ID, q.Trace.Parent, q.Trace.Sampled, q.Trace.State
+	if query.ID == (record.TraceID{}) {
+		binary.LittleEndian.PutUint64(query.ID[:], t.rng.Uint64())
+		binary.LittleEndian.PutUint64(query.ID[8:], t.rng.Uint64()|1) // an all-zero ID is invalid
+	}
+	binary.LittleEndian.PutUint64(query.Span[:], t.rng.Uint64()|1)
+	query.Broker, query.Query, query.Retry, query.Parts, query.Budget = t.opts.Broker, q.Name, q.Retry, len(q.Parts), q.Budget
+	// The wall clock is read only when the tracer starts, so that a step of the
+	// clock does not shift traces.
+	query.Came = t.start.Add(q.Came.Sub(t.start)).Round(0)
+	query.Taken = record.After(at.Sub(q.Came))
+	query.Verdict = record.Verdict(record.Open)
 	if q.Class >= 0 && q.Class < len(t.opts.Classes) {
-		c := &t.opts.Classes[q.Class]
-		l.Class, l.Wanted = c.Name, c.Wanted
-		if c.Stretch > 0 {
+		class := &t.opts.Classes[q.Class]
+		query.Class, query.Wanted = class.Name, class.Objective
+		if class.WorkFactor > 0 {
 			work := 0.0
 			for i := range q.Parts {
 				work += q.Parts[i].WorkMs
 			}
-			l.Wanted = min(l.Wanted+time.Duration(c.Stretch*work*float64(time.Millisecond)), c.Most)
+			query.Wanted = min(query.Wanted+time.Duration(class.WorkFactor*work*float64(time.Millisecond)), class.MaxObjective)
 		}
 	}
-	return l
+	return query
 }
 
-// Taken implements broker.Observer.
+// Taken implements broker.Observer. It starts the trace of an accepted query.
 func (t *Tracer) Taken(id broker.QueryID, q *broker.Query, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.open.n >= maxOpen {
-		t.unseen++
+	if t.openQueries.count >= maxOpenQueries {
+		t.untracked++
 		return
 	}
-	l := t.take(q, at)
-	t.open.put(uint64(id), l)
+	query := t.newLiveQuery(q, at)
+	t.openQueries.put(uint64(id), query)
 	if t.table != nil {
-		l.slot = t.table.Begin(&l.Trace)
+		query.tableSlot = t.table.Begin(&query.Trace)
 	}
 }
 
-// TurnedAway implements broker.Observer.
+// TurnedAway implements broker.Observer. It records a query that was refused
+// because the core's queue was full.
 func (t *Tracer) TurnedAway(q *broker.Query, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l := t.take(q, at)
-	t.end(l, &broker.Reply{Verdict: broker.Refused}, at)
+	query := t.newLiveQuery(q, at)
+	t.endQuery(query, &broker.Reply{Verdict: broker.Refused}, at)
 }
 
-// Opened implements broker.Observer.
-func (t *Tracer) Opened(o broker.Opening) {
+// Opened implements broker.Observer. It adds an attempt to its query's trace.
+func (t *Tracer) Opened(opening broker.Opening) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	l, _ := t.open.get(uint64(o.Query))
-	if l == nil {
+	query, _ := t.openQueries.get(uint64(opening.Query))
+	if query == nil {
 		return
 	}
-	l.Attempts = append(l.Attempts, record.Attempt{
-		ID: uint64(o.ID), Span: record.AttemptSpan(l.Span, uint64(o.ID)), Shard: o.Shard, N: o.N, Node: o.Node, Cell: o.Cell,
-		Why: record.Why(o.Why), Doubt: o.Doubt, Opened: record.After(o.At.Sub(l.came)), Outcome: record.Out,
+	query.Attempts = append(query.Attempts, record.Attempt{
+		ID: uint64(opening.ID), Span: record.AttemptSpan(query.Span, uint64(opening.ID)), Shard: opening.Shard, N: opening.N, Node: opening.Node, Cell: opening.Cell,
+		Why: record.Why(opening.Why), Doubt: opening.Doubt, Opened: record.After(opening.At.Sub(query.arrived)), Outcome: record.Out,
 	})
-	i := len(l.Attempts) - 1
-	t.byTry.put(uint64(o.ID), tryRef{l, i})
-	if l.slot >= 0 {
-		t.table.Attempt(l.slot, i, &l.Attempts[i])
+	index := len(query.Attempts) - 1
+	t.attempts.put(uint64(opening.ID), attemptRef{query, index})
+	if query.tableSlot >= 0 {
+		t.table.Attempt(query.tableSlot, index, &query.Attempts[index])
 	}
 }
 
-// Cancelled implements broker.Observer.
+// Cancelled implements broker.Observer. It records when the core cancelled an attempt.
 func (t *Tracer) Cancelled(id broker.AttemptID, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if ref, ok := t.byTry.get(uint64(id)); ok {
-		ref.l.Attempts[ref.i].GaveUp = record.After(at.Sub(ref.l.came))
+	if ref, ok := t.attempts.get(uint64(id)); ok {
+		ref.query.Attempts[ref.index].GaveUp = record.After(at.Sub(ref.query.arrived))
 	}
 }
 
-// Ended implements broker.Observer.
-func (t *Tracer) Ended(id broker.AttemptID, o decide.Outcome, by broker.Cause, began, at time.Time) {
+// Ended implements broker.Observer. It records the outcome of an attempt.
+func (t *Tracer) Ended(id broker.AttemptID, outcome decide.Outcome, cause broker.Cause, answerStart, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ref, ok := t.byTry.get(uint64(id))
-	if !ok || ref.l.ended {
-		return // it was ended with its query
+	ref, ok := t.attempts.get(uint64(id))
+	if !ok || ref.query.ended {
+		return // endQuery has ended it
 	}
-	a := &ref.l.Attempts[ref.i]
-	if !began.IsZero() {
-		a.Answer = record.After(began.Sub(ref.l.came))
+	attempt := &ref.query.Attempts[ref.index]
+	if !answerStart.IsZero() {
+		attempt.Answer = record.After(answerStart.Sub(ref.query.arrived))
 	}
-	a.End(o, by != broker.ByNode, record.After(at.Sub(ref.l.came)))
-	if ref.l.slot >= 0 {
-		t.table.Ended(ref.l.slot, ref.i, a)
+	attempt.End(outcome, cause != broker.ByNode, record.After(at.Sub(ref.query.arrived)))
+	if ref.query.tableSlot >= 0 {
+		t.table.Ended(ref.query.tableSlot, ref.index, attempt)
 	}
 }
 
-// Doubted implements broker.Observer: an attempt that is out at a node that
-// comes into doubt was touched by it.
+// Doubted implements broker.Observer. It marks the open attempts at a node that
+// becomes suspected.
 func (t *Tracer) Doubted(node string, doubted bool, _ time.Time) {
 	if !doubted {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.byTry.each(func(ref tryRef) {
-		if a := &ref.l.Attempts[ref.i]; a.Node == node && !a.Ended.Set() {
-			a.Doubt = true
+	t.attempts.forEach(func(ref attemptRef) {
+		if attempt := &ref.query.Attempts[ref.index]; attempt.Node == node && !attempt.Ended.Set() {
+			attempt.Doubt = true
 		}
 	})
 }
 
-// Final implements broker.Observer.
-func (t *Tracer) Final(id broker.QueryID, r *broker.Reply, at time.Time) {
+// Final implements broker.Observer. It ends the trace of a query.
+func (t *Tracer) Final(id broker.QueryID, reply *broker.Reply, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l, ok := t.open.get(uint64(id)); ok {
-		t.open.remove(uint64(id))
-		t.end(l, r, at)
+	if query, ok := t.openQueries.get(uint64(id)); ok {
+		t.openQueries.remove(uint64(id))
+		t.endQuery(query, reply, at)
 	}
 }
 
-// end ends a query and its attempts and asks the sampler; t.mu is held.
-func (t *Tracer) end(l *live, r *broker.Reply, at time.Time) {
-	l.ended = true
-	l.Ended = record.After(at.Sub(l.came))
-	l.Verdict, l.Whole, l.RetryAfter = record.Verdict(r.Verdict), r.Whole, r.RetryAfter
-	for i := range l.Attempts {
-		if a := &l.Attempts[i]; !a.Ended.Set() {
-			// It never answered: the core has given it up, and it may still run.
-			a.End(decide.Cancelled, true, l.Ended)
+// endQuery ends a query and its open attempts and offers its trace to the sampler.
+// The caller holds t.mu.
+func (t *Tracer) endQuery(query *liveQuery, reply *broker.Reply, at time.Time) {
+	query.ended = true
+	query.Ended = record.After(at.Sub(query.arrived))
+	query.Verdict, query.Whole, query.RetryAfter = record.Verdict(reply.Verdict), reply.Whole, reply.RetryAfter
+	for i := range query.Attempts {
+		if attempt := &query.Attempts[i]; !attempt.Ended.Set() {
+			// No answer came: the core has cancelled it, but the node may still
+			// execute it.
+			attempt.End(decide.Cancelled, true, query.Ended)
 		}
 	}
-	l.Reasons = l.Judge()
+	query.Reasons = query.Judge()
 	t.lastKey++
 	key, node := t.lastKey, ""
-	if l.Reasons != 0 {
-		node = l.Culprit()
+	if query.Reasons != 0 {
+		node = query.Culprit()
 	}
-	hold, drop := t.sampler.Offer(sample.Item{
-		Key: key, At: at.Sub(t.start), Class: l.class, Node: node, Took: l.Ended.Duration(),
-		Served: r.Verdict == broker.Served, Reasons: l.Reasons, Asked: l.Sampled, Size: l.Size(),
+	hold, dropped := t.sampler.Offer(sample.Query{
+		Key: key, EndedAt: at.Sub(t.start), Class: query.class, Node: node, Latency: query.Ended.Duration(),
+		Served: reply.Verdict == broker.Served, Reasons: query.Reasons, Requested: query.Sampled, Size: query.Size(),
 	})
-	for _, k := range drop {
-		if other := t.held[k]; other != nil {
-			delete(t.held, k)
-			t.release(other)
+	for _, droppedKey := range dropped {
+		if droppedQuery := t.held[droppedKey]; droppedQuery != nil {
+			delete(t.held, droppedKey)
+			t.discard(droppedQuery)
 		}
 	}
 	if !hold {
-		t.release(l)
+		t.discard(query)
 		return
 	}
-	if t.held[key] = l; len(t.held) == 1 {
-		t.rouse()
+	if t.held[key] = query; len(t.held) == 1 {
+		t.wakeWriter()
 	}
-	if l.slot >= 0 {
-		t.table.End(l.slot, &l.Trace)
+	if query.tableSlot >= 0 {
+		t.table.End(query.tableSlot, &query.Trace)
 	}
 }
 
-// release forgets a query whose trace is not kept; t.mu is held.
-func (t *Tracer) release(l *live) {
-	for i := range l.Attempts {
-		t.byTry.remove(l.Attempts[i].ID)
+// discard frees a query whose trace is not kept. The caller holds t.mu.
+func (t *Tracer) discard(query *liveQuery) {
+	for i := range query.Attempts {
+		t.attempts.remove(query.Attempts[i].ID)
 	}
-	if l.slot >= 0 {
-		t.table.Free(l.slot)
+	if query.tableSlot >= 0 {
+		t.table.Free(query.tableSlot)
 	}
-	if len(t.spare) < maxSpare {
-		t.spare = append(t.spare, l)
+	if len(t.freeQueries) < maxFreeQueries {
+		t.freeQueries = append(t.freeQueries, query)
 	}
 }
 
-// Wire implements broker.WireObserver.
+// Wire implements broker.WireObserver. It records when an attempt's connection was dialed or
+// established, or its request sent.
 func (t *Tracer) Wire(id broker.AttemptID, phase broker.WirePhase, addr string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ref, ok := t.byTry.get(uint64(id))
-	if !ok || ref.l.ended {
+	ref, ok := t.attempts.get(uint64(id))
+	if !ok || ref.query.ended {
 		return
 	}
-	a, when := &ref.l.Attempts[ref.i], record.After(at.Sub(ref.l.came))
-	a.Addr = addr
+	attempt, offset := &ref.query.Attempts[ref.index], record.After(at.Sub(ref.query.arrived))
+	attempt.Addr = addr
 	switch phase {
 	case broker.WireDialing:
-		a.Dialed = when
+		attempt.Dialed = offset
 	case broker.WireUp:
-		a.Up = when
+		attempt.Up = offset
 	case broker.WireGone:
-		a.Gone = when
-		if ref.l.slot >= 0 {
-			t.table.Gone(ref.l.slot, ref.i, when)
+		attempt.Gone = offset
+		if ref.query.tableSlot >= 0 {
+			t.table.Gone(ref.query.tableSlot, ref.index, offset)
 		}
 		return
 	}
-	if ref.l.slot >= 0 {
-		t.table.Attempt(ref.l.slot, ref.i, a)
+	if ref.query.tableSlot >= 0 {
+		t.table.Attempt(ref.query.tableSlot, ref.index, attempt)
 	}
 }
 
-// Late implements broker.WireObserver.
-func (t *Tracer) Late(id broker.AttemptID, o decide.Outcome, at time.Time) {
+// Late implements broker.WireObserver. It records an outcome that arrived after the attempt was
+// given up: in the trace until that is written, as a separate note afterwards.
+func (t *Tracer) Late(id broker.AttemptID, lateOutcome decide.Outcome, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if ref, ok := t.byTry.get(uint64(id)); ok {
-		a, outcome := &ref.l.Attempts[ref.i], record.Outcome(o)
-		a.LateAt, a.LateOutcome = record.After(at.Sub(ref.l.came)), &outcome
-		t.noted++
+	if ref, ok := t.attempts.get(uint64(id)); ok {
+		attempt, outcome := &ref.query.Attempts[ref.index], record.Outcome(lateOutcome)
+		attempt.LateAt, attempt.LateOutcome = record.After(at.Sub(ref.query.arrived)), &outcome
+		t.lateOutcomes++
 		return
 	}
-	if ref, ok := t.late[id]; ok {
-		delete(t.late, id) // lateQ forgets it in time
-		n := record.Note{ID: ref.id, Span: ref.span, Attempt: uint64(id), At: record.After(at.Sub(ref.came)), Outcome: record.Outcome(o)}
-		t.recent.note(n)
-		t.noted++
-		if t.spool != nil && len(t.notes) < maxLate {
-			t.notes = append(t.notes, n)
-			t.rouse()
+	if ref, ok := t.lateAttempts[id]; ok {
+		delete(t.lateAttempts, id) // its entry in lateQueue is removed on expiry
+		note := record.Note{ID: ref.traceID, Span: ref.querySpan, Attempt: uint64(id), At: record.After(at.Sub(ref.arrived)), Outcome: record.Outcome(lateOutcome)}
+		t.recent.applyNote(note)
+		t.lateOutcomes++
+		if t.spool != nil && len(t.unwrittenNotes) < maxLateAttempts {
+			t.unwrittenNotes = append(t.unwrittenNotes, note)
+			t.wakeWriter()
 		}
 	}
 }
 
-// Carry implements broker.WireObserver.
+// Carry implements broker.WireObserver. It returns the W3C trace context headers of an
+// attempt's request, with the attempt as the parent.
 func (t *Tracer) Carry(id broker.AttemptID) (traceparent, tracestate string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ref, ok := t.byTry.get(uint64(id))
+	ref, ok := t.attempts.get(uint64(id))
 	if !ok {
 		return "", ""
 	}
-	return tracecontext.Format(ref.l.ID, ref.l.Attempts[ref.i].Span, ref.l.Sampled), ref.l.State
+	return tracecontext.Format(ref.query.ID, ref.query.Attempts[ref.index].Span, ref.query.Sampled), ref.query.State
 }
--- a/tracing/tracer_test.go
+++ b/tracing/tracer_test.go
@@ -29,7 +29,7 @@
 		c.GoodShare = 1e-9
 	}
 	tr, err := Start(Options{Config: c.WithDefaults(), Broker: "n1", Log: zerolog.New(log), Write: write,
-		Classes: []Class{{Name: "screen", Wanted: time.Second}, {Name: "edit", Wanted: 100 * time.Millisecond}}})
+		Classes: []Class{{Name: "screen", Objective: time.Second}, {Name: "edit", Objective: 100 * time.Millisecond}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got  %v\nwant %v", got, want)
 	}
-	if n := tr.open.n + tr.byTry.n + len(tr.held); n != 0 {
+	if n := tr.openQueries.count + tr.attempts.count + len(tr.held); n != 0 {
 		t.Errorf("%d things are still held", n)
 	}
 	tr.Close(context.Background())
@@ -268,7 +268,7 @@
 		t.Errorf("counted as not written: %v, want 2", n)
 	}
 	full = false
-	tr.start = tr.start.Add(-backMost) // the pause after a failure is over
+	tr.start = tr.start.Add(-maxBackoff) // the pause after a failure is over
 	ended(3)
 	onDisk := func() (names []string) {
 		traces, bad, err := ReadDir(dir, record.Filter{})
@@ -294,7 +294,7 @@
 		}
 	}
 	full = false
-	tr.start = tr.start.Add(-backMost)
+	tr.start = tr.start.Add(-maxBackoff)
 	tr.Close(context.Background()) // the last chance
 	if got := onDisk(); len(got) < 20 || got[len(got)-1] != "q399" {
 		t.Errorf("on disk at the end: %d, the last %v", len(got), got[len(got)-1:])
@@ -360,7 +360,7 @@
 	tr.Taken(1, q, tr.start)
 	tr.Opened(broker.Opening{ID: 7, Query: 1, At: tr.start})
 	parent, state := tr.Carry(7)
-	l, _ := tr.open.get(1)
+	l, _ := tr.openQueries.get(1)
 	span := l.Attempts[0].Span
 	if want := "00-ab000000000000000000000000000000-" + span.String() + "-01"; parent != want || state != "a=1" {
 		t.Errorf("got %q, %q, want %q", parent, state, want)
