--- a/tracing/export/exporter.go
+++ b/tracing/export/exporter.go
@@ -20,18 +20,18 @@
 	"onyxsail/tracing/record"
 )
 
-// Options make an Exporter.
+// Options configure an Exporter.
 type Options struct {
-	Endpoint string // host:port of a collector that takes OTLP over plain HTTP
+	Endpoint string // host:port of a collector that accepts OTLP over plain HTTP
 	Broker   string // the instance's name
 	Limits   Limits
 	Timeout  time.Duration // of one request
-	Seed     uint64
+	Seed     uint64        // of the backoff's jitter
 	Log      zerolog.Logger
-	Now      func() time.Duration // since a moment of the caller's
+	Now      func() time.Duration // time since an origin of the caller's choice
 }
 
-// Exporter owns the queue and the one goroutine that sends.
+// Exporter queues traces and sends them in batches from one goroutine.
 type Exporter struct {
 	opts     Options
 	client   otlptrace.Client
@@ -43,60 +43,60 @@
 	mu           sync.Mutex
 	scheduler    *Scheduler
 	queue        []*record.Trace
-	loggedResult Result // the state of the collector that the log knows
+	loggedResult Result // last result, so that only changes are logged
 }
 
-// watcher keeps what the collector last answered: the library's client tells
-// a failure's kind and Retry-After in words only.
+// responseRecorder is a transport that records the collector's last response. The
+// OTLP client returns the status and Retry-After of a failure only as error text.
 type responseRecorder struct {
 	next          http.RoundTripper
-	status        atomic.Int64
-	retryAfterNs  atomic.Int64 // nanoseconds
-	rejectedSpans atomic.Int64 // spans of an accepted request
+	status        atomic.Int64 // 0 without a response
+	retryAfterNs  atomic.Int64
+	rejectedSpans atomic.Int64 // of an accepted request
 }
 
-// maxAnswer bounds what is read of a collector's answer.
+// maxResponseBytes bounds how much of a collector's response body is read.
 const maxResponseBytes = 64 << 10
 
-// RoundTrip implements http.RoundTripper.
-func (w *responseRecorder) RoundTrip(r *http.Request) (*http.Response, error) {
-	w.status.Store(0)
-	w.retryAfterNs.Store(0)
-	w.rejectedSpans.Store(0)
-	res, err := w.next.RoundTrip(r)
+// RoundTrip implements http.RoundTripper. It records the response.
+func (rec *responseRecorder) RoundTrip(req *http.Request) (*http.Response, error) {
+	rec.status.Store(0)
+	rec.retryAfterNs.Store(0)
+	rec.rejectedSpans.Store(0)
+	resp, err := rec.next.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
-	_ = res.Body.Close()
-	w.status.Store(int64(res.StatusCode))
-	w.retryAfterNs.Store(int64(parseRetryAfter(res.Header.Get("Retry-After"), time.Now())))
-	var answer coltracepb.ExportTraceServiceResponse
-	if err == nil && res.Header.Get("Content-Type") == "application/x-protobuf" && proto.Unmarshal(body, &answer) == nil {
-		w.rejectedSpans.Store(max(0, answer.GetPartialSuccess().GetRejectedSpans()))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	_ = resp.Body.Close()
+	rec.status.Store(int64(resp.StatusCode))
+	rec.retryAfterNs.Store(int64(parseRetryAfter(resp.Header.Get("Retry-After"), time.Now())))
+	var exportResponse coltracepb.ExportTraceServiceResponse
+	if err == nil && resp.Header.Get("Content-Type") == "application/x-protobuf" && proto.Unmarshal(body, &exportResponse) == nil {
+		rec.rejectedSpans.Store(max(0, exportResponse.GetPartialSuccess().GetRejectedSpans()))
 	}
-	res.Body = io.NopCloser(bytes.NewReader(body))
-	return res, nil
+	resp.Body = io.NopCloser(bytes.NewReader(body))
+	return resp, nil
 }
 
-// retryAfter reads the header of RFC 9110, section 10.2.3: seconds, or a date.
-// What cannot be read counts for nothing.
-func parseRetryAfter(text string, now time.Time) time.Duration {
-	if s, err := strconv.ParseUint(text, 10, 31); err == nil {
-		return time.Duration(s) * time.Second
+// parseRetryAfter parses a Retry-After header (RFC 9110, section 10.2.3): seconds or
+// a date. It returns 0 if the header is missing or malformed.
+func parseRetryAfter(header string, now time.Time) time.Duration {
+	if seconds, err := strconv.ParseUint(header, 10, 31); err == nil {
+		return time.Duration(seconds) * time.Second
 	}
-	if t, err := http.ParseTime(text); err == nil {
-		return max(0, t.Sub(now))
+	if date, err := http.ParseTime(header); err == nil {
+		return max(0, date.Sub(now))
 	}
 	return 0
 }
 
-// New starts an exporter. The collector need not be there.
+// New starts an exporter. The collector need not be reachable yet.
 func New(opts Options) (*Exporter, error) {
 	recorder := &responseRecorder{next: &http.Transport{MaxIdleConns: 1, MaxConnsPerHost: 1, IdleConnTimeout: 30 * time.Second}}
 	client := otlptracehttp.NewClient(
 		otlptracehttp.WithEndpoint(opts.Endpoint), otlptracehttp.WithInsecure(), otlptracehttp.WithTimeout(opts.Timeout),
-		otlptracehttp.WithRetry(otlptracehttp.RetryConfig{Enabled: false}), // the plan's to decide
+		otlptracehttp.WithRetry(otlptracehttp.RetryConfig{Enabled: false}), // the Scheduler decides on retries
 		otlptracehttp.WithHTTPClient(&http.Client{Transport: recorder, Timeout: opts.Timeout,
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}),
 	)
@@ -111,7 +111,8 @@
 	return e, nil
 }
 
-// Put queues a trace, which must not change any more. It never blocks.
+// Enqueue queues a trace, which must not be modified any more, or drops it if the
+// queue is full. It does not wait for the collector.
 func (e *Exporter) Enqueue(t *record.Trace) {
 	e.mu.Lock()
 	if e.scheduler.Enqueue(e.opts.Now(), t.Size()) {
@@ -124,14 +125,15 @@
 	}
 }
 
-// Counts returns the totals.
+// Counts returns the totals and the present size of the queue.
 func (e *Exporter) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.scheduler.Counts()
 }
 
-// Close gives what waits a last request, within ctx, and ends the goroutine.
+// Close stops the goroutine, sends the queued traces until ctx ends or a request
+// would have to be retried, and drops the rest.
 func (e *Exporter) Close(ctx context.Context) {
 	e.cancel()
 	e.done.Wait()
@@ -148,9 +150,10 @@
 	e.scheduler.Stop()
 	e.queue = nil
 	e.mu.Unlock()
-	_ = e.client.Stop(ctx) // it holds nothing by now
+	_ = e.client.Stop(ctx) // the client holds no traces of its own
 }
 
+// run sends batches as they become due, until ctx ends.
 func (e *Exporter) run(ctx context.Context) {
 	defer e.done.Done()
 	timer := time.NewTimer(0)
@@ -163,31 +166,31 @@
 		case <-timer.C:
 		}
 		for ctx.Err() == nil {
-			sent, retryAt := e.sendBatch(ctx)
+			sent, wakeAt := e.sendBatch(ctx)
 			if sent {
 				continue
 			}
-			if retryAt > 0 {
-				timer.Reset(max(0, retryAt-e.opts.Now()))
+			if wakeAt > 0 {
+				timer.Reset(max(0, wakeAt-e.opts.Now()))
 			}
 			break
 		}
 	}
 }
 
-// once sends a batch if one is due; else at is when one may be, 0 for not
-// before a trace comes.
-func (e *Exporter) sendBatch(ctx context.Context) (sent bool, retryAt time.Duration) {
+// sendBatch sends a batch if one is due. Otherwise wakeAt is when to call again, or
+// 0 if not before a trace is queued.
+func (e *Exporter) sendBatch(ctx context.Context) (sent bool, wakeAt time.Duration) {
 	e.mu.Lock()
-	n, retryAt := e.scheduler.NextBatch(e.opts.Now())
+	n, wakeAt := e.scheduler.NextBatch(e.opts.Now())
 	batch := append([]*record.Trace(nil), e.queue[:n]...)
 	e.mu.Unlock()
 	if n == 0 {
-		return false, retryAt
+		return false, wakeAt
 	}
 	spans := Spans(e.opts.Broker, batch)
 	err := e.client.UploadTraces(ctx, spans)
-	result, retryAfter, rejected := e.classify(len(spans[0].ScopeSpans[0].Spans), n)
+	result, retryAfter, rejected := e.classifyResponse(len(spans[0].ScopeSpans[0].Spans), n)
 	e.mu.Lock()
 	removed := e.scheduler.Complete(e.opts.Now(), result, retryAfter, rejected)
 	e.queue = append(e.queue[:0:0], e.queue[removed:]...)
@@ -195,24 +198,25 @@
 	e.loggedResult = result
 	e.mu.Unlock()
 	if changed && result == Accepted {
-		e.opts.Log.Info().Str("event", "trace-export").Str("endpoint", e.opts.Endpoint).Msg("the collector takes traces again")
+		e.opts.Log.Info().Str("event", "trace-export").Str("endpoint", e.opts.Endpoint).Msg("the collector accepts traces again")
 	} else if changed {
 		e.opts.Log.Warn().Str("event", "trace-export").Str("endpoint", e.opts.Endpoint).Int64("status", e.recorder.status.Load()).
-			Dur("retry_after", retryAfter).Err(err).Msg("the collector did not take traces; they wait, and beyond the queue are dropped")
+			Dur("retry_after", retryAfter).Err(err).Msg("exporting traces to the collector failed; they are retried, or dropped if it refuses them or the queue is full")
 	}
 	return true, 0
 }
 
-// classify reads the last answer as the protocol's page says (OTLP 1.x, section
-// "OTLP/HTTP Response").
-func (e *Exporter) classify(spans, traces int) (result Result, retryAfter time.Duration, rejected int) {
+// classifyResponse interprets the recorded response as specified by OTLP 1.x,
+// section "OTLP/HTTP Response". rejected is a number of traces.
+func (e *Exporter) classifyResponse(spans, traces int) (result Result, retryAfter time.Duration, rejected int) {
 	switch status := e.recorder.status.Load(); {
 	case status == 0:
 		return NoResponse, 0, 0
 	case status >= 200 && status < 300:
-		// The collector counts spans; as traces that is an estimate, rounded up.
-		n := min(int(e.recorder.rejectedSpans.Load()), spans)
-		return Accepted, 0, (n*traces + spans - 1) / max(1, spans)
+		// The collector counts rejected spans. The number of traces is estimated
+		// from it, rounded up.
+		rejectedSpans := min(int(e.recorder.rejectedSpans.Load()), spans)
+		return Accepted, 0, (rejectedSpans*traces + spans - 1) / max(1, spans)
 	case status == http.StatusTooManyRequests || status == http.StatusBadGateway ||
 		status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout:
 		return RetryableError, time.Duration(e.recorder.retryAfterNs.Load()), 0
--- a/tracing/export/otlp.go
+++ b/tracing/export/otlp.go
@@ -13,6 +13,7 @@
 	"onyxsail/tracing/record"
 )
 
+// serviceName is the name of the service and of the instrumentation scope.
 const serviceName = "gannetchute"
 
 func stringAttribute(key, value string) *commonpb.KeyValue {
@@ -31,9 +32,10 @@
 	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_DoubleValue{DoubleValue: value}}}
 }
 
-// Spans renders traces as OTLP: the query is a server's span, each attempt a
-// client's span below it, and what the wire saw its events.
-func Spans(brokerName string, traces []*record.Trace) []*tracepb.ResourceSpans {
+// Spans converts traces to OTLP. A query becomes a server span, each of its attempts
+// a client span below it, and the steps of an attempt on its connection events of its
+// span.
+func Spans(instance string, traces []*record.Trace) []*tracepb.ResourceSpans {
 	var spans []*tracepb.Span
 	for _, t := range traces {
 		spans = append(spans, querySpan(t))
@@ -43,18 +45,20 @@
 	}
 	return []*tracepb.ResourceSpans{{
 		Resource: &resourcepb.Resource{Attributes: []*commonpb.KeyValue{
-			stringAttribute("service.name", serviceName), stringAttribute("service.instance.id", brokerName),
+			stringAttribute("service.name", serviceName), stringAttribute("service.instance.id", instance),
 		}},
 		ScopeSpans: []*tracepb.ScopeSpans{{Scope: &commonpb.InstrumentationScope{Name: serviceName}, Spans: spans}},
 	}}
 }
 
+// unixNano returns the wall-clock time of an offset from the query's arrival.
 func unixNano(t *record.Trace, offset time.Duration) uint64 {
 	return uint64(max(0, t.Came.Add(offset).UnixNano()))
 }
 
+// querySpan returns the server span of a query.
 func querySpan(t *record.Trace) *tracepb.Span {
-	s := &tracepb.Span{
+	span := &tracepb.Span{
 		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), t.Span[:]...), TraceState: t.State,
 		Name: t.Class, Kind: tracepb.Span_SPAN_KIND_SERVER,
 		StartTimeUnixNano: unixNano(t, 0), EndTimeUnixNano: unixNano(t, t.Took()),
@@ -67,62 +71,65 @@
 		Status: &tracepb.Status{},
 	}
 	if t.Parent != (record.SpanID{}) {
-		s.ParentSpanId = append([]byte(nil), t.Parent[:]...)
+		span.ParentSpanId = append([]byte(nil), t.Parent[:]...)
 	}
-	switch v := broker.Verdict(t.Verdict); v {
+	switch verdict := broker.Verdict(t.Verdict); verdict {
 	case broker.Served:
-		s.Status.Code = tracepb.Status_STATUS_CODE_OK
+		span.Status.Code = tracepb.Status_STATUS_CODE_OK
 	case broker.Left:
 	default:
-		s.Status.Code, s.Status.Message = tracepb.Status_STATUS_CODE_ERROR, t.Verdict.String()
+		span.Status.Code, span.Status.Message = tracepb.Status_STATUS_CODE_ERROR, t.Verdict.String()
 	}
 	if t.Taken.Set() {
-		s.Events = append(s.Events, event(t, "taken", t.Taken))
+		span.Events = append(span.Events, event(t, "taken", t.Taken))
 	}
-	return s
+	return span
 }
 
+// event returns a span event at an offset from the query's arrival.
 func event(t *record.Trace, name string, offset record.Offset) *tracepb.Span_Event {
 	return &tracepb.Span_Event{Name: name, TimeUnixNano: unixNano(t, offset.Duration())}
 }
 
-func attemptSpan(t *record.Trace, a *record.Attempt) *tracepb.Span {
-	end := a.Ended.Duration()
-	if !a.Ended.Set() {
-		end = max(t.Took(), a.Opened.Duration())
+// attemptSpan returns the client span of an attempt. An attempt without an outcome
+// ends with its query.
+func attemptSpan(t *record.Trace, attempt *record.Attempt) *tracepb.Span {
+	end := attempt.Ended.Duration()
+	if !attempt.Ended.Set() {
+		end = max(t.Took(), attempt.Opened.Duration())
 	}
-	s := &tracepb.Span{
-		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), a.Span[:]...),
+	span := &tracepb.Span{
+		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), attempt.Span[:]...),
 		ParentSpanId: append([]byte(nil), t.Span[:]...), TraceState: t.State,
-		Name: fmt.Sprintf("part %d, %s", a.Shard, a.Why), Kind: tracepb.Span_SPAN_KIND_CLIENT,
-		StartTimeUnixNano: unixNano(t, a.Opened.Duration()), EndTimeUnixNano: unixNano(t, end),
+		Name: fmt.Sprintf("part %d, %s", attempt.Shard, attempt.Why), Kind: tracepb.Span_SPAN_KIND_CLIENT,
+		StartTimeUnixNano: unixNano(t, attempt.Opened.Duration()), EndTimeUnixNano: unixNano(t, end),
 		Attributes: []*commonpb.KeyValue{
-			intAttribute("gannetchute.shard", int64(a.Shard)), intAttribute("gannetchute.attempt", int64(a.N)),
-			stringAttribute("gannetchute.why", a.Why.String()), stringAttribute("gannetchute.node", a.Node), intAttribute("gannetchute.cell", int64(a.Cell)),
-			stringAttribute("server.address", a.Addr), stringAttribute("gannetchute.outcome", a.Outcome.String()),
-			boolAttribute("gannetchute.may_run", a.MayRun), boolAttribute("gannetchute.doubt", a.Doubt), boolAttribute("gannetchute.ours", a.Ours),
+			intAttribute("gannetchute.shard", int64(attempt.Shard)), intAttribute("gannetchute.attempt", int64(attempt.N)),
+			stringAttribute("gannetchute.why", attempt.Why.String()), stringAttribute("gannetchute.node", attempt.Node), intAttribute("gannetchute.cell", int64(attempt.Cell)),
+			stringAttribute("server.address", attempt.Addr), stringAttribute("gannetchute.outcome", attempt.Outcome.String()),
+			boolAttribute("gannetchute.may_run", attempt.MayRun), boolAttribute("gannetchute.doubt", attempt.Doubt), boolAttribute("gannetchute.ours", attempt.Ours),
 		},
 		Status: &tracepb.Status{},
 	}
-	switch decide.Outcome(a.Outcome) {
+	switch decide.Outcome(attempt.Outcome) {
 	case decide.OK:
-		s.Status.Code = tracepb.Status_STATUS_CODE_OK
+		span.Status.Code = tracepb.Status_STATUS_CODE_OK
 	case decide.Cancelled:
 	default:
-		s.Status.Code, s.Status.Message = tracepb.Status_STATUS_CODE_ERROR, a.Outcome.String()
+		span.Status.Code, span.Status.Message = tracepb.Status_STATUS_CODE_ERROR, attempt.Outcome.String()
 	}
-	for _, e := range []struct {
+	for _, ev := range []struct {
 		name string
 		at   record.Offset
-	}{{"dialed", a.Dialed}, {"up", a.Up}, {"gone", a.Gone}, {"answer", a.Answer}, {"gave-up", a.GaveUp}} {
-		if e.at.Set() {
-			s.Events = append(s.Events, event(t, e.name, e.at))
+	}{{"dialed", attempt.Dialed}, {"up", attempt.Up}, {"gone", attempt.Gone}, {"answer", attempt.Answer}, {"gave-up", attempt.GaveUp}} {
+		if ev.at.Set() {
+			span.Events = append(span.Events, event(t, ev.name, ev.at))
 		}
 	}
-	if a.LateAt.Set() && a.LateOutcome != nil {
-		e := event(t, "late-outcome", a.LateAt)
-		e.Attributes = []*commonpb.KeyValue{stringAttribute("gannetchute.outcome", a.LateOutcome.String())}
-		s.Events = append(s.Events, e)
+	if attempt.LateAt.Set() && attempt.LateOutcome != nil {
+		ev := event(t, "late-outcome", attempt.LateAt)
+		ev.Attributes = []*commonpb.KeyValue{stringAttribute("gannetchute.outcome", attempt.LateOutcome.String())}
+		span.Events = append(span.Events, ev)
 	}
-	return s
+	return span
 }
--- a/tracing/export/plan.go
+++ b/tracing/export/plan.go
@@ -1,4 +1,4 @@
-// Package export sends kept traces to a collector by OTLP.
+// Package export sends kept traces to an OpenTelemetry collector by OTLP over HTTP.
 package export
 
 import (
@@ -6,92 +6,93 @@
 	"time"
 )
 
-// Limits bound an exporter.
+// Limits bounds an Exporter's queue, batches and retries.
 type Limits struct {
-	MaxTraces      int           // traces that wait
-	MaxBytes       int           // and their bytes
-	MaxBatch       int           // traces of one request
-	MaxBatchDelay  time.Duration // how long a trace waits for others at most
-	InitialBackoff time.Duration // first pause after a failure; doubled at each further one
-	MaxBackoff     time.Duration // longest of these pauses
-	// Longest bounds the pause that a collector asks for.
+	MaxTraces      int           // queued traces
+	MaxBytes       int           // size of the queued traces
+	MaxBatch       int           // traces per request
+	MaxBatchDelay  time.Duration // longest time a trace waits for its batch to fill
+	InitialBackoff time.Duration // backoff after the first failure, doubled after each further one
+	MaxBackoff     time.Duration // longest backoff
+	// MaxRetryAfter is the longest delay accepted from a collector's Retry-After.
 	MaxRetryAfter time.Duration
-	MaxAttempts   int // requests for one batch
+	MaxAttempts   int // requests per batch
 }
 
-// Cause says why a trace was not delivered.
+// DropCause says why a trace was not delivered.
 type DropCause string
 
-// The causes.
+// The causes for which traces are dropped.
 const (
-	QueueFull         DropCause = "queue-full" // it came while the queue was full
-	Refused           DropCause = "refused"    // the collector will never take it
-	AttemptsExhausted DropCause = "gave-up"    // all tries failed
-	Rejected          DropCause = "rejected"   // the collector took its batch, but not all of it
-	Stopped           DropCause = "stopped"    // the broker ended first
+	QueueFull         DropCause = "queue-full" // the queue was full
+	Refused           DropCause = "refused"    // the collector answered with an error that is not retryable
+	AttemptsExhausted DropCause = "gave-up"    // MaxAttempts requests failed
+	Rejected          DropCause = "rejected"   // the collector accepted only part of the batch
+	Stopped           DropCause = "stopped"    // the exporter was closed first
 )
 
-// Answer is what became of a request.
+// Result is the outcome of an export request.
 type Result uint8
 
-// The answers.
+// The outcomes of an export request.
 const (
 	Accepted       Result = iota
-	RetryableError        // the collector asks for another try (429, 502, 503 and 504, by OTLP)
-	NoResponse            // no answer: not reached, reset, or out of time
-	PermanentError        // any other answer
+	RetryableError        // a status that OTLP defines as retryable: 429, 502, 503 or 504
+	NoResponse            // connection failed or reset, or request timed out
+	PermanentError        // any other status
 )
 
-// Plan decides when batches leave, how large they are, when they are sent again
-// and which traces are dropped. It does no I/O and reads no clock.
+// Scheduler decides when batches are sent, how large they are, when they are retried
+// and which traces are dropped. It does no I/O and reads no clock. The queue itself
+// is kept by the caller, in the same order.
 type Scheduler struct {
-	limits     Limits
-	rng        *rand.Rand
-	sizes      []int // of the traces that wait, the first to leave first
-	bytes      int
-	batchStart time.Duration // when the longest waiting trace came
-	inFlight   int           // of those waiting, the size of the batch that is out
-	attempts   int           // of the present batch
-	batchSize  int           // its size, kept over its tries
-	backoff    time.Duration
-	notBefore  time.Duration
-	dropped    map[DropCause]int64
-	sent       int64
-	retries    int64
+	limits       Limits
+	rng          *rand.Rand
+	sizes        []int // of the queued traces, in order
+	bytes        int
+	waitingSince time.Duration // start of the MaxBatchDelay of the next batch
+	inFlight     int           // queued traces in the request that is in flight
+	attempts     int           // requests made for the current batch
+	batchSize    int           // traces in the current batch, the same for all its attempts
+	backoff      time.Duration // current backoff, before jitter
+	notBefore    time.Duration // earliest time of the next request
+	dropped      map[DropCause]int64
+	sent         int64
+	retries      int64
 }
 
-// NewPlan returns a plan with an empty queue.
+// NewScheduler returns a Scheduler with an empty queue.
 func NewScheduler(limits Limits, seed uint64) *Scheduler {
 	return &Scheduler{limits: limits, rng: rand.New(rand.NewPCG(seed, 0x6f746c70)), dropped: map[DropCause]int64{}}
 }
 
-// Put asks for room for one more trace of so many bytes; false says that it is
-// dropped.
+// Enqueue reports whether a trace of the given size in bytes fits into the queue,
+// and adds it. If it does not fit, it counts as dropped.
 func (s *Scheduler) Enqueue(now time.Duration, size int) bool {
 	if len(s.sizes) >= s.limits.MaxTraces || s.bytes+size > s.limits.MaxBytes {
 		s.dropped[QueueFull]++
 		return false
 	}
 	if len(s.sizes) == s.inFlight {
-		s.batchStart = now
+		s.waitingSince = now
 	}
 	s.sizes = append(s.sizes, size)
 	s.bytes += size
 	return true
 }
 
-// Next says how many traces leave now, from the front of the queue; 0: none,
-// and at is when to ask again, 0 where only a new trace or an answer can change
-// that. Answered must follow a batch before the next one.
-func (s *Scheduler) NextBatch(now time.Duration) (n int, retryAt time.Duration) {
+// NextBatch returns how many traces, from the front of the queue, are to be sent now.
+// If n is 0, wakeAt is when to call again; if that is 0 too, not before Enqueue or
+// Complete. After a batch, Complete must be called before the next one.
+func (s *Scheduler) NextBatch(now time.Duration) (n int, wakeAt time.Duration) {
 	if s.inFlight > 0 || len(s.sizes) == 0 {
 		return 0, 0
 	}
 	if now < s.notBefore {
 		return 0, s.notBefore
 	}
-	if s.batchSize == 0 { // a new one, and not a further try
-		if due := s.batchStart + s.limits.MaxBatchDelay; len(s.sizes) < s.limits.MaxBatch && now < due {
+	if s.batchSize == 0 { // a new batch, not a retry
+		if due := s.waitingSince + s.limits.MaxBatchDelay; len(s.sizes) < s.limits.MaxBatch && now < due {
 			return 0, due
 		}
 		s.batchSize = min(len(s.sizes), s.limits.MaxBatch)
@@ -101,10 +102,10 @@
 	return s.inFlight, 0
 }
 
-// Answered takes in what became of the batch that is out. after is when the
-// collector wants the next request, 0 for no word; rejected is how many traces
-// of an accepted batch it did not take. It returns how many traces leave the
-// front of the queue: none where they are to be sent again.
+// Complete reports the result of the batch in flight. retryAfter is the delay that
+// the collector asked for, or 0; rejected is the number of traces of an accepted
+// batch that it did not accept. Complete returns how many traces to remove from the
+// front of the queue: none if they are to be retried.
 func (s *Scheduler) Complete(now time.Duration, result Result, retryAfter time.Duration, rejected int) (removed int) {
 	removed = s.inFlight
 	s.inFlight = 0
@@ -117,8 +118,8 @@
 	case PermanentError:
 		s.drop(Refused, removed)
 	default:
-		// Full jitter (Brooker, "Exponential Backoff And Jitter", 2015) over the
-		// upper half, so that many brokers do not come back together.
+		// Exponential backoff with equal jitter (Brooker, "Exponential Backoff And
+		// Jitter", 2015), so that many brokers do not retry at the same time.
 		s.backoff = min(max(2*s.backoff, s.limits.InitialBackoff), s.limits.MaxBackoff)
 		backoff := s.backoff/2 + time.Duration(s.rng.Float64()*float64(s.backoff/2))
 		s.notBefore = now + max(backoff, min(retryAfter, s.limits.MaxRetryAfter))
@@ -133,11 +134,11 @@
 	}
 	s.sizes = append(s.sizes[:0], s.sizes[removed:]...)
 	s.batchSize, s.attempts = 0, 0
-	s.batchStart = now
+	s.waitingSince = now
 	return removed
 }
 
-// Stop drops all that waits.
+// Stop drops all queued traces.
 func (s *Scheduler) Stop() {
 	s.drop(Stopped, len(s.sizes))
 	s.sizes, s.bytes, s.inFlight, s.batchSize = nil, 0, 0, 0
@@ -149,16 +150,16 @@
 	}
 }
 
-// Counts are totals since the start, and what waits.
+// Counts holds totals since the start and the present size of the queue.
 type Counts struct {
 	Sent    int64               `json:"sent"`
-	Retries int64               `json:"again"` // requests that had to be sent again
+	Retries int64               `json:"again"` // failed requests whose batch was retried
 	Queued  int                 `json:"waiting"`
-	Bytes   int                 `json:"bytes"`
+	Bytes   int                 `json:"bytes"` // size of the queued traces
 	Dropped map[DropCause]int64 `json:"dropped,omitempty"`
 }
 
-// Counts returns the totals.
+// Counts returns the totals and the present size of the queue.
 func (s *Scheduler) Counts() Counts {
 	c := Counts{Sent: s.sent, Retries: s.retries, Queued: len(s.sizes), Bytes: s.bytes, Dropped: map[DropCause]int64{}}
 	for cause, n := range s.dropped {
--- a/tracing/sample/sample.go
+++ b/tracing/sample/sample.go
@@ -1,16 +1,16 @@
-// Package sample decides at a query's end whether its trace is kept. It does
-// no I/O and reads no clock: queries and times go in, verdicts come out, and
-// the same seed and inputs give the same verdicts.
+// Package sample decides at a query's end whether its trace is kept (tail-based
+// sampling). It does no I/O and reads no clock: queries and times are passed in,
+// and the same seed and inputs give the same decisions.
 //
-// Decisions fall in windows. What may be kept is held until its window ends;
-// where more comes than the budget or the memory allows, the fullest group
-// gives up a trace: of the reasons the one with most held, of its classes the
-// one with most, of that one's nodes the one with most. So a reason with few
-// traces never loses one to a reason with many (max-min fairness). Inside a
-// group each trace draws a random priority once, and those of least priority
-// stay: a uniform sample without replacement of all that the group saw (bottom-k
-// sampling; Cohen and Kaplan, 2007), so that held over seen is the probability
-// that an estimate needs.
+// Decisions are made per time window. Candidate traces are held until the window
+// ends. If they exceed the limit of traces or of bytes, the fullest reservoir
+// drops a trace: the reason with the most held traces is chosen, then its class
+// with the most, then that class's node with the most. So a reason with few traces
+// never loses one to a reason with many (max-min fairness). Within a reservoir each
+// trace is given a random priority once, and the traces of lowest priority are kept.
+// This is a uniform sample without replacement of all traces that the reservoir saw
+// (bottom-k sampling; Cohen and Kaplan, 2007), so held divided by seen is the
+// sampling probability, by whose inverse estimates weight a trace.
 package sample
 
 import (
@@ -26,11 +26,13 @@
 )
 
 const (
-	reasonBits = 16 // bits of record.Reasons
-	// maxGroups bounds the groups of one window; beyond it nodes are not told
-	// apart.
+	reasonBits = 16 // width of record.Reasons in bits
+	// maxReservoirs bounds the reservoirs of one window. Beyond it, traces are
+	// grouped by reason and class only, regardless of the node.
 	maxReservoirs = 4096
-	// Latencies are kept in units of unit up to longest, over spans of span.
+	// Each class has a sliding-window histogram of its latencies, made up of
+	// histogramIntervals intervals of histogramInterval each. Latencies are
+	// recorded in multiples of latencyUnit, up to maxLatency.
 	latencyUnit        = 100 * time.Microsecond
 	maxLatency         = time.Minute
 	histogramInterval  = 10 * time.Second
@@ -38,121 +40,124 @@
 	significantDigits  = 2
 )
 
-// Config is what a Sampler is told.
+// Config configures a Sampler.
 type Config struct {
-	Window       time.Duration // how long decisions are held; 0: a second
-	MaxTraces    int           // traces kept in a window
-	MaxBytes     int           // traces held in a window, in bytes
-	GoodRate     float64       // share of the good ones that is kept
-	MaxRequested int           // traces kept in a window because the caller asked
-	Classes      int
-	// Slow is the quantile of its class's recent latencies beyond which a query
-	// is unusually slow, from SlowLeast latencies on; 0: none is.
+	Window       time.Duration // length of a window; 0 means one second
+	MaxTraces    int           // traces kept per window
+	MaxBytes     int           // size of the traces held per window
+	GoodRate     float64       // fraction of the good queries that is kept
+	MaxRequested int           // traces kept per window because the caller requested one
+	Classes      int           // number of query classes
+	// SlowQuantile is the quantile of its class's recent latencies above which a
+	// query counts as slow, once SlowMinSamples latencies are known. 0 disables the
+	// detection.
 	SlowQuantile   float64
 	SlowMinSamples int
 	Seed           uint64
 }
 
-// Item is a query at its end.
+// Query describes a query that has ended.
 type Query struct {
-	Key       uint64        // the caller's name of the trace
-	EndedAt   time.Duration // since a moment of the caller's; a step back counts as none
-	Class     int
-	Node      string // at which it lost its time
+	Key       uint64        // identifies the trace to the caller
+	EndedAt   time.Duration // since an origin of the caller's choice; a step back is ignored
+	Class     int           // index of the class
+	Node      string        // the node that most of the time was lost at
 	Latency   time.Duration
 	Served    bool
-	Reasons   record.Reasons // as record.Trace.Judge gives them
-	Requested bool
-	Size      int // of the trace, in bytes
+	Reasons   record.Reasons // as returned by record.Trace.Judge
+	Requested bool           // the caller requested a trace
+	Size      int            // of the trace, in bytes
 }
 
-// Kept is a trace that is kept.
+// Selection is a trace selected to be kept.
 type Selection struct {
 	Key         uint64
-	Reasons     record.Reasons // all of them
+	Reasons     record.Reasons // all reasons that apply
 	Reason      record.Reasons // the one for which it was kept
-	Probability float64
+	Probability float64        // of being kept, among queries with that reason, class and node
 }
 
-// Counts are totals since the start.
+// Counts holds totals since the start.
 type Counts struct {
 	Seen, Bad, Kept int64
-	Shed            map[string]int64 // bad ones not kept, by reason; "size": larger than all the memory
-	AskedOver       int64            // traces that callers asked for beyond the bound
+	Shed            map[string]int64 // bad queries not kept, by reason; "size" counts traces above MaxBytes
+	AskedOver       int64            // requested traces beyond MaxRequested
 }
 
-// Sampler decides. It is not safe for concurrent use.
+// Sampler decides which traces are kept. It is not safe for concurrent use.
 type Sampler struct {
 	cfg             Config
 	rng             *rand.Rand
 	now             time.Duration
-	windowEnd       time.Duration // the window's end
+	windowEnd       time.Duration
 	reservoirs      map[reservoirKey]*reservoir
 	held            int
 	bytes           int
 	requested       int
-	reasonFrequency [reasonBits]float64 // how often each reason came of late
+	reasonFrequency [reasonBits]float64 // occurrences of each reason, halved at each window
 	reasons         [reasonBits]*reasonTotals
 	classes         []classLatency
 	counts          Counts
 	shedByReason    [reasonBits]int64
 	oversized       int64
-	dropped         []uint64
+	dropped         []uint64 // result buffer of Offer
 }
 
-// group is what traces are told apart by.
+// reservoirKey is what traces are grouped by.
 type reservoirKey struct {
 	reason record.Reasons
 	class  int
 	node   string
 }
 
-// tier counts what is held under one reason and under each of its classes.
+// reasonTotals counts the traces held for one reason, in total and by class.
 type reasonTotals struct {
 	held    int
 	byClass map[int]*classTotals
 }
 
+// classTotals counts the traces held for one reason and class.
 type classTotals struct {
 	held   int
 	byNode map[string]*reservoir
 }
 
-// pool is one group's share of the window: a heap with the greatest priority
-// on top.
+// reservoir holds the sampled traces of one reason, class and node in the current
+// window, as a heap whose top has the highest priority value: the next to be dropped.
 type reservoir struct {
 	reservoirKey
 	seen int
-	held []entry
+	held []heldTrace
 }
 
-type entry struct {
+// heldTrace is a trace that is held until its window ends.
+type heldTrace struct {
 	key      uint64
 	priority float64
 	size     int
 	reasons  record.Reasons
 }
 
-func (p *reservoir) Len() int           { return len(p.held) }
-func (p *reservoir) Less(i, j int) bool { return p.held[i].priority > p.held[j].priority }
-func (p *reservoir) Swap(i, j int)      { p.held[i], p.held[j] = p.held[j], p.held[i] }
-func (p *reservoir) Push(x any)         { p.held = append(p.held, x.(entry)) }
-func (p *reservoir) Pop() any {
-	last := p.held[len(p.held)-1]
-	p.held = p.held[:len(p.held)-1]
+func (r *reservoir) Len() int           { return len(r.held) }
+func (r *reservoir) Less(i, j int) bool { return r.held[i].priority > r.held[j].priority }
+func (r *reservoir) Swap(i, j int)      { r.held[i], r.held[j] = r.held[j], r.held[i] }
+func (r *reservoir) Push(x any)         { r.held = append(r.held, x.(heldTrace)) }
+func (r *reservoir) Pop() any {
+	last := r.held[len(r.held)-1]
+	r.held = r.held[:len(r.held)-1]
 	return last
 }
 
-// class is the recent latencies of one class.
+// classLatency tracks the recent latencies of one class.
 type classLatency struct {
 	histogram     *hdrhistogram.WindowedHistogram
-	rotatedAt     time.Duration // when the present span began
-	sinceUpdate   int           // latencies since slow was reckoned
-	total         int64
-	slowThreshold time.Duration // 0: not known yet
+	rotatedAt     time.Duration // when the current interval began
+	sinceUpdate   int           // latencies recorded since slowThreshold was computed
+	total         int64         // latencies recorded since the start
+	slowThreshold time.Duration // 0 until SlowMinSamples latencies are known
 }
 
-// New returns a sampler.
+// New returns a sampler. Its first window begins at time 0.
 func New(cfg Config) *Sampler {
 	if cfg.Window <= 0 {
 		cfg.Window = time.Second
@@ -167,14 +172,15 @@
 	return s
 }
 
-// Offer decides on a query. hold says that its trace may be kept: Due tells
-// later, or a drop does. The keys in drop, valid until the next call, were held
-// before and are not kept after all; an offered key is never among them.
+// Offer submits a query that has ended. If hold is true, its trace is held as a
+// candidate: a later call either drops it or, at the end of the window, selects it.
+// dropped lists the keys that were held until now and are not kept. It never has the
+// offered key, and is valid until the next call.
 func (s *Sampler) Offer(query Query) (hold bool, dropped []uint64) {
 	s.dropped = s.dropped[:0]
 	s.now = max(s.now, query.EndedAt)
 	s.counts.Seen++
-	if s.held == 0 && s.now >= s.windowEnd { // a window begins with what comes first
+	if s.held == 0 && s.now >= s.windowEnd { // an empty window restarts at its first query
 		s.startWindow()
 	}
 	reasons := query.Reasons
@@ -204,27 +210,28 @@
 	}
 	res := s.reservoirFor(s.rarestReason(reasons), query.Class, query.Node)
 	res.seen++
-	heap.Push(res, entry{key: query.Key, priority: s.rng.Float64(), size: query.Size, reasons: reasons})
+	heap.Push(res, heldTrace{key: query.Key, priority: s.rng.Float64(), size: query.Size, reasons: reasons})
 	s.addHeld(res, 1, query.Size)
 	hold = true
 	for s.held > s.cfg.MaxTraces || s.bytes > s.cfg.MaxBytes {
 		res := s.fullestReservoir()
-		e := heap.Pop(res).(entry)
-		s.addHeld(res, -1, -e.size)
+		removed := heap.Pop(res).(heldTrace)
+		s.addHeld(res, -1, -removed.size)
 		if res.reason != record.Usual && res.reason != record.Asked {
 			s.shedByReason[reasonIndex(res.reason)]++
 		}
-		if e.key == query.Key {
+		if removed.key == query.Key {
 			hold = false
 		} else {
-			s.dropped = append(s.dropped, e.key)
+			s.dropped = append(s.dropped, removed.key)
 		}
 	}
 	return hold, s.dropped
 }
 
-// rarest picks the reason that came least of late, the graver of equals: by
-// its commonest reason a rare failure would be lost among the common.
+// rarestReason returns the reason with the fewest recent occurrences, and of equals
+// the more severe one. Under its most common reason, a trace of a rare failure would
+// be lost among those of common ones.
 func (s *Sampler) rarestReason(reasons record.Reasons) record.Reasons {
 	var rarest record.Reasons
 	reasons.Each(func(reason record.Reasons) {
@@ -236,6 +243,7 @@
 	return rarest
 }
 
+// reasonIndex returns the bit number of a single reason.
 func reasonIndex(r record.Reasons) int {
 	for i := range reasonBits {
 		if r == 1<<i {
@@ -245,6 +253,8 @@
 	return reasonBits - 1
 }
 
+// reservoirFor returns the reservoir of a reason, class and node, and creates it if
+// needed.
 func (s *Sampler) reservoirFor(reason record.Reasons, class int, node string) *reservoir {
 	key := reservoirKey{reason, class, node}
 	if s.reservoirs[key] == nil && len(s.reservoirs) >= maxReservoirs {
@@ -261,15 +271,16 @@
 		totals = &reasonTotals{byClass: map[int]*classTotals{}}
 		s.reasons[reasonIndex(reason)] = totals
 	}
-	classSum := totals.byClass[class]
-	if classSum == nil {
-		classSum = &classTotals{byNode: map[string]*reservoir{}}
-		totals.byClass[class] = classSum
+	totalsOfClass := totals.byClass[class]
+	if totalsOfClass == nil {
+		totalsOfClass = &classTotals{byNode: map[string]*reservoir{}}
+		totals.byClass[class] = totalsOfClass
 	}
-	classSum.byNode[key.node] = res
+	totalsOfClass.byNode[key.node] = res
 	return res
 }
 
+// addHeld adds to the totals of held traces; the arguments may be negative.
 func (s *Sampler) addHeld(res *reservoir, traces, bytes int) {
 	s.held += traces
 	s.bytes += bytes
@@ -278,20 +289,21 @@
 	totals.byClass[res.class].held += traces
 }
 
-// fullest finds the group that gives up a trace. Ties go by the order of
-// reasons, classes and names, so that the verdict does not hang on a map's.
+// fullestReservoir returns the reservoir to drop a trace from. Ties are broken by
+// the order of reasons, classes and node names, as the iteration order of a map would
+// make decisions differ between runs.
 func (s *Sampler) fullestReservoir() *reservoir {
 	var fullestReason *reasonTotals
 	for _, x := range s.reasons {
-		if x != nil && (fullestReason == nil || x.held >= fullestReason.held) { // of equals the less grave
+		if x != nil && (fullestReason == nil || x.held >= fullestReason.held) { // of equals, the less severe
 			fullestReason = x
 		}
 	}
 	var fullestClass *classTotals
-	fullestIndex := 0
+	fullestClassIndex := 0
 	for class, x := range fullestReason.byClass {
-		if fullestClass == nil || x.held > fullestClass.held || x.held == fullestClass.held && class > fullestIndex {
-			fullestClass, fullestIndex = x, class
+		if fullestClass == nil || x.held > fullestClass.held || x.held == fullestClass.held && class > fullestClassIndex {
+			fullestClass, fullestClassIndex = x, class
 		}
 	}
 	var fullest *reservoir
@@ -303,7 +315,8 @@
 	return fullest
 }
 
-// slow says whether a latency lies beyond its class's quantile, and learns it.
+// observeLatency records a latency and reports whether it is above its class's
+// SlowQuantile.
 func (s *Sampler) observeLatency(class int, latency time.Duration) bool {
 	if class < 0 || class >= len(s.classes) || s.cfg.SlowQuantile <= 0 {
 		return false
@@ -313,7 +326,7 @@
 		recent.histogram.Rotate()
 		recent.rotatedAt = s.now
 	}
-	// Beyond longest it is slow by any measure; the histogram holds no more.
+	// The histogram's range ends at maxLatency; anything above is slow in any case.
 	_ = recent.histogram.Current.RecordValue(min(int64(latency/latencyUnit), int64(maxLatency/latencyUnit)))
 	recent.sinceUpdate++
 	recent.total++
@@ -327,11 +340,11 @@
 	return recent.slowThreshold > 0 && latency > recent.slowThreshold+latencyUnit
 }
 
-// Next is when the window ends; held says whether anything waits for it.
+// WindowEnd returns when the window ends, and whether any trace is held.
 func (s *Sampler) WindowEnd() (end time.Duration, held bool) { return s.windowEnd, s.held > 0 }
 
-// Due ends the window if its time has come, and returns what is kept of it, in
-// the order of the keys.
+// CloseDueWindow ends the window if it is over at time now, and returns its selected
+// traces in key order. Otherwise it returns nil.
 func (s *Sampler) CloseDueWindow(now time.Duration) []Selection {
 	if s.now = max(s.now, now); s.now < s.windowEnd {
 		return nil
@@ -339,7 +352,8 @@
 	return s.endWindow()
 }
 
-// Flush ends the window now, as at the end of the program.
+// Flush ends the window early, as on shutdown, and returns its selected traces in
+// key order.
 func (s *Sampler) Flush() []Selection { return s.endWindow() }
 
 func (s *Sampler) endWindow() []Selection {
@@ -348,14 +362,14 @@
 		if s.reasons[i] == nil {
 			continue
 		}
-		for _, c := range s.reasons[i].byClass {
-			for _, p := range c.byNode {
-				for _, e := range p.held {
-					k := Selection{Key: e.key, Reasons: e.reasons, Reason: p.reason, Probability: float64(len(p.held)) / float64(p.seen)}
-					if p.reason == record.Usual {
-						k.Probability *= s.cfg.GoodRate
+		for _, class := range s.reasons[i].byClass {
+			for _, res := range class.byNode {
+				for _, held := range res.held {
+					selection := Selection{Key: held.key, Reasons: held.reasons, Reason: res.reason, Probability: float64(len(res.held)) / float64(res.seen)}
+					if res.reason == record.Usual {
+						selection.Probability *= s.cfg.GoodRate
 					}
-					selected = append(selected, k)
+					selected = append(selected, selection)
 				}
 			}
 		}
@@ -366,7 +380,7 @@
 	return selected
 }
 
-// begin empties the window and starts the next.
+// startWindow discards all held traces and starts a new window.
 func (s *Sampler) startWindow() {
 	clear(s.reservoirs)
 	clear(s.reasons[:])
@@ -377,7 +391,7 @@
 	s.windowEnd = s.now + s.cfg.Window
 }
 
-// Counts returns the totals.
+// Counts returns the totals since the start.
 func (s *Sampler) Counts() Counts {
 	c := s.counts
 	c.Shed = map[string]int64{}
