--- a/tracing/bench_test.go
+++ b/tracing/bench_test.go
@@ -10,16 +10,16 @@
 	"onyxsail/decide"
 )
 
-// BenchmarkGoodQuery is what the tracer itself spends on a good query of four
-// parts, in memory alone and with the table of open queries.
+// BenchmarkGoodQuery measures the tracer's own cost of a good query of four parts, in
+// memory only and with the table of open queries.
 func BenchmarkGoodQuery(b *testing.B) {
 	for _, c := range []struct {
 		name string
 		dir  string
 	}{{"memory", ""}, {"table", b.TempDir()}} {
 		b.Run(c.name, func(b *testing.B) {
-			tr := begin(b, Config{Dir: c.dir}, io.Discard, nil)
-			q := query("a-query-of-usual-length", tr.start)
+			tr := startWithoutWriter(b, Config{Dir: c.dir}, io.Discard, nil)
+			q := newQuery("a-query-of-usual-length", tr.start)
 			q.Parts = make([]broker.Part, 4)
 			reply := &broker.Reply{Whole: true}
 			at := tr.start.Add(time.Millisecond)
@@ -32,9 +32,9 @@
 					tr.Opened(broker.Opening{ID: broker.AttemptID(4*i + n + 1), Query: id, Shard: n, Node: "s-5be2a07c", At: at})
 				}
 				for n := range 4 {
-					try := broker.AttemptID(4*i + n + 1)
-					tr.Wire(try, broker.WireGone, "127.0.0.1:8000", at)
-					tr.Ended(try, decide.OK, broker.ByNode, at, at)
+					attempt := broker.AttemptID(4*i + n + 1)
+					tr.Wire(attempt, broker.WireGone, "127.0.0.1:8000", at)
+					tr.Ended(attempt, decide.OK, broker.ByNode, at, at)
 				}
 				tr.Final(id, reply, at)
 			}
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -20,39 +20,40 @@
 )
 
 const (
-	caller = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
-	quiet  = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00"
+	sampledParent   = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
+	unsampledParent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00"
 )
 
-// The caller's trace reaches Flight nodes from either front, each attempt as
-// the parent; a header that is malformed or repeated begins a new trace.
-func TestContexts(t *testing.T) {
+// The caller's trace context must reach Flight nodes from either front, with the
+// attempt as the parent. A header that is malformed, too long or repeated must start
+// a new trace.
+func TestCallerTraceContextReachesNodes(t *testing.T) {
 	dir := t.TempDir()
-	d, nodes := start(t, 1, true, map[string]any{"dir": dir, "good_share": 1}, nil)
-	asks := []struct {
+	broker, nodes := startBroker(t, 1, true, map[string]any{"dir": dir, "good_share": 1}, nil)
+	cases := []struct {
 		name    string
 		parents []string
 		state   string
 		same    bool
-	}{{"good", []string{quiet}, "a=1", true}, {"asked", []string{caller}, "", true}, {"none", nil, "", false},
-		{"malformed", []string{"00-xyz"}, "a=1", false}, {"repeated", []string{caller, caller}, "", false},
-		{"too-long", []string{caller + strings.Repeat("-0", 500)}, "", false}}
-	for _, a := range asks {
+	}{{"good", []string{unsampledParent}, "a=1", true}, {"asked", []string{sampledParent}, "", true}, {"none", nil, "", false},
+		{"malformed", []string{"00-xyz"}, "a=1", false}, {"repeated", []string{sampledParent, sampledParent}, "", false},
+		{"too-long", []string{sampledParent + strings.Repeat("-0", 500)}, "", false}}
+	for _, c := range cases {
 		for front, ask := range map[string]func(testkit.Query) testkit.Reply{
 			"http": func(q testkit.Query) testkit.Reply {
-				return testkit.AskHTTP(context.Background(), d.Addr().String(), q)
+				return testkit.AskHTTP(context.Background(), broker.Addr().String(), q)
 			},
 			"flight": func(q testkit.Query) testkit.Reply {
-				return testkit.AskFlight(context.Background(), d.FlightAddr().String(), q)
+				return testkit.AskFlight(context.Background(), broker.FlightAddr().String(), q)
 			},
 		} {
-			q := testkit.Query{Class: "screen", ID: a.name + "-" + front, Shards: []int{2}, Within: 3 * time.Second, Traceparent: a.parents, Tracestate: a.state}
+			q := testkit.Query{Class: "screen", ID: c.name + "-" + front, Shards: []int{2}, Within: 3 * time.Second, Traceparent: c.parents, Tracestate: c.state}
 			if r := ask(q); r.Kind != "served" {
 				t.Fatalf("%s: %+v", q.ID, r)
 			}
 		}
 	}
-	if err := d.Stop(context.Background()); err != nil {
+	if err := broker.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	traces := map[string]*record.Trace{}
@@ -60,70 +61,71 @@
 		traces[tr.Query] = tr
 	}
 	calls := map[string]testkit.Call{}
-	for _, c := range nodes[0].Calls() {
-		calls[strings.TrimSuffix(c.ID, ".2")] = c
+	for _, call := range nodes[0].Calls() {
+		calls[strings.TrimSuffix(call.ID, ".2")] = call
 	}
-	for _, a := range asks {
+	for _, c := range cases {
 		for _, front := range []string{"http", "flight"} {
-			name := a.name + "-" + front
-			tr, c := traces[name], calls[name]
+			name := c.name + "-" + front
+			tr, call := traces[name], calls[name]
 			if tr == nil || len(tr.Attempts) != 1 {
-				t.Fatalf("%s: trace %+v", name, tr)
+				t.Fatalf("%s: got trace %+v, want one with a single attempt", name, tr)
 			}
 			flag := "00"
-			if a.name == "asked" {
+			if c.name == "asked" {
 				flag = "01"
 			}
-			if want := fmt.Sprintf("00-%s-%s-%s", tr.ID, tr.Attempts[0].Span, flag); c.Traceparent != want {
-				t.Errorf("%s: the node got %q, want %q", name, c.Traceparent, want)
+			if want := fmt.Sprintf("00-%s-%s-%s", tr.ID, tr.Attempts[0].Span, flag); call.Traceparent != want {
+				t.Errorf("%s: the node got %q, want %q", name, call.Traceparent, want)
 			}
-			if same := tr.ID.String() == caller[3:35]; same != a.same || same && (tr.Parent.String() != caller[36:52] || c.Tracestate != a.state) ||
-				!same && (tr.Parent != record.SpanID{} || c.Tracestate != "") {
-				t.Errorf("%s: trace %s, parent %s, state %q", name, tr.ID, tr.Parent, c.Tracestate)
+			if same := tr.ID.String() == sampledParent[3:35]; same != c.same || same && (tr.Parent.String() != sampledParent[36:52] || call.Tracestate != c.state) ||
+				!same && (tr.Parent != record.SpanID{} || call.Tracestate != "") {
+				t.Errorf("%s: wrong trace context: trace %s, parent %s, state %q", name, tr.ID, tr.Parent, call.Tracestate)
 			}
-			if asked := tr.Reasons&record.Asked != 0; asked != (a.name == "asked") {
-				t.Errorf("%s: reasons %s", name, tr.Reasons)
+			if asked := tr.Reasons&record.Asked != 0; asked != (c.name == "asked") {
+				t.Errorf("%s: got reasons %s, want asked only with the sampled flag", name, tr.Reasons)
 			}
 		}
 	}
 }
 
-// Off, tracing has no goroutine and says nothing of itself.
-func TestOffCostsNothing(t *testing.T) {
+// Disabled tracing must run no goroutine and report no status. With tracing enabled,
+// the same check must find its goroutines, and none must remain after the stop.
+func TestDisabledTracingStartsNoGoroutine(t *testing.T) {
 	stacks := func() string {
 		b := make([]byte, 1<<20)
 		return string(b[:runtime.Stack(b, true)])
 	}
-	d, _ := start(t, 1, false, nil, nil)
-	r := testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: "q", Shards: []int{1}, Within: 3 * time.Second, Traceparent: []string{caller}})
+	broker, _ := startBroker(t, 1, false, nil, nil)
+	reply := testkit.AskHTTP(context.Background(), broker.Addr().String(), testkit.Query{Class: "screen", ID: "q", Shards: []int{1}, Within: 3 * time.Second, Traceparent: []string{sampledParent}})
 	s := stacks()
-	if r.Kind != "served" || strings.Contains(s, "onyxsail/tracing.") || strings.Contains(s, "onyxsail/tracing/") || d.Status().Tracing != nil {
-		t.Errorf("%+v, %+v\n%s", r, d.Status().Tracing, s)
+	if reply.Kind != "served" || strings.Contains(s, "onyxsail/tracing.") || strings.Contains(s, "onyxsail/tracing/") || broker.Status().Tracing != nil {
+		t.Errorf("with tracing disabled: reply %+v, status %+v, goroutines:\n%s", reply, broker.Status().Tracing, s)
 	}
-	if err := d.Stop(context.Background()); err != nil {
+	if err := broker.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	on, _ := start(t, 1, false, map[string]any{"otlp": map[string]any{"endpoint": "127.0.0.1:1"}}, nil)
+	traced, _ := startBroker(t, 1, false, map[string]any{"otlp": map[string]any{"endpoint": "127.0.0.1:1"}}, nil)
 	if s := stacks(); !strings.Contains(s, "onyxsail/tracing.") || !strings.Contains(s, "onyxsail/tracing/export.") {
-		t.Error("the check finds nothing of tracing that is on")
+		t.Error("no goroutine of the tracer and exporter found with tracing enabled")
 	}
-	if err := on.Stop(context.Background()); err != nil {
+	if err := traced.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if s := stacks(); strings.Contains(s, "onyxsail/tracing.") || strings.Contains(s, "onyxsail/tracing/") {
-		t.Errorf("tracing has not ended:\n%s", s)
+		t.Errorf("goroutines of tracing still run after the stop:\n%s", s)
 	}
 }
 
-// A reader that follows does not hold up a broker that is told to stop.
-func TestStopEndsFollowers(t *testing.T) {
-	d, _ := start(t, 1, false, map[string]any{}, nil)
+// A follower's stream must not block the stop of a broker.
+func TestFollowersDoNotBlockStop(t *testing.T) {
+	broker, _ := startBroker(t, 1, false, map[string]any{}, nil)
 	root := cli.New(&lockedBuffer{}, &lockedBuffer{})
-	root.SetArgs([]string{"trace", "tail", "--addr", d.FlightAddr().String()})
+	root.SetArgs([]string{"trace", "tail", "--addr", broker.FlightAddr().String()})
 	tailed := make(chan error, 1)
 	go func() { tailed <- root.ExecuteContext(context.Background()) }()
-	testkit.Eventually(t, "a follower", func() bool { return d.Status().Tracing.Followers == 1 })
-	if err := d.Stop(context.Background()); err != nil { // with the time for its drain used up
+	testkit.Eventually(t, "a connected follower", func() bool { return broker.Status().Tracing.Followers == 1 })
+	if err := broker.Stop(context.Background()); err != nil { // fails if the drain's grace period has run out
 		t.Error(err)
 	}
 	if err := <-tailed; err != nil {
@@ -131,11 +133,12 @@
 	}
 }
 
-// The commands, asked of a live broker: a listed late query, its waterfall,
-// where the time went, what is kept as it comes, and all of it as JSON.
-func TestTraceCommands(t *testing.T) {
-	d, nodes := start(t, 1, false, map[string]any{"good_share": 1}, quick)
-	addr := d.FlightAddr().String()
+// The trace commands must work against a running broker: list, show with the
+// waterfall, why with the lost time by node, tail with traces as they are kept, all
+// of them also as JSON. Invalid arguments must be named in the error.
+func TestTraceCommandsOnRunningBroker(t *testing.T) {
+	broker, nodes := startBroker(t, 1, false, map[string]any{"good_share": 1}, shortenClassTimes)
+	addr := broker.FlightAddr().String()
 	command := func(args ...string) (string, string, int) {
 		var out, errs bytes.Buffer
 		code := cli.Main(append([]string{"trace"}, append(args, "--addr", addr)...), &out, &errs)
@@ -149,27 +152,27 @@
 	go func() { tailed <- root.ExecuteContext(ctx) }()
 	nodes[0].Work(func(c testkit.Call) string {
 		if c.Shard == 5 {
-			time.Sleep(wanted + wanted/2) // a stall
+			time.Sleep(objective + objective/2) // a stalled node
 		}
 		return testkit.Done
 	})
-	ask := func(id string, shards ...int) string {
-		return testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: id, Shards: shards, Within: 500 * time.Millisecond}).Kind
+	sendQuery := func(id string, shards ...int) string {
+		return testkit.AskHTTP(context.Background(), broker.Addr().String(), testkit.Query{Class: "screen", ID: id, Shards: shards, Within: 500 * time.Millisecond}).Kind
 	}
-	testkit.Eventually(t, "a follower", func() bool { return d.Status().Tracing.Followers == 1 })
-	if a, b := ask("fast", 1, 2), ask("slow0", 3, 5); a != "served" || b != "served" {
-		t.Fatalf("%s and %s, want both served", a, b)
+	testkit.Eventually(t, "a connected follower", func() bool { return broker.Status().Tracing.Followers == 1 })
+	if a, b := sendQuery("fast", 1, 2), sendQuery("slow0", 3, 5); a != "served" || b != "served" {
+		t.Fatalf("got %s and %s, want both served", a, b)
 	}
-	testkit.Eventually(t, "the late query", func() bool { return strings.Contains(tail.text(), "late") })
+	testkit.Eventually(t, "the late query in the output of tail", func() bool { return strings.Contains(tail.text(), "late") })
 	stop()
 	if err := <-tailed; err != nil {
 		t.Errorf("tail: %v", err)
 	}
 	var first record.Trace
 	if err := json.Unmarshal([]byte(strings.SplitN(tail.text(), "\n", 2)[0]), &first); err != nil || first.Reasons&record.Late == 0 {
-		t.Errorf("tail said %q: %v", tail.text(), err)
+		t.Errorf("first line of tail is not a late trace: %q: %v", tail.text(), err)
 	}
-	testkit.Eventually(t, "the list", func() bool { out, _, _ := command("list"); return strings.Contains(out, "fast") })
+	testkit.Eventually(t, "the fast query in the list", func() bool { out, _, _ := command("list"); return strings.Contains(out, "fast") })
 	if out, errs, code := command("list", "--reason", "late", "--node", "s-0"); code != 0 || !strings.Contains(out, "slow0") || strings.Contains(out, "fast") ||
 		!strings.Contains(out, "node ") {
 		t.Errorf("list: %s%s", out, errs)
@@ -192,38 +195,39 @@
 		{"list --reason odd", "--reason"}, {"show nothing-like-it", "nothing-like-it"}, {"list --limit 9999", "limit"}, {"list --dir /nowhere/at/all", "--dir"},
 	} {
 		if out, errs, code := command(strings.Fields(c.args)...); code == 0 || !strings.Contains(errs, c.want) {
-			t.Errorf("%s: %d, %s%s, want %q named", c.args, code, out, errs, c.want)
+			t.Errorf("%s: got code %d and output %s%s, want an error that names %q", c.args, code, out, errs, c.want)
 		}
 	}
-	if err := d.Stop(context.Background()); err != nil {
+	if err := broker.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// lockedBuffer is a buffer that is safe for concurrent use.
 type lockedBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
 func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buf.Write(p)
 }
 
 func (l *lockedBuffer) text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buf.String()
 }
 
-// A bad day of the operators' record in small: of ten nodes three stand still
-// at every fifth part, one of them for good. They answer well in between, so
-// that the module goes on asking them. `why` must put most of the lost time on
-// the three.
-func TestWhyOnABadDay(t *testing.T) {
+// Three of ten nodes stall on one part in five, at random; one of them never answers
+// those parts. In between they answer quickly, so that the decision module keeps
+// sending them parts. `why` must attribute most of the lost time to these three
+// nodes.
+func TestWhyAttributesLostTimeToStallingNodes(t *testing.T) {
 	dir := t.TempDir()
-	d, nodes := start(t, 10, false, map[string]any{"dir": dir, "good_share": 0.2, "budget_per_s": 1000}, quick)
+	broker, nodes := startBroker(t, 10, false, map[string]any{"dir": dir, "good_share": 0.2, "budget_per_s": 1000}, shortenClassTimes)
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(11, 3))
 	for i, n := range nodes {
@@ -237,26 +241,26 @@
 			case stall && i >= 7:
 				work += 120 * time.Millisecond
 			}
-			time.Sleep(work) // the node's work
+			time.Sleep(work) // the simulated work of the node
 			return testkit.Done
 		})
 	}
 	var wg sync.WaitGroup
-	until := time.Now().Add(*proofFor)
-	for w := range 6 {
+	end := time.Now().Add(*proofDuration)
+	for client := range 6 {
 		wg.Go(func() {
-			for i := 0; i < 50 || time.Now().Before(until); i++ {
+			for i := 0; i < 50 || time.Now().Before(end); i++ {
 				class, shards := "screen", []int{i % 18, (i + 3) % 18, (i + 7) % 18, (i + 11) % 18}
 				if i%4 == 3 {
 					class, shards = "edit", shards[:1]
 				}
-				testkit.AskHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: class, ID: fmt.Sprintf("w%d-%d", w, i), Key: fmt.Sprintf("k%d-%d", w, i),
+				testkit.AskHTTP(context.Background(), broker.Addr().String(), testkit.Query{Class: class, ID: fmt.Sprintf("w%d-%d", client, i), Key: fmt.Sprintf("k%d-%d", client, i),
 					Shards: shards, Within: 500 * time.Millisecond})
 			}
 		})
 	}
 	wg.Wait()
-	if err := d.Stop(context.Background()); err != nil {
+	if err := broker.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	table := critical.Why(readDir(t, dir))
@@ -272,6 +276,6 @@
 		}
 	}
 	if table.Bad == 0 || table.Usual == 0 || share < 0.5 {
-		t.Errorf("%.0f%% of the lost time is put on the three bad nodes", 100*share)
+		t.Errorf("%.0f%% of the lost time is attributed to the three stalling nodes, want at least half", 100*share)
 	}
 }
--- a/tracing/export/export_test.go
+++ b/tracing/export/export_test.go
@@ -13,10 +13,10 @@
 	"onyxsail/tracing/record"
 )
 
-func exporter(t *testing.T, addr string, l Limits) *Exporter {
+func startExporter(t *testing.T, addr string, limits Limits) *Exporter {
 	t.Helper()
 	start := time.Now()
-	e, err := New(Options{Endpoint: addr, Broker: "n1", Limits: l, Timeout: 200 * time.Millisecond, Seed: 3,
+	e, err := New(Options{Endpoint: addr, Broker: "n1", Limits: limits, Timeout: 200 * time.Millisecond, Seed: 3,
 		Log: zerolog.New(io.Discard), Now: func() time.Duration { return time.Since(start) }})
 	if err != nil {
 		t.Fatal(err)
@@ -24,134 +24,138 @@
 	return e
 }
 
-var short = Limits{MaxTraces: 8, MaxBytes: 1 << 20, MaxBatch: 4, MaxBatchDelay: 5 * time.Millisecond, InitialBackoff: 10 * time.Millisecond, MaxBackoff: 40 * time.Millisecond, MaxRetryAfter: time.Minute, MaxAttempts: 6}
+var shortLimits = Limits{MaxTraces: 8, MaxBytes: 1 << 20, MaxBatch: 4, MaxBatchDelay: 5 * time.Millisecond, InitialBackoff: 10 * time.Millisecond, MaxBackoff: 40 * time.Millisecond, MaxRetryAfter: time.Minute, MaxAttempts: 6}
 
-func trace(i int) *record.Trace {
+func newTrace(i int) *record.Trace {
 	return &record.Trace{ID: record.TraceID{1, byte(i)}, Span: record.SpanID{2, byte(i)}, Came: time.Unix(1_800_000_000, 0),
 		Taken: 1, Ended: 1000, Attempts: []record.Attempt{{ID: 1, Opened: 2, Ended: 900, Span: record.SpanID{3, byte(i)}}}}
 }
 
-// A collector that hangs, refuses to come now, resets in the middle of a batch
-// and then takes gets each trace; nothing that was taken is sent again.
-func TestCollectorInTrouble(t *testing.T) {
-	c := testkit.NewCollector(t, testkit.Scripted{Do: testkit.Hang}, testkit.Scripted{Status: 503, RetryAfter: "1"},
+// A collector that hangs, answers 503, resets the connection during a batch, answers 429
+// and then accepts must get each trace; no accepted trace may be sent again.
+func TestCollectorFailuresNeitherLoseNorRepeatTraces(t *testing.T) {
+	collector := testkit.NewCollector(t, testkit.Scripted{Do: testkit.Hang}, testkit.Scripted{Status: 503, RetryAfter: "1"},
 		testkit.Scripted{Do: testkit.Reset}, testkit.Scripted{Status: 429})
-	e := exporter(t, c.Addr, short)
+	exporter := startExporter(t, collector.Addr, shortLimits)
 	for i := range 3 {
-		e.Enqueue(trace(i))
+		exporter.Enqueue(newTrace(i))
 	}
-	testkit.Eventually(t, "all spans", func() bool { return len(c.Spans()) == 6 })
-	testkit.Eventually(t, "the answer", func() bool { return e.Counts().Sent == 3 })
-	e.Close(context.Background())
-	got := e.Counts()
-	if got.Sent != 3 || got.Retries != 4 || len(got.Dropped) != 0 || c.Requests() != 5 {
-		t.Errorf("counts %+v after %d requests", got, c.Requests())
+	testkit.Eventually(t, "all spans to arrive", func() bool { return len(collector.Spans()) == 6 })
+	testkit.Eventually(t, "the batch to count as sent", func() bool { return exporter.Counts().Sent == 3 })
+	exporter.Close(context.Background())
+	counts := exporter.Counts()
+	if counts.Sent != 3 || counts.Retries != 4 || len(counts.Dropped) != 0 || collector.Requests() != 5 {
+		t.Errorf("got counts %+v after %d requests, want 3 sent and 4 retries in 5 requests, none dropped", counts, collector.Requests())
 	}
 	seen := map[string]int{}
-	for _, s := range c.Spans() {
+	for _, s := range collector.Spans() {
 		seen[string(s.TraceId)+string(s.SpanId)]++
 	}
 	if len(seen) != 6 {
-		t.Errorf("%d spans, want 6, each once", len(seen))
+		t.Errorf("got %d distinct spans, want 6, each once", len(seen))
 	}
 }
 
-// What a collector will never take is dropped and counted, and what comes
-// behind it is sent.
-func TestCollectorRefuses(t *testing.T) {
-	c := testkit.NewCollector(t, testkit.Scripted{Status: 400}, testkit.Scripted{Do: testkit.HalfDone})
-	e := exporter(t, c.Addr, short)
-	e.Enqueue(trace(1))
-	testkit.Eventually(t, "the refusal", func() bool { return e.Counts().Dropped[Refused] == 1 })
-	e.Enqueue(trace(2))
-	e.Enqueue(trace(3))
-	testkit.Eventually(t, "the rest", func() bool { n := e.Counts(); return n.Sent+n.Dropped[Rejected] == 2 })
-	e.Close(context.Background())
-	if got := e.Counts(); got.Dropped[Rejected] == 0 {
-		t.Errorf("counts %+v: half of the spans were rejected", got)
+// A batch that the collector refuses for good must be dropped and counted, and must not
+// block the traces after it. Rejected spans of an accepted batch must be counted as well.
+func TestRefusedBatchDoesNotBlockTheQueue(t *testing.T) {
+	collector := testkit.NewCollector(t, testkit.Scripted{Status: 400}, testkit.Scripted{Do: testkit.HalfDone})
+	exporter := startExporter(t, collector.Addr, shortLimits)
+	exporter.Enqueue(newTrace(1))
+	testkit.Eventually(t, "the refused batch to be dropped", func() bool { return exporter.Counts().Dropped[Refused] == 1 })
+	exporter.Enqueue(newTrace(2))
+	exporter.Enqueue(newTrace(3))
+	testkit.Eventually(t, "the other traces to be sent or rejected", func() bool { n := exporter.Counts(); return n.Sent+n.Dropped[Rejected] == 2 })
+	exporter.Close(context.Background())
+	if got := exporter.Counts(); got.Dropped[Rejected] == 0 {
+		t.Errorf("got counts %+v, want rejected traces, as half of the spans were rejected", got)
 	}
 }
 
-// Without a collector the queue is bounded, Put never waits, and the end comes.
-func TestNoCollector(t *testing.T) {
-	l := short
-	l.MaxAttempts = 1000
-	e := exporter(t, "127.0.0.1:1", l)
+// Without a reachable collector the queue must stay bounded, Enqueue must not block, and
+// Close must return and drop the queue.
+func TestQueueIsBoundedWithoutCollector(t *testing.T) {
+	limits := shortLimits
+	limits.MaxAttempts = 1000
+	exporter := startExporter(t, "127.0.0.1:1", limits)
 	for i := range 50 {
-		e.Enqueue(trace(i))
+		exporter.Enqueue(newTrace(i))
 	}
-	if got := e.Counts(); got.Queued > l.MaxTraces || got.Dropped[QueueFull] < 50-int64(l.MaxTraces) {
-		t.Errorf("counts %+v", got)
+	if got := exporter.Counts(); got.Queued > limits.MaxTraces || got.Dropped[QueueFull] < 50-int64(limits.MaxTraces) {
+		t.Errorf("got counts %+v, want at most 8 traces queued and the others dropped", got)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	e.Close(ctx)
-	if got := e.Counts(); got.Queued != 0 || got.Dropped[Stopped] == 0 {
-		t.Errorf("after the end: %+v", got)
+	exporter.Close(ctx)
+	if got := exporter.Counts(); got.Queued != 0 || got.Dropped[Stopped] == 0 {
+		t.Errorf("after Close: got counts %+v, want an empty queue and its traces dropped", got)
 	}
 }
 
-func TestRetryAfter(t *testing.T) {
+// Both forms of Retry-After must be parsed. Malformed, negative and overflowing values
+// and dates in the past must give 0.
+func TestParseRetryAfter(t *testing.T) {
 	now := time.Date(2027, 1, 2, 3, 4, 5, 0, time.UTC)
-	for text, want := range map[string]time.Duration{
+	for header, want := range map[string]time.Duration{
 		"": 0, "7": 7 * time.Second, "-7": 0, "x": 0, "Sat, 02 Jan 2027 03:04:35 GMT": 30 * time.Second, "Sat, 02 Jan 2027 03:04:00 GMT": 0,
 		"99999999999999999999": 0,
 	} {
-		if got := parseRetryAfter(text, now); got != want {
-			t.Errorf("%q: %v, want %v", text, got, want)
+		if got := parseRetryAfter(header, now); got != want {
+			t.Errorf("%q: got %v, want %v", header, got, want)
 		}
 	}
 }
 
-// Over random events the queue keeps its bounds, batches theirs, pauses theirs,
-// Retry-After is honoured, and each trace is counted exactly once.
-func TestPlanProperties(t *testing.T) {
+// For random events: the limits of the queue, of batches and of backoffs must be kept,
+// Retry-After must be respected, queued traces must have a time to be sent at, and each
+// trace must be counted exactly once.
+func TestSchedulerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{MaxTraces: rapid.IntRange(1, 9).Draw(t, "queue"), MaxBytes: rapid.IntRange(20, 90).Draw(t, "bytes"), MaxBatch: rapid.IntRange(1, 5).Draw(t, "batch"),
+		limits := Limits{MaxTraces: rapid.IntRange(1, 9).Draw(t, "queue"), MaxBytes: rapid.IntRange(20, 90).Draw(t, "bytes"), MaxBatch: rapid.IntRange(1, 5).Draw(t, "batch"),
 			MaxBatchDelay: 20, InitialBackoff: 10, MaxBackoff: 80, MaxRetryAfter: 100, MaxAttempts: rapid.IntRange(1, 4).Draw(t, "tries")}
-		p := NewScheduler(l, rapid.Uint64().Draw(t, "seed"))
-		now, put, out := time.Duration(0), int64(0), 0
+		scheduler := NewScheduler(limits, rapid.Uint64().Draw(t, "seed"))
+		now, enqueued, inFlight := time.Duration(0), int64(0), 0
 		notBefore := time.Duration(0)
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 25).Draw(t, "wait"))
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				put++
-				p.Enqueue(now, rapid.IntRange(1, 30).Draw(t, "size"))
+				enqueued++
+				scheduler.Enqueue(now, rapid.IntRange(1, 30).Draw(t, "size"))
 			case 1:
-				n, at := p.NextBatch(now)
-				if n > 0 && (out > 0 || n > l.MaxBatch || now < notBefore) {
-					t.Fatalf("%d leave at %d, with %d out, none before %d", n, now, out, notBefore)
+				n, wakeAt := scheduler.NextBatch(now)
+				if n > 0 && (inFlight > 0 || n > limits.MaxBatch || now < notBefore) {
+					t.Fatalf("batch of %d at %d, with %d in flight and none allowed before %d", n, now, inFlight, notBefore)
 				}
-				if n == 0 && at > 0 && (at <= now || at > now+max(l.MaxBatchDelay, l.MaxRetryAfter)) {
-					t.Fatalf("asks to come back at %d, now %d", at, now)
+				if n == 0 && wakeAt > 0 && (wakeAt <= now || wakeAt > now+max(limits.MaxBatchDelay, limits.MaxRetryAfter)) {
+					t.Fatalf("wakes at %d, outside the limits at time %d", wakeAt, now)
 				}
-				if n == 0 && at == 0 && out == 0 && p.Counts().Queued > 0 {
-					t.Fatal("traces wait, and nothing will wake them")
+				if n == 0 && wakeAt == 0 && inFlight == 0 && scheduler.Counts().Queued > 0 {
+					t.Fatal("traces are queued, but there is no wake-up time")
 				}
-				out = max(out, n)
+				inFlight = max(inFlight, n)
 			case 2:
-				if out == 0 {
+				if inFlight == 0 {
 					continue
 				}
-				a := Result(rapid.IntRange(0, 3).Draw(t, "answer"))
-				after := time.Duration(rapid.IntRange(0, 120).Draw(t, "after"))
-				gone := p.Complete(now, a, after, rapid.IntRange(-1, 9).Draw(t, "rejected"))
-				if gone != out && (gone != 0 || a == Accepted || a == PermanentError) {
-					t.Fatalf("%d of %d leave after answer %d", gone, out, a)
+				result := Result(rapid.IntRange(0, 3).Draw(t, "answer"))
+				retryAfter := time.Duration(rapid.IntRange(0, 120).Draw(t, "after"))
+				removed := scheduler.Complete(now, result, retryAfter, rapid.IntRange(-1, 9).Draw(t, "rejected"))
+				if removed != inFlight && (removed != 0 || result == Accepted || result == PermanentError) {
+					t.Fatalf("%d of %d removed after result %d", removed, inFlight, result)
 				}
-				if notBefore = 0; a == RetryableError || a == NoResponse {
-					notBefore = now + max(l.InitialBackoff/2, min(after, l.MaxRetryAfter))
+				if notBefore = 0; result == RetryableError || result == NoResponse {
+					notBefore = now + max(limits.InitialBackoff/2, min(retryAfter, limits.MaxRetryAfter))
 				}
-				out = 0
+				inFlight = 0
 			}
-			c := p.Counts()
-			sum := c.Sent + int64(c.Queued)
-			for _, n := range c.Dropped {
+			counts := scheduler.Counts()
+			sum := counts.Sent + int64(counts.Queued)
+			for _, n := range counts.Dropped {
 				sum += n
 			}
-			if c.Queued > l.MaxTraces || c.Bytes > l.MaxBytes || sum != put {
-				t.Fatalf("%+v after %d", c, put)
+			if counts.Queued > limits.MaxTraces || counts.Bytes > limits.MaxBytes || sum != enqueued {
+				t.Fatalf("got counts %+v after %d enqueued traces", counts, enqueued)
 			}
 		}
 	})
--- a/tracing/process_test.go
+++ b/tracing/process_test.go
@@ -23,73 +23,73 @@
 	"onyxsail/tracing/record"
 )
 
-// asBroker makes the test binary a broker, so that one can be killed, and its
-// CPU time read.
-const asBroker = "GANNETCHUTE_TEST_BROKER"
+// runBrokerEnv is the environment variable that makes the test binary run as a broker,
+// in a process that can be killed and whose CPU time can be read.
+const runBrokerEnv = "GANNETCHUTE_TEST_BROKER"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asBroker) != "" {
+	if os.Getenv(runBrokerEnv) != "" {
 		os.Exit(cli.Main(os.Args[1:], os.Stdout, os.Stderr))
 	}
 	os.Exit(m.Run())
 }
 
-// process is a broker in a process of its own.
-type process struct {
+// brokerProcess is a broker running in its own process.
+type brokerProcess struct {
 	cmd  *exec.Cmd
 	addr string
 }
 
-// launch starts program ("": the test binary) as a broker.
-func launch(t testing.TB, program string, nodes []*testkit.Node, disco *testkit.Discovery, trace map[string]any) *process {
+// launchBroker starts a binary, or the test binary if empty, as a broker.
+func launchBroker(t testing.TB, binary string, nodes []*testkit.Node, discovery *testkit.Discovery, tracingConfig map[string]any) *brokerProcess {
 	t.Helper()
-	var list []testkit.Entry
+	var entries []testkit.Entry
 	for _, n := range nodes {
-		list = append(list, n.Entry())
+		entries = append(entries, n.Entry())
 	}
 	extra := map[string]any{"log_level": "info"}
-	if trace != nil {
-		extra["tracing"] = trace
+	if tracingConfig != nil {
+		extra["tracing"] = tracingConfig
 	}
-	p := &process{}
-	if program == "" {
-		program = os.Args[0]
+	process := &brokerProcess{}
+	if binary == "" {
+		binary = os.Args[0]
 	}
-	p.cmd = exec.Command(program, "serve", "--config", testkit.WriteFile(t, testkit.Config(disco.Addr, list, testkit.Settings(nil), extra)))
-	p.cmd.Env = append(os.Environ(), asBroker+"=1")
-	errs, err := p.cmd.StderrPipe()
+	process.cmd = exec.Command(binary, "serve", "--config", testkit.WriteFile(t, testkit.Config(discovery.Addr, entries, testkit.Settings(nil), extra)))
+	process.cmd.Env = append(os.Environ(), runBrokerEnv+"=1")
+	stderr, err := process.cmd.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := p.cmd.Start(); err != nil {
+	if err := process.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(p.kill)
-	lines := bufio.NewScanner(errs)
-	for p.addr == "" && lines.Scan() {
+	t.Cleanup(process.kill)
+	lines := bufio.NewScanner(stderr)
+	for process.addr == "" && lines.Scan() {
 		if _, rest, ok := strings.Cut(lines.Text(), `"listen":"`); ok {
-			p.addr, _, _ = strings.Cut(rest, `"`)
+			process.addr, _, _ = strings.Cut(rest, `"`)
 		}
 	}
-	go func() { _, _ = io.Copy(io.Discard, errs) }() // ends with the process
-	if p.addr == "" {
+	go func() { _, _ = io.Copy(io.Discard, stderr) }() // ends with the process
+	if process.addr == "" {
 		t.Fatal("the broker did not start")
 	}
-	return p
+	return process
 }
 
-func (p *process) kill() {
-	_ = p.cmd.Process.Kill() // it may be dead already
+func (p *brokerProcess) kill() {
+	_ = p.cmd.Process.Kill() // it may have ended already
 	_ = p.cmd.Wait()
 }
 
-// cpu is the CPU time that the process has used.
-func (p *process) cpu(t testing.TB) time.Duration {
+// cpuTime returns the CPU time that the process has used.
+func (p *brokerProcess) cpuTime(t testing.TB) time.Duration {
 	t.Helper()
 	sum := int64(0)
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
 	if err != nil || len(tasks) == 0 {
-		t.Fatal("no CPU times", err)
+		t.Fatal("cannot find the CPU times of the threads", err)
 	}
 	for _, path := range tasks {
 		if b, err := os.ReadFile(path); err == nil { // a thread may have ended
@@ -103,16 +103,17 @@
 	return time.Duration(sum)
 }
 
-// A broker is killed with attempts out: the next start reports its queries as
-// interrupted, with these attempts, and the folder can be read before that.
-func TestKilledBroker(t *testing.T) {
+// A broker that is killed with attempts in flight must not lose their queries: the
+// next start must report them as interrupted, with their attempts, and the spool
+// directory must be readable before that start.
+func TestKilledBrokerReportsOpenQueries(t *testing.T) {
 	nodes := []*testkit.Node{testkit.NewNode(t, "s-0", false), testkit.NewNode(t, "s-1", false)}
-	disco := testkit.NewDiscovery(t, nodes[0].Entry(), nodes[1].Entry())
+	discovery := testkit.NewDiscovery(t, nodes[0].Entry(), nodes[1].Entry())
 	dir := t.TempDir()
-	trace := map[string]any{"dir": dir}
-	p := launch(t, "", nodes, disco, trace)
-	if r := testkit.AskHTTP(context.Background(), p.addr, testkit.Query{Class: "screen", ID: "good", Shards: []int{1}, Within: 3 * time.Second}); r.Kind != "served" {
-		t.Fatalf("got %+v", r)
+	tracingConfig := map[string]any{"dir": dir}
+	process := launchBroker(t, "", nodes, discovery, tracingConfig)
+	if reply := testkit.AskHTTP(context.Background(), process.addr, testkit.Query{Class: "screen", ID: "good", Shards: []int{1}, Within: 3 * time.Second}); reply.Kind != "served" {
+		t.Fatalf("got %+v", reply)
 	}
 	for _, n := range nodes {
 		n.Always(testkit.Silent)
@@ -120,69 +121,69 @@
 	var wg sync.WaitGroup
 	for i := range 3 {
 		wg.Go(func() {
-			testkit.AskHTTP(context.Background(), p.addr, testkit.Query{Class: "order", ID: fmt.Sprintf("open%d", i), Shards: []int{2, 5}, Within: 3 * time.Second})
+			testkit.AskHTTP(context.Background(), process.addr, testkit.Query{Class: "order", ID: fmt.Sprintf("open%d", i), Shards: []int{2, 5}, Within: 3 * time.Second})
 		})
 	}
-	testkit.Eventually(t, "all parts out", func() bool { return len(nodes[0].Calls())+len(nodes[1].Calls()) >= 7 })
-	p.kill()
+	testkit.Eventually(t, "all parts to be sent", func() bool { return len(nodes[0].Calls())+len(nodes[1].Calls()) >= 7 })
+	process.kill()
 	wg.Wait()
 
-	var out, errs bytes.Buffer
-	if cli.Main([]string{"trace", "list", "--dir", dir, "--open", "--reason", "interrupted"}, &out, &errs) != 0 || strings.Count(out.String(), "open") < 3 {
-		t.Errorf("before the next start: %s%s", out.String(), errs.String())
+	var stdout, stderr bytes.Buffer
+	if cli.Main([]string{"trace", "list", "--dir", dir, "--open", "--reason", "interrupted"}, &stdout, &stderr) != 0 || strings.Count(stdout.String(), "open") < 3 {
+		t.Errorf("trace list before the next start: got %s%s, want the three open queries", stdout.String(), stderr.String())
 	}
-	p = launch(t, "", nodes, disco, trace)
-	p.kill()
-	traces, bad, err := tracing.ReadDir(dir, record.Filter{Reason: record.Interrupted})
-	if err != nil || len(bad) > 0 {
-		t.Fatal(err, bad)
+	process = launchBroker(t, "", nodes, discovery, tracingConfig)
+	process.kill()
+	traces, unreadable, err := tracing.ReadDir(dir, record.Filter{Reason: record.Interrupted})
+	if err != nil || len(unreadable) > 0 {
+		t.Fatal(err, unreadable)
 	}
 	var names []string
 	for _, tr := range traces {
 		names = append(names, tr.Query)
 		if len(tr.Attempts) != 2 || tr.Class != "order" || tr.Parts != 2 {
-			t.Errorf("%s: %+v", tr.Query, tr)
+			t.Errorf("%s: got trace %+v, want class order with two parts and attempts", tr.Query, tr)
 		}
 		for _, a := range tr.Attempts {
 			if a.Outcome != record.Out || !a.MayRun || a.Node == "" || !a.Gone.Set() {
-				t.Errorf("%s: %+v", tr.Query, a)
+				t.Errorf("%s: got attempt %+v, want it sent, unanswered and possibly still running", tr.Query, a)
 			}
 		}
 	}
 	slices.Sort(names)
 	if fmt.Sprint(names) != "[open0 open1 open2]" {
-		t.Errorf("reported %v", names)
+		t.Errorf("reported as interrupted: got %v, want [open0 open1 open2]", names)
 	}
 }
 
-var absent = flag.String("tracing.absent", "", "a broker built without tracing, to be measured beside the others")
+var untracedBinary = flag.String("tracing.absent", "", "a broker binary built without tracing, to be measured as well")
 
-// BenchmarkTracing measures what tracing costs good queries: brokers with it
-// off and on, and the one of -tracing.absent, serve the same load in turns,
-// each in a process of its own. An iteration is one turn of each.
+// BenchmarkTracing measures the cost of tracing for good queries. Brokers with tracing
+// disabled and enabled, and the binary of -tracing.absent if given, serve the same load
+// alternately, each in its own process. An iteration runs each of them once.
 func BenchmarkTracing(b *testing.B) {
 	var nodes []*testkit.Node
 	for i := range 4 {
 		nodes = append(nodes, testkit.NewNode(b, fmt.Sprintf("s-%d", i), false))
 	}
-	disco := testkit.NewDiscovery(b, nodes[0].Entry(), nodes[1].Entry(), nodes[2].Entry(), nodes[3].Entry())
+	discovery := testkit.NewDiscovery(b, nodes[0].Entry(), nodes[1].Entry(), nodes[2].Entry(), nodes[3].Entry())
 	type variant struct {
 		name, program string
 		trace         func() map[string]any
-		cpu           []float64 // microseconds a query, by turn
-		latency       []float64 // median of the turn, microseconds
+		cpu           []float64 // microseconds per query, by iteration
+		latency       []float64 // median of the iteration, microseconds
 	}
-	none := func() map[string]any { return nil }
+	noTracing := func() map[string]any { return nil }
 	variants := []*variant{
-		{name: "off", trace: none},
+		{name: "off", trace: noTracing},
 		{name: "on", trace: func() map[string]any { return map[string]any{"dir": b.TempDir()} }},
 	}
-	if *absent != "" {
-		variants = append(variants, &variant{name: "absent", program: *absent, trace: none})
+	if *untracedBinary != "" {
+		variants = append(variants, &variant{name: "absent", program: *untracedBinary, trace: noTracing})
 	}
-	const warm, chunks, chunk = 300, 24, 50
+	const warmup, chunksPerTurn, chunkQueries = 300, 24, 50
 	id := 0
-	ask := func(p *process) time.Duration {
+	measure := func(p *brokerProcess) time.Duration {
 		id++
 		r := testkit.AskHTTP(context.Background(), p.addr, testkit.Query{Class: "screen", ID: fmt.Sprintf("b%d", id), Shards: []int{1, 4, 7, 9}, Within: 3 * time.Second})
 		if r.Kind != "served" {
@@ -192,31 +193,31 @@
 	}
 	b.ResetTimer()
 	for i := range b.N {
-		// New processes each time, as two of the same program differ by some
-		// percent for as long as they live, and in turns of some milliseconds, as
-		// the machine's speed drifts.
-		ps, cpu, took := make([]*process, len(variants)), make([]time.Duration, len(variants)), make([][]float64, len(variants))
+		// New processes are started in each iteration, as two processes of the same
+		// binary differ by some percent for their whole lifetime. The brokers alternate
+		// every few milliseconds, as the machine's speed drifts.
+		processes, cpu, latencies := make([]*brokerProcess, len(variants)), make([]time.Duration, len(variants)), make([][]float64, len(variants))
 		for j := range variants {
 			k := (i + j) % len(variants)
-			ps[k] = launch(b, variants[k].program, nodes, disco, variants[k].trace())
-			for range warm {
-				ask(ps[k])
+			processes[k] = launchBroker(b, variants[k].program, nodes, discovery, variants[k].trace())
+			for range warmup {
+				measure(processes[k])
 			}
 		}
-		for c := range chunks {
+		for c := range chunksPerTurn {
 			for j := range variants {
 				k := (i + j + c) % len(variants)
-				before := ps[k].cpu(b)
-				for range chunk {
-					took[k] = append(took[k], float64(ask(ps[k]).Nanoseconds())/1000)
+				before := processes[k].cpuTime(b)
+				for range chunkQueries {
+					latencies[k] = append(latencies[k], float64(measure(processes[k]).Nanoseconds())/1000)
 				}
-				cpu[k] += ps[k].cpu(b) - before
+				cpu[k] += processes[k].cpuTime(b) - before
 			}
 		}
 		for k, v := range variants {
-			v.cpu = append(v.cpu, float64(cpu[k].Nanoseconds())/1000/chunks/chunk)
-			v.latency = append(v.latency, median(took[k]))
-			ps[k].kill()
+			v.cpu = append(v.cpu, float64(cpu[k].Nanoseconds())/1000/chunksPerTurn/chunkQueries)
+			v.latency = append(v.latency, median(latencies[k]))
+			processes[k].kill()
 		}
 	}
 	b.StopTimer()
--- a/tracing/proof_test.go
+++ b/tracing/proof_test.go
@@ -19,50 +19,54 @@
 	"onyxsail/tracing/record"
 )
 
-var proofFor = flag.Duration("proof.for", 0, "how long the proof runs; 0: the short form")
+var proofDuration = flag.Duration("proof.for", 0, "how long the proof tests run; 0 runs their short form")
 
-const wanted = 100 * time.Millisecond
+// objective is the objectiveMs that shortenClassTimes gives to all classes.
+const objective = 100 * time.Millisecond
 
-// quick makes the classes' times short, so that many queries miss them soon.
-func quick(s map[string]any) {
+// shortenClassTimes shortens the objectives and deadlines of all classes, so that many
+// queries miss them in a short test.
+func shortenClassTimes(s map[string]any) {
 	for _, c := range s["classes"].([]any) {
-		c.(map[string]any)["objectiveMs"] = float64(wanted.Milliseconds())
+		c.(map[string]any)["objectiveMs"] = float64(objective.Milliseconds())
 		c.(map[string]any)["deadlineMs"] = 500.0
 	}
 }
 
-// start starts a traced broker among n nodes.
-func start(t testing.TB, n int, flightKind bool, trace map[string]any, settings func(map[string]any)) (*daemon.Daemon, []*testkit.Node) {
+// startBroker starts a broker with n nodes, with tracing enabled if tracingConfig is
+// not nil.
+func startBroker(t testing.TB, n int, flightNodes bool, tracingConfig map[string]any, settings func(map[string]any)) (*daemon.Daemon, []*testkit.Node) {
 	t.Helper()
 	var nodes []*testkit.Node
-	var list []testkit.Entry
+	var entries []testkit.Entry
 	for i := range n {
-		node := testkit.NewNode(t, fmt.Sprintf("s-%d", i), flightKind)
-		nodes, list = append(nodes, node), append(list, node.Entry())
+		node := testkit.NewNode(t, fmt.Sprintf("s-%d", i), flightNodes)
+		nodes, entries = append(nodes, node), append(entries, node.Entry())
 	}
-	disco := testkit.NewDiscovery(t, list...)
+	discovery := testkit.NewDiscovery(t, entries...)
 	extra := map[string]any{"flight": map[string]any{"listen": "127.0.0.1:0"}}
-	if trace != nil {
-		extra["tracing"] = trace
+	if tracingConfig != nil {
+		extra["tracing"] = tracingConfig
 	}
-	cfg, err := config.Parse(testkit.Config(disco.Addr, list, testkit.Settings(settings), extra), func(string) string { return "" })
+	cfg, err := config.Parse(testkit.Config(discovery.Addr, entries, testkit.Settings(settings), extra), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := daemon.Start(cfg, zerolog.New(io.Discard))
+	broker, err := daemon.Start(cfg, zerolog.New(io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d, nodes
+	return broker, nodes
 }
 
-// TestProofTraces runs queries of all classes against nodes that stall, fail
-// and turn away by a seed, and holds what clients saw against what was kept.
-func TestProofTraces(t *testing.T) {
+// TestProofTracesOfBadQueriesAreKept sends queries of all classes to nodes that stall,
+// fail and refuse at random by a seed. Each query that a client saw fail or take longer
+// than its objective must have a trace, and only a sample of the good ones.
+func TestProofTracesOfBadQueriesAreKept(t *testing.T) {
 	dir := t.TempDir()
-	d, nodes := start(t, 4, false, map[string]any{
+	broker, nodes := startBroker(t, 4, false, map[string]any{
 		"dir": dir, "budget_per_s": 10_000, "memory_kb": 65536, "good_share": 0.05, "spool_mb": 1024,
-	}, quick)
+	}, shortenClassTimes)
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(7, 7))
 	for _, n := range nodes {
@@ -72,7 +76,7 @@
 			mu.Unlock()
 			switch {
 			case x < 0.06:
-				time.Sleep(wanted + wanted/2) // the stall itself, not a wait for a condition
+				time.Sleep(objective + objective/2) // simulates the stall; waits for no condition
 			case x < 0.08:
 				return testkit.Fail
 			case x < 0.10:
@@ -86,19 +90,19 @@
 	classes := []string{"screen", "edit", "order", "part"}
 	var wg sync.WaitGroup
 	bad, good := map[string]string{}, map[string]bool{}
-	until := time.Now().Add(*proofFor)
-	for w := range 8 {
+	end := time.Now().Add(*proofDuration)
+	for client := range 8 {
 		wg.Go(func() {
-			for i := 0; i < 60 || time.Now().Before(until); i++ {
-				q := testkit.Query{Class: classes[i%4], ID: fmt.Sprintf("q%d-%d", w, i), Key: fmt.Sprintf("k%d-%d", w, i),
+			for i := 0; i < 60 || time.Now().Before(end); i++ {
+				q := testkit.Query{Class: classes[i%4], ID: fmt.Sprintf("q%d-%d", client, i), Key: fmt.Sprintf("k%d-%d", client, i),
 					Shards: []int{i % 18, (i + 7) % 18}, Within: 500 * time.Millisecond}
-				r := testkit.AskHTTP(context.Background(), d.Addr().String(), q)
+				r := testkit.AskHTTP(context.Background(), broker.Addr().String(), q)
 				mu.Lock()
-				// The client's clock runs a little longer than the broker's, by the
-				// way there and back.
-				if r.Kind != "served" || r.Took > wanted+wanted/4 {
+				// The client measures a little more than the broker: also the network
+				// time of the request and the response.
+				if r.Kind != "served" || r.Took > objective+objective/4 {
 					bad[q.ID] = fmt.Sprintf("%s after %v", r.Kind, r.Took)
-				} else if r.Took < wanted {
+				} else if r.Took < objective {
 					good[q.ID] = true
 				}
 				mu.Unlock()
@@ -106,19 +110,19 @@
 		})
 	}
 	wg.Wait()
-	if err := d.Stop(context.Background()); err != nil {
+	if err := broker.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	kept, whys := map[string]*record.Trace{}, map[record.Reasons]int{}
+	kept, byReason := map[string]*record.Trace{}, map[record.Reasons]int{}
 	for _, tr := range readDir(t, dir) {
 		kept[tr.Query] = tr
-		whys[tr.Kept]++
+		byReason[tr.Kept]++
 	}
 	missed, keptGood := 0, 0
 	for id, why := range bad {
 		if tr := kept[id]; tr == nil || tr.Reasons&^(record.Usual|record.Asked) == 0 {
 			missed++
-			t.Errorf("no trace of %s: %s", id, why)
+			t.Errorf("no trace of bad query %s: %s", id, why)
 		}
 	}
 	for id := range good {
@@ -127,17 +131,17 @@
 		}
 	}
 	if len(bad) == 0 || len(good) == 0 || keptGood == 0 || keptGood > len(good)/5 {
-		t.Errorf("%d bad and %d good queries, %d good ones kept: the run shows nothing", len(bad), len(good), keptGood)
+		t.Errorf("the run is inconclusive: %d bad and %d good queries, traces of %d good ones kept; want some of each, and at most a fifth of the good ones kept", len(bad), len(good), keptGood)
 	}
-	t.Logf("kept by reason: %v", whys)
+	t.Logf("kept by reason: %v", byReason)
 	fmt.Printf("proof: traces missed %d of %d bad, kept %d of %d good\n", missed, len(bad), keptGood, len(good))
 }
 
 func readDir(t testing.TB, dir string) []*record.Trace {
 	t.Helper()
-	traces, bad, err := tracing.ReadDir(dir, record.Filter{})
-	if err != nil || len(bad) > 0 {
-		t.Fatal(err, bad)
+	traces, unreadable, err := tracing.ReadDir(dir, record.Filter{})
+	if err != nil || len(unreadable) > 0 {
+		t.Fatal(err, unreadable)
 	}
 	return traces
 }
--- a/tracing/slots_test.go
+++ b/tracing/slots_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// It is a map, whatever falls on what.
-func TestSlots(t *testing.T) {
+// A directMap must behave like a map, also for keys that share an index in its array.
+func TestDirectMapBehavesLikeMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, want := newDirectMap[int](4), map[uint64]int{}
 		for range rapid.IntRange(0, 80).Draw(t, "steps") {
@@ -25,11 +25,11 @@
 			got := map[uint64]int{}
 			s.forEach(func(v int) { got[uint64(v/3)] = v })
 			if s.count != len(want) || !maps.Equal(got, want) {
-				t.Fatalf("%v, %d, want %v", got, s.count, want)
+				t.Fatalf("forEach visits %v, count is %d, want %v", got, s.count, want)
 			}
 			for key := uint64(1); key <= 16; key++ {
 				if v, ok := s.get(key); v != want[key] || ok != (want[key] != 0) {
-					t.Fatalf("%d: %d, %v", key, v, ok)
+					t.Fatalf("get(%d): got %d, %v", key, v, ok)
 				}
 			}
 		}
--- a/tracing/tracer_test.go
+++ b/tracing/tracer_test.go
@@ -21,63 +21,63 @@
 	"onyxsail/tracing/spool"
 )
 
-// begin starts a tracer whose window ends only when the test says so: its
-// goroutine is stopped.
-func begin(t testing.TB, c Config, log io.Writer, write func(*os.File, []byte) (int, error)) *Tracer {
+// startWithoutWriter starts a tracer and stops its writer goroutine, so that the
+// sampler's window ends only when the test collects the kept traces.
+func startWithoutWriter(t testing.TB, cfg Config, log io.Writer, write func(*os.File, []byte) (int, error)) *Tracer {
 	t.Helper()
-	if c.GoodShare == 0 {
-		c.GoodShare = 1e-9
+	if cfg.GoodShare == 0 {
+		cfg.GoodShare = 1e-9
 	}
-	tr, err := Start(Options{Config: c.WithDefaults(), Broker: "n1", Log: zerolog.New(log), Write: write,
+	tracer, err := Start(Options{Config: cfg.WithDefaults(), Broker: "n1", Log: zerolog.New(log), Write: write,
 		Classes: []Class{{Name: "screen", Objective: time.Second}, {Name: "edit", Objective: 100 * time.Millisecond}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	close(tr.stop)
-	tr.done.Wait()
-	tr.stop = make(chan struct{})
-	return tr
+	close(tracer.stop)
+	tracer.done.Wait()
+	tracer.stop = make(chan struct{})
+	return tracer
 }
 
-func query(name string, came time.Time) *broker.Query {
+func newQuery(name string, came time.Time) *broker.Query {
 	return &broker.Query{Name: name, Parts: []broker.Part{{Shard: 3, Share: 1}}, Came: came, Budget: 2 * time.Second}
 }
 
-func kept(t testing.TB, tr *Tracer, f record.Filter) []*record.Trace {
+func readKept(t testing.TB, tracer *Tracer, filter record.Filter) []*record.Trace {
 	t.Helper()
-	tr.collect(true)
-	traces, bad, err := tr.Read(f)
-	if err != nil || len(bad) > 0 {
-		t.Fatal(err, bad)
+	tracer.collect(true)
+	traces, unreadable, err := tracer.Read(filter)
+	if err != nil || len(unreadable) > 0 {
+		t.Fatal(err, unreadable)
 	}
 	return traces
 }
 
-// An attempt that never answers is ended with its query and marked as one that
-// may still run; its outcome after the end is noted, in the trace while that
-// waits and behind it once that is written.
-func TestAttemptThatNeverAnswers(t *testing.T) {
+// An attempt that never answers must end with its query and be marked as possibly
+// still running. Its late outcome must be recorded: in the trace as long as that is
+// held, as a separate note once the trace is written. Only the first one counts.
+func TestLateOutcomeOfUnansweredAttemptIsRecorded(t *testing.T) {
 	dir := t.TempDir()
-	tr := begin(t, Config{Dir: dir}, io.Discard, nil)
+	tr := startWithoutWriter(t, Config{Dir: dir}, io.Discard, nil)
 	at := func(ms int) time.Time { return tr.start.Add(time.Duration(ms) * time.Millisecond) }
 	for id := broker.QueryID(1); id <= 2; id++ {
-		tr.Taken(id, query(fmt.Sprintf("q%d", id), at(0)), at(1))
+		tr.Taken(id, newQuery(fmt.Sprintf("q%d", id), at(0)), at(1))
 		for n := range 2 {
-			try := broker.AttemptID(uint64(id)*10 + uint64(n))
-			tr.Opened(broker.Opening{ID: try, Query: id, Shard: 3, N: n, Node: "a", At: at(2 + n)})
+			attempt := broker.AttemptID(uint64(id)*10 + uint64(n))
+			tr.Opened(broker.Opening{ID: attempt, Query: id, Shard: 3, N: n, Node: "a", At: at(2 + n)})
 			if n == 0 {
-				tr.Wire(try, broker.WireGone, "127.0.0.1:1", at(3))
+				tr.Wire(attempt, broker.WireGone, "127.0.0.1:1", at(3))
 			}
 		}
 		tr.Cancelled(broker.AttemptID(id*10), at(1500))
 		tr.Final(id, &broker.Reply{Verdict: broker.Failed}, at(1500))
-		tr.Ended(broker.AttemptID(id*10), decide.Cancelled, broker.ByCore, time.Time{}, at(1501)) // as the core tells it, a turn later
+		tr.Ended(broker.AttemptID(id*10), decide.Cancelled, broker.ByCore, time.Time{}, at(1501)) // the core reports it one turn later
 	}
-	tr.Late(10, decide.OK, at(1600)) // while its trace waits
+	tr.Late(10, decide.OK, at(1600)) // while its trace is held
 	tr.collect(true)
-	tr.Late(20, decide.Failed, at(1700)) // when it is written
-	tr.Late(20, decide.OK, at(1800))     // no second outcome
-	traces := kept(t, tr, record.Filter{})
+	tr.Late(20, decide.Failed, at(1700)) // after its trace was written
+	tr.Late(20, decide.OK, at(1800))     // a second outcome is ignored
+	traces := readKept(t, tr, record.Filter{})
 	tr.Close(context.Background())
 	fromDisk, _, err := ReadDir(dir, record.Filter{})
 	if err != nil {
@@ -85,31 +85,31 @@
 	}
 	for _, traces := range [][]*record.Trace{traces, fromDisk} {
 		if len(traces) != 2 {
-			t.Fatalf("%d traces", len(traces))
+			t.Fatalf("got %d traces, want 2", len(traces))
 		}
 		for i, o := range []decide.Outcome{decide.OK, decide.Failed} {
 			a, b := traces[i].Attempts[0], traces[i].Attempts[1]
 			if a.Outcome != record.Outcome(decide.Cancelled) || !a.MayRun || !a.Ours || !a.GaveUp.Set() || a.Addr == "" ||
 				a.LateOutcome == nil || *a.LateOutcome != record.Outcome(o) || a.LateAt.Duration() != time.Duration(1600+100*i)*time.Millisecond {
-				t.Errorf("query %d: %+v", i+1, a)
+				t.Errorf("query %d: attempt with a late outcome: got %+v", i+1, a)
 			}
-			if b.MayRun || b.Ended.Duration() != 1500*time.Millisecond { // its bytes never left
-				t.Errorf("query %d: %+v", i+1, b)
+			if b.MayRun || b.Ended.Duration() != 1500*time.Millisecond { // its request was never sent
+				t.Errorf("query %d: unsent attempt: got %+v", i+1, b)
 			}
 		}
 	}
 }
 
-// A copy that wins makes its query worth keeping, one that loses does not; a
-// query refused before any attempt, a client that leaves too late and one that
-// leaves in time are told apart.
-func TestReasonsOfTheCore(t *testing.T) {
-	tr := begin(t, Config{}, io.Discard, nil)
+// Each bad query must get the reason that applies, and good queries none. A copy that
+// answers first, a client that leaves after the objective and a refusal before any
+// attempt are reasons; a copy that loses and a client that leaves in time are not.
+func TestQueryReasonsAreDistinguished(t *testing.T) {
+	tr := startWithoutWriter(t, Config{}, io.Discard, nil)
 	at := func(ms int) time.Time { return tr.start.Add(time.Duration(ms) * time.Millisecond) }
 	id := broker.QueryID(0)
-	run := func(name string, winner int, v broker.Verdict, class, end int) {
+	runQuery := func(name string, winner int, verdict broker.Verdict, class, end int) {
 		id++
-		q := query(name, at(0))
+		q := newQuery(name, at(0))
 		q.Class = class
 		tr.Taken(id, q, at(1))
 		for n := range 2 {
@@ -120,25 +120,25 @@
 		if winner >= 0 {
 			tr.Ended(broker.AttemptID(uint64(id)*10+uint64(winner)), decide.OK, broker.ByNode, time.Time{}, at(end))
 		}
-		tr.Final(id, &broker.Reply{Verdict: v, Whole: true}, at(end))
-	}
-	run("copy-wins", 1, broker.Served, 0, 50)
-	run("copy-loses", 0, broker.Served, 0, 50)
-	run("late-edit", 0, broker.Served, 1, 150)
-	run("same-time-screen", 0, broker.Served, 0, 150)
-	run("refused", -1, broker.Refused, 0, 2)
-	run("left-late", 0, broker.Left, 0, 1200)
-	run("left-soon", 0, broker.Left, 0, 900)
-	tr.TurnedAway(query("turned-away", at(5)), at(5))
+		tr.Final(id, &broker.Reply{Verdict: verdict, Whole: true}, at(end))
+	}
+	runQuery("copy-wins", 1, broker.Served, 0, 50)
+	runQuery("copy-loses", 0, broker.Served, 0, 50)
+	runQuery("late-edit", 0, broker.Served, 1, 150)
+	runQuery("same-time-screen", 0, broker.Served, 0, 150)
+	runQuery("refused", -1, broker.Refused, 0, 2)
+	runQuery("left-late", 0, broker.Left, 0, 1200)
+	runQuery("left-soon", 0, broker.Left, 0, 900)
+	tr.TurnedAway(newQuery("turned-away", at(5)), at(5))
 	id++
-	tr.Taken(id, query("doubted", at(0)), at(1))
+	tr.Taken(id, newQuery("doubted", at(0)), at(1))
 	tr.Opened(broker.Opening{ID: 999, Query: id, Shard: 3, Node: "b", At: at(2)})
 	tr.Doubted("b", true, at(3))
 	tr.Ended(999, decide.OK, broker.ByNode, time.Time{}, at(5))
 	tr.Final(id, &broker.Reply{Verdict: broker.Served, Whole: true}, at(5))
 	got := map[string]string{}
-	for _, x := range kept(t, tr, record.Filter{}) {
-		got[x.Query] = x.Reasons.String()
+	for _, trace := range readKept(t, tr, record.Filter{}) {
+		got[trace.Query] = trace.Reasons.String()
 	}
 	want := map[string]string{"copy-wins": "saved", "late-edit": "late", "refused": "refused", "left-late": "left-late",
 		"turned-away": "refused", "doubted": "doubted"}
@@ -146,42 +146,43 @@
 		t.Errorf("got  %v\nwant %v", got, want)
 	}
 	if n := tr.openQueries.count + tr.attempts.count + len(tr.held); n != 0 {
-		t.Errorf("%d things are still held", n)
+		t.Errorf("%d queries and attempts are still held, want none", n)
 	}
 	tr.Close(context.Background())
 }
 
-// A wall clock that steps moves no trace: all times are told from one reading.
-func TestWallClockSteps(t *testing.T) {
-	tr := begin(t, Config{GoodShare: 1}, io.Discard, nil)
+// A step of the wall clock must not shift traces: all times are relative to one
+// reading of the clock.
+func TestWallClockStepDoesNotShiftTraces(t *testing.T) {
+	tr := startWithoutWriter(t, Config{GoodShare: 1}, io.Discard, nil)
 	now := time.Now()
 	for id := broker.QueryID(1); id <= 3; id++ {
 		came := now.Add(time.Duration(id) * time.Millisecond)
-		tr.Taken(id, query(fmt.Sprintf("q%d", id), came), came)
+		tr.Taken(id, newQuery(fmt.Sprintf("q%d", id), came), came)
 		tr.Final(id, &broker.Reply{Whole: true}, came.Add(time.Microsecond))
 	}
-	traces := kept(t, tr, record.Filter{})
+	traces := readKept(t, tr, record.Filter{})
 	if len(traces) != 3 {
-		t.Fatalf("%d traces", len(traces))
+		t.Fatalf("got %d traces, want 3", len(traces))
 	}
-	for i, x := range traces {
-		if want := tr.start.Add(now.Sub(tr.start) + time.Duration(i+1)*time.Millisecond); x.Came.UnixNano() != want.UnixNano() || x.Took() != time.Microsecond {
-			t.Errorf("came %v, want %v; took %v", x.Came, want, x.Took())
+	for i, trace := range traces {
+		if want := tr.start.Add(now.Sub(tr.start) + time.Duration(i+1)*time.Millisecond); trace.Came.UnixNano() != want.UnixNano() || trace.Took() != time.Microsecond {
+			t.Errorf("arrived at %v, want %v; took %v, want 1µs", trace.Came, want, trace.Took())
 		}
 	}
 	tr.Close(context.Background())
 }
 
-// In an outage the traces in memory stay within their bound, counted byte by
-// byte at each moment, and what is shed is counted.
-func TestMemoryBound(t *testing.T) {
-	c := Config{MemoryKB: 64, BudgetPerS: 1000, OTLP: &OTLP{Endpoint: "127.0.0.1:1"}}
-	tr := begin(t, c, io.Discard, nil)
+// In an outage, with every query failing and no collector, the traces in memory must
+// never exceed the limit, and each trace that is not kept must be counted.
+func TestMemoryStaysWithinLimitDuringOutage(t *testing.T) {
+	cfg := Config{MemoryKB: 64, BudgetPerS: 1000, OTLP: &OTLP{Endpoint: "127.0.0.1:1"}}
+	tr := startWithoutWriter(t, cfg, io.Discard, nil)
 	at := func(ms int) time.Time { return tr.start.Add(time.Duration(ms) * time.Millisecond) }
-	most := 0
+	peak := 0
 	for i := range 3000 {
 		id := broker.QueryID(i + 1)
-		tr.Taken(id, query(fmt.Sprintf("q%d", i), at(i)), at(i))
+		tr.Taken(id, newQuery(fmt.Sprintf("q%d", i), at(i)), at(i))
 		for n := range 3 {
 			tr.Opened(broker.Opening{ID: broker.AttemptID(3*i + n + 1), Query: id, Shard: 3, N: n, Node: "a-node", At: at(i)})
 		}
@@ -190,184 +191,186 @@
 			tr.collect(false)
 		}
 		if i%50 == 0 {
-			most = max(most, tr.Counts().Bytes)
+			peak = max(peak, tr.Counts().Bytes)
 		}
 	}
 	tr.collect(true)
-	got := tr.Counts()
-	if most = max(most, got.Bytes); most > c.MemoryKB<<10 {
-		t.Errorf("%d bytes held, want %d at most", most, c.MemoryKB<<10)
+	counts := tr.Counts()
+	if peak = max(peak, counts.Bytes); peak > cfg.MemoryKB<<10 {
+		t.Errorf("held %d bytes, want at most %d", peak, cfg.MemoryKB<<10)
 	}
-	if got.Sampled.Shed["failed"] == 0 || got.Sampled.Kept == 0 || got.Sampled.Shed["failed"]+got.Sampled.Kept != 3000 {
-		t.Errorf("counts %+v", got.Sampled)
+	if counts.Sampled.Shed["failed"] == 0 || counts.Sampled.Kept == 0 || counts.Sampled.Shed["failed"]+counts.Sampled.Kept != 3000 {
+		t.Errorf("got counts %+v, want 3000 failed queries kept or shed", counts.Sampled)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	tr.Close(ctx)
 }
 
-// A tracer whose disk fails goes on in memory; one whose folder cannot be used
-// starts all the same.
-func TestDiskFails(t *testing.T) {
+// A tracer whose disk fails must continue in memory, and one whose spool directory
+// cannot be used must start nevertheless.
+func TestDiskFailureKeepsTracesInMemory(t *testing.T) {
 	var log bytes.Buffer
-	full := false
-	tr := begin(t, Config{Dir: t.TempDir()}, &log, func(f *os.File, b []byte) (int, error) {
-		if full {
+	diskFull := false
+	tr := startWithoutWriter(t, Config{Dir: t.TempDir()}, &log, func(f *os.File, b []byte) (int, error) {
+		if diskFull {
 			return 0, &os.PathError{Op: "write", Path: f.Name(), Err: unix.ENOSPC}
 		}
 		return f.Write(b)
 	})
 	at := tr.start
 	for id := broker.QueryID(1); id <= 2; id++ {
-		full = id == 2
-		tr.Taken(id, query(fmt.Sprintf("q%d", id), at), at)
+		diskFull = id == 2
+		tr.Taken(id, newQuery(fmt.Sprintf("q%d", id), at), at)
 		tr.Final(id, &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
 		tr.collect(true)
 	}
-	if got := kept(t, tr, record.Filter{}); len(got) != 2 {
-		t.Errorf("%d traces can be read, want both", len(got))
+	if got := readKept(t, tr, record.Filter{}); len(got) != 2 {
+		t.Errorf("read %d traces, want 2", len(got))
 	}
 	if n := tr.Counts().Spool.Dropped[spool.DropFailed]; n != 1 || !strings.Contains(log.String(), "serving goes on") {
-		t.Errorf("%d dropped; log %s", n, log.String())
+		t.Errorf("%d writes counted as failed, want 1; log: %s", n, log.String())
 	}
 	tr.Close(context.Background())
 
 	file := testkit.WriteFile(t, nil)
-	tr = begin(t, Config{Dir: file}, &log, nil)
-	tr.Taken(1, query("q", at), at)
+	tr = startWithoutWriter(t, Config{Dir: file}, &log, nil)
+	tr.Taken(1, newQuery("q", at), at)
 	tr.Final(1, &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
-	if got := kept(t, tr, record.Filter{}); len(got) != 1 {
-		t.Errorf("%d traces without a folder, want 1", len(got))
+	if got := readKept(t, tr, record.Filter{}); len(got) != 1 {
+		t.Errorf("read %d traces without a spool directory, want 1", len(got))
 	}
 	tr.Close(context.Background())
 }
 
-// A disk is full while a query ends badly, and has room again a second later. Its trace used to
-// be counted as dropped and kept in memory alone: it was gone with the process, though it had
-// been taken on (row 141 of the audit). It is written as soon as the disk takes it, before
-// what came later; over the bound of bytes the oldest go.
-func TestFullDiskIsOwedItsTraces(t *testing.T) {
-	full := true
+// If the disk is full when a trace is written and has space again a second later, the
+// trace used to be dropped from the spool and kept in memory only, so that it was lost
+// when the process ended. It must be written as soon as the disk accepts writes, before
+// later traces. Above the memory limit, the oldest queued traces are dropped.
+func TestTracesAreWrittenAfterDiskWasFull(t *testing.T) {
+	diskFull := true
 	write := func(f *os.File, b []byte) (int, error) {
-		if full {
+		if diskFull {
 			return 0, &os.PathError{Op: "write", Path: f.Name(), Err: unix.ENOSPC}
 		}
 		return f.Write(b)
 	}
 	dir := t.TempDir()
-	tr := begin(t, Config{Dir: dir, MemoryKB: 64}, io.Discard, write)
+	tr := startWithoutWriter(t, Config{Dir: dir, MemoryKB: 64}, io.Discard, write)
 	at := tr.start
-	ended := func(id int) {
-		tr.Taken(broker.QueryID(id), query(fmt.Sprintf("q%d", id), at), at)
+	failQuery := func(id int) {
+		tr.Taken(broker.QueryID(id), newQuery(fmt.Sprintf("q%d", id), at), at)
 		tr.Final(broker.QueryID(id), &broker.Reply{Verdict: broker.Failed}, at.Add(time.Second))
 		tr.collect(true)
 	}
-	ended(1)
-	ended(2)
+	failQuery(1)
+	failQuery(2)
 	if n := tr.Counts().Spool.Dropped; n[spool.DropFailed]+n[spool.DropPaused] != 2 {
-		t.Errorf("counted as not written: %v, want 2", n)
+		t.Errorf("dropped by cause: %v, want 2 in total as failed or paused", n)
 	}
-	full = false
-	tr.start = tr.start.Add(-maxBackoff) // the pause after a failure is over
-	ended(3)
+	diskFull = false
+	tr.start = tr.start.Add(-maxBackoff) // the backoff after a failure is over
+	failQuery(3)
 	onDisk := func() (names []string) {
-		traces, bad, err := ReadDir(dir, record.Filter{})
-		if err != nil || len(bad) > 0 {
-			t.Fatal(err, bad)
+		traces, unreadable, err := ReadDir(dir, record.Filter{})
+		if err != nil || len(unreadable) > 0 {
+			t.Fatal(err, unreadable)
 		}
-		for _, x := range traces {
-			names = append(names, x.Query)
+		for _, trace := range traces {
+			names = append(names, trace.Query)
 		}
 		return names
 	}
 	if got := onDisk(); !slices.Equal(got, []string{"q1", "q2", "q3"}) {
-		t.Errorf("on disk: %v", got)
+		t.Errorf("on disk: got %v, want [q1 q2 q3]", got)
 	}
 	if c := tr.Counts().Spool; c.Written != 3 || len(c.Dropped) > 0 {
-		t.Errorf("counted: %+v", c)
+		t.Errorf("spool counts: got %+v, want 3 written and none dropped", c)
 	}
-	full = true
+	diskFull = true
 	for id := 4; id < 400; id++ {
-		ended(id)
+		failQuery(id)
 		if bytes := tr.Counts().Bytes; bytes > 64<<10 {
-			t.Fatalf("%d bytes held", bytes)
+			t.Fatalf("held %d bytes, want at most 64 KiB", bytes)
 		}
 	}
-	full = false
+	diskFull = false
 	tr.start = tr.start.Add(-maxBackoff)
-	tr.Close(context.Background()) // the last chance
+	tr.Close(context.Background()) // the last attempt to write the queue
 	if got := onDisk(); len(got) < 20 || got[len(got)-1] != "q399" {
-		t.Errorf("on disk at the end: %d, the last %v", len(got), got[len(got)-1:])
+		t.Errorf("on disk after Close: %d traces ending with %v, want at least 20 ending with q399", len(got), got[len(got)-1:])
 	}
 }
 
-// What was open when a tracer vanished is reported once by the next, also when
-// that one cannot write at first and vanishes too.
-func TestInterruptedIsCarried(t *testing.T) {
+// Queries that are open, or ended but not yet collected, when the broker is killed must
+// be reported by the next start, and only once. A start that cannot write to the spool
+// and is killed as well must not lose them.
+func TestInterruptedQueriesAreReportedOnce(t *testing.T) {
 	dir := t.TempDir()
-	tr := begin(t, Config{Dir: dir}, io.Discard, nil)
+	tr := startWithoutWriter(t, Config{Dir: dir}, io.Discard, nil)
 	at := tr.start
-	tr.Taken(1, query("open", at), at)
+	tr.Taken(1, newQuery("open", at), at)
 	tr.Opened(broker.Opening{ID: 1, Query: 1, Shard: 3, Node: "a", At: at})
 	tr.Wire(1, broker.WireGone, "x", at)
 	tr.Opened(broker.Opening{ID: 2, Query: 1, Shard: 4, Node: "b", At: at})
-	tr.Taken(2, query("over", at), at)
-	tr.Final(2, &broker.Reply{Verdict: broker.Expired}, at.Add(time.Second)) // and not collected
-	tr.Taken(3, query("good", at), at)
+	tr.Taken(2, newQuery("over", at), at)
+	tr.Final(2, &broker.Reply{Verdict: broker.Expired}, at.Add(time.Second)) // ended but not collected
+	tr.Taken(3, newQuery("good", at), at)
 	tr.Final(3, &broker.Reply{Whole: true}, at.Add(time.Millisecond))
-	vanish(t, tr)
+	simulateKill(t, tr)
 
-	broken := begin(t, Config{Dir: dir}, io.Discard, func(f *os.File, _ []byte) (int, error) {
+	broken := startWithoutWriter(t, Config{Dir: dir}, io.Discard, func(f *os.File, _ []byte) (int, error) {
 		return 0, &os.PathError{Op: "write", Path: f.Name(), Err: unix.EIO}
 	})
-	vanish(t, broken)
+	simulateKill(t, broken)
 
-	for range 2 { // the second start has nothing new to tell
+	for range 2 { // the second start reports nothing new
 		var log bytes.Buffer
-		tr = begin(t, Config{Dir: dir}, &log, nil)
+		tr = startWithoutWriter(t, Config{Dir: dir}, &log, nil)
 		got := map[string]*record.Trace{}
-		for _, x := range kept(t, tr, record.Filter{}) {
-			got[x.Query] = x
+		for _, trace := range readKept(t, tr, record.Filter{}) {
+			got[trace.Query] = trace
 		}
 		tr.Close(context.Background())
 		if len(got) != 2 || got["open"] == nil || got["over"] == nil {
-			t.Fatalf("got %v", got)
+			t.Fatalf("got traces %v, want those of the open and the ended query", got)
 		}
-		if x := got["open"]; x.Reasons != record.Interrupted || len(x.Attempts) != 2 || !x.Attempts[0].MayRun || x.Attempts[1].MayRun ||
-			x.Attempts[0].Outcome != record.Out || x.Attempts[0].Node != "a" {
-			t.Errorf("got %+v", x)
+		if trace := got["open"]; trace.Reasons != record.Interrupted || len(trace.Attempts) != 2 || !trace.Attempts[0].MayRun || trace.Attempts[1].MayRun ||
+			trace.Attempts[0].Outcome != record.Out || trace.Attempts[0].Node != "a" {
+			t.Errorf("open query: got %+v", trace)
 		}
-		if x := got["over"]; x.Reasons != record.Expired || x.Took() != time.Second {
-			t.Errorf("got %+v", x)
+		if trace := got["over"]; trace.Reasons != record.Expired || trace.Took() != time.Second {
+			t.Errorf("ended query: got %+v", trace)
 		}
 	}
 }
 
-// vanish ends a tracer as a kill does: nothing is written, the lock goes.
-func vanish(t *testing.T, tr *Tracer) {
+// simulateKill ends a tracer as a kill does: nothing more is written, and the lock on
+// the spool directory is released.
+func simulateKill(t *testing.T, tr *Tracer) {
 	t.Helper()
 	if err := tr.spool.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// The wires' headers carry the caller's trace and flag on, with the attempt as
-// the parent.
-func TestCarry(t *testing.T) {
-	tr := begin(t, Config{}, io.Discard, nil)
-	q := query("q", tr.start)
+// The trace context sent to nodes must have the caller's trace ID, sampled flag and
+// state, with the attempt as the parent.
+func TestCarryPropagatesTraceContext(t *testing.T) {
+	tr := startWithoutWriter(t, Config{}, io.Discard, nil)
+	q := newQuery("q", tr.start)
 	q.Trace = broker.TraceContext{ID: [16]byte{0xab}, Parent: [8]byte{1}, Sampled: true, State: "a=1"}
 	tr.Taken(1, q, tr.start)
 	tr.Opened(broker.Opening{ID: 7, Query: 1, At: tr.start})
 	parent, state := tr.Carry(7)
-	l, _ := tr.openQueries.get(1)
-	span := l.Attempts[0].Span
+	live, _ := tr.openQueries.get(1)
+	span := live.Attempts[0].Span
 	if want := "00-ab000000000000000000000000000000-" + span.String() + "-01"; parent != want || state != "a=1" {
-		t.Errorf("got %q, %q, want %q", parent, state, want)
+		t.Errorf("got traceparent %q and tracestate %q, want %q and \"a=1\"", parent, state, want)
 	}
 	tr.Final(1, &broker.Reply{Whole: true}, tr.start)
-	if x := kept(t, tr, record.Filter{}); len(x) != 1 || x[0].Parent != (record.SpanID{1}) || x[0].Kept != record.Asked {
-		t.Errorf("got %+v", x)
+	if traces := readKept(t, tr, record.Filter{}); len(traces) != 1 || traces[0].Parent != (record.SpanID{1}) || traces[0].Kept != record.Asked {
+		t.Errorf("got traces %+v, want one with the caller's parent, kept as asked for", traces)
 	}
 	tr.Close(context.Background())
 }
