--- a/tracing/config.go
+++ b/tracing/config.go
@@ -107,11 +107,11 @@
 	}
 	switch {
 	case !(c.GoodShare > 0 && c.GoodShare <= 1):
-		return &FieldError{"good_share", fmt.Errorf("got %v, want over 0 to 1", c.GoodShare)}
+		return &FieldError{"good_share", fmt.Errorf("got %v, want above 0 and at most 1", c.GoodShare)}
 	case !(c.SlowQuantile >= 0.5 && c.SlowQuantile < 1):
-		return &FieldError{"slow_quantile", fmt.Errorf("got %v, want 0.5 to under 1", c.SlowQuantile)}
+		return &FieldError{"slow_quantile", fmt.Errorf("got %v, want at least 0.5 and below 1", c.SlowQuantile)}
 	case c.SegmentKB > c.SpoolMB<<10/2:
-		return &FieldError{"segment_kb", fmt.Errorf("got %d, want half of spool_mb at most", c.SegmentKB)}
+		return &FieldError{"segment_kb", fmt.Errorf("got %d, want at most half of spool_mb", c.SegmentKB)}
 	case c.OTLP == nil:
 		return nil
 	}
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -122,13 +122,13 @@
 	broker, _ := startBroker(t, 1, false, map[string]any{}, nil)
 	root := cli.New(&lockedBuffer{}, &lockedBuffer{})
 	root.SetArgs([]string{"trace", "tail", "--addr", broker.FlightAddr().String()})
-	tailed := make(chan error, 1)
-	go func() { tailed <- root.ExecuteContext(context.Background()) }()
+	tailDone := make(chan error, 1)
+	go func() { tailDone <- root.ExecuteContext(context.Background()) }()
 	testkit.Eventually(t, "a connected follower", func() bool { return broker.Status().Tracing.Followers == 1 })
 	if err := broker.Stop(context.Background()); err != nil { // fails if the drain's grace period has run out
 		t.Error(err)
 	}
-	if err := <-tailed; err != nil {
+	if err := <-tailDone; err != nil {
 		t.Errorf("tail: %v", err)
 	}
 }
@@ -146,10 +146,10 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var tail lockedBuffer
-	tailed := make(chan error, 1)
+	tailDone := make(chan error, 1)
 	root := cli.New(&tail, &tail)
 	root.SetArgs([]string{"trace", "tail", "--bad", "--reason", "late", "--json", "--addr", addr})
-	go func() { tailed <- root.ExecuteContext(ctx) }()
+	go func() { tailDone <- root.ExecuteContext(ctx) }()
 	nodes[0].Work(func(c testkit.Call) string {
 		if c.Shard == 5 {
 			time.Sleep(objective + objective/2) // a stalled node
@@ -165,7 +165,7 @@
 	}
 	testkit.Eventually(t, "the late query in the output of tail", func() bool { return strings.Contains(tail.text(), "late") })
 	stop()
-	if err := <-tailed; err != nil {
+	if err := <-tailDone; err != nil {
 		t.Errorf("tail: %v", err)
 	}
 	var first record.Trace
@@ -221,10 +221,10 @@
 	return l.buf.String()
 }
 
-// Three of ten nodes stall on one part in five, at random; one of them never answers
-// those parts. In between they answer quickly, so that the decision module keeps
-// sending them parts. `why` must attribute most of the lost time to these three
-// nodes.
+// A reduced form of an incident in the operators' records: three of ten nodes stall on
+// one part in five, at random, and one of them never answers those parts. In between
+// they answer quickly, so that the decision module keeps sending them parts. `why` must
+// attribute most of the lost time to these three nodes.
 func TestWhyAttributesLostTimeToStallingNodes(t *testing.T) {
 	dir := t.TempDir()
 	broker, nodes := startBroker(t, 10, false, map[string]any{"dir": dir, "good_share": 0.2, "budget_per_s": 1000}, shortenClassTimes)
--- a/tracing/sample/sample_test.go
+++ b/tracing/sample/sample_test.go
@@ -27,12 +27,12 @@
 		}
 	}
 	kept := map[uint64]Selection{}
-	for _, key := range s.Flush() {
-		if !held[key.Key] {
+	for _, selection := range s.Flush() {
+		if !held[selection.Key] {
 			panic("a dropped trace was selected")
 		}
-		held[key.Key] = false
-		kept[key.Key] = key
+		held[selection.Key] = false
+		kept[selection.Key] = selection
 	}
 	for _, still := range held {
 		if still {
