--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -133,16 +133,16 @@
 	}
 }
 
-// The trace commands must work against a running broker: list, show with the
-// waterfall, why with the lost time by node, tail with traces as they are kept, all
-// of them also as JSON. Invalid arguments must be named in the error.
+// The trace commands must work against a running broker: list, show with the waterfall,
+// why with the lost time by node, tail with traces as they are kept, and their JSON
+// output. Invalid arguments must be named in the error.
 func TestTraceCommandsOnRunningBroker(t *testing.T) {
 	broker, nodes := startBroker(t, 1, false, map[string]any{"good_share": 1}, shortenClassTimes)
 	addr := broker.FlightAddr().String()
 	command := func(args ...string) (string, string, int) {
-		var out, errs bytes.Buffer
-		code := cli.Main(append([]string{"trace"}, append(args, "--addr", addr)...), &out, &errs)
-		return out.String(), errs.String(), code
+		var stdout, stderr bytes.Buffer
+		code := cli.Main(append([]string{"trace"}, append(args, "--addr", addr)...), &stdout, &stderr)
+		return stdout.String(), stderr.String(), code
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var tail lockedBuffer
@@ -172,30 +172,30 @@
 	if err := json.Unmarshal([]byte(strings.SplitN(tail.text(), "\n", 2)[0]), &first); err != nil || first.Reasons&record.Late == 0 {
 		t.Errorf("first line of tail is not a late trace: %q: %v", tail.text(), err)
 	}
-	testkit.Eventually(t, "the fast query in the list", func() bool { out, _, _ := command("list"); return strings.Contains(out, "fast") })
-	if out, errs, code := command("list", "--reason", "late", "--node", "s-0"); code != 0 || !strings.Contains(out, "slow0") || strings.Contains(out, "fast") ||
-		!strings.Contains(out, "node ") {
-		t.Errorf("list: %s%s", out, errs)
+	testkit.Eventually(t, "the fast query in the list", func() bool { stdout, _, _ := command("list"); return strings.Contains(stdout, "fast") })
+	if stdout, stderr, code := command("list", "--reason", "late", "--node", "s-0"); code != 0 || !strings.Contains(stdout, "slow0") || strings.Contains(stdout, "fast") ||
+		!strings.Contains(stdout, "node ") {
+		t.Errorf("list: %s%s", stdout, stderr)
 	}
-	if out, errs, code := command("show", "slow0"); code != 0 || !strings.Contains(out, "late") || !strings.Contains(out, "====") || !strings.Contains(out, "CRITICAL PATH") ||
-		!strings.Contains(out, nodes[0].Addr) {
-		t.Errorf("show: %s%s", out, errs)
+	if stdout, stderr, code := command("show", "slow0"); code != 0 || !strings.Contains(stdout, "late") || !strings.Contains(stdout, "====") || !strings.Contains(stdout, "CRITICAL PATH") ||
+		!strings.Contains(stdout, nodes[0].Addr) {
+		t.Errorf("show: %s%s", stdout, stderr)
 	}
-	if out, _, code := command("show", "slow0", "--json"); code != 0 || !strings.Contains(out, `"critical_path":{"shard":5`) {
-		t.Errorf("show --json: %s", out)
+	if stdout, _, code := command("show", "slow0", "--json"); code != 0 || !strings.Contains(stdout, `"critical_path":{"shard":5`) {
+		t.Errorf("show --json: %s", stdout)
 	}
-	if out, errs, code := command("why"); code != 0 || !strings.Contains(out, "s-0") || !strings.Contains(out, "screen: node s-0 first") {
-		t.Errorf("why: %s%s", out, errs)
+	if stdout, stderr, code := command("why"); code != 0 || !strings.Contains(stdout, "s-0") || !strings.Contains(stdout, "screen: node s-0 first") {
+		t.Errorf("why: %s%s", stdout, stderr)
 	}
 	var table critical.Table
-	if out, _, code := command("why", "--json"); code != 0 || json.Unmarshal([]byte(out), &table) != nil || table.Bad == 0 || table.Phases[0].Phase != critical.Node {
-		t.Errorf("why --json: %s", out)
+	if stdout, _, code := command("why", "--json"); code != 0 || json.Unmarshal([]byte(stdout), &table) != nil || table.Bad == 0 || table.Phases[0].Phase != critical.Node {
+		t.Errorf("why --json: %s", stdout)
 	}
 	for _, c := range []struct{ args, want string }{
 		{"list --reason odd", "--reason"}, {"show nothing-like-it", "nothing-like-it"}, {"list --limit 9999", "limit"}, {"list --dir /nowhere/at/all", "--dir"},
 	} {
-		if out, errs, code := command(strings.Fields(c.args)...); code == 0 || !strings.Contains(errs, c.want) {
-			t.Errorf("%s: got code %d and output %s%s, want an error that names %q", c.args, code, out, errs, c.want)
+		if stdout, stderr, code := command(strings.Fields(c.args)...); code == 0 || !strings.Contains(stderr, c.want) {
+			t.Errorf("%s: got code %d and output %s%s, want an error that names %q", c.args, code, stdout, stderr, c.want)
 		}
 	}
 	if err := broker.Stop(context.Background()); err != nil {
--- a/tracing/process_test.go
+++ b/tracing/process_test.go
@@ -168,20 +168,20 @@
 	}
 	discovery := testkit.NewDiscovery(b, nodes[0].Entry(), nodes[1].Entry(), nodes[2].Entry(), nodes[3].Entry())
 	type variant struct {
-		name, program string
-		trace         func() map[string]any
+		name, binary  string
+		tracingConfig func() map[string]any
 		cpu           []float64 // microseconds per query, by iteration
 		latency       []float64 // median of the iteration, microseconds
 	}
 	noTracing := func() map[string]any { return nil }
 	variants := []*variant{
-		{name: "off", trace: noTracing},
-		{name: "on", trace: func() map[string]any { return map[string]any{"dir": b.TempDir()} }},
+		{name: "off", tracingConfig: noTracing},
+		{name: "on", tracingConfig: func() map[string]any { return map[string]any{"dir": b.TempDir()} }},
 	}
 	if *untracedBinary != "" {
-		variants = append(variants, &variant{name: "absent", program: *untracedBinary, trace: noTracing})
+		variants = append(variants, &variant{name: "absent", binary: *untracedBinary, tracingConfig: noTracing})
 	}
-	const warmup, chunksPerTurn, chunkQueries = 300, 24, 50
+	const warmup, chunksPerIteration, chunkQueries = 300, 24, 50
 	id := 0
 	measure := func(p *brokerProcess) time.Duration {
 		id++
@@ -199,12 +199,12 @@
 		processes, cpu, latencies := make([]*brokerProcess, len(variants)), make([]time.Duration, len(variants)), make([][]float64, len(variants))
 		for j := range variants {
 			k := (i + j) % len(variants)
-			processes[k] = launchBroker(b, variants[k].program, nodes, discovery, variants[k].trace())
+			processes[k] = launchBroker(b, variants[k].binary, nodes, discovery, variants[k].tracingConfig())
 			for range warmup {
 				measure(processes[k])
 			}
 		}
-		for c := range chunksPerTurn {
+		for c := range chunksPerIteration {
 			for j := range variants {
 				k := (i + j + c) % len(variants)
 				before := processes[k].cpuTime(b)
@@ -215,7 +215,7 @@
 			}
 		}
 		for k, v := range variants {
-			v.cpu = append(v.cpu, float64(cpu[k].Nanoseconds())/1000/chunksPerTurn/chunkQueries)
+			v.cpu = append(v.cpu, float64(cpu[k].Nanoseconds())/1000/chunksPerIteration/chunkQueries)
 			v.latency = append(v.latency, median(latencies[k]))
 			processes[k].kill()
 		}
