--- a/config/config.go
+++ b/config/config.go
@@ -504,7 +504,7 @@
 		return fieldErrorf("flight.listen", "got %q, want a loopback host:port", c.Flight.Listen)
 	}
 	if c.Tracing != nil {
-		if err := c.Tracing.Check(); err != nil {
+		if err := c.Tracing.Validate(); err != nil {
 			if f := (*tracing.FieldError)(nil); errors.As(err, &f) {
 				return &FieldError{"tracing." + f.Field, f.Err}
 			}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -403,7 +403,7 @@
 	classes := make([]tracing.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
 		s := &cfg.Settings.Classes[i]
-		classes[i] = tracing.Class{Name: c.Name, Wanted: milliseconds(s.ObjectiveMs), Stretch: s.ObjectiveWorkFactor, Most: milliseconds(s.DeadlineMs)}
+		classes[i] = tracing.Class{Name: c.Name, Objective: milliseconds(s.ObjectiveMs), WorkFactor: s.ObjectiveWorkFactor, MaxObjective: milliseconds(s.DeadlineMs)}
 	}
 	return classes
 }
