--- a/cli/trace.go
+++ b/cli/trace.go
@@ -45,7 +45,7 @@
 	s.remote.flags(cmd)
 	f := cmd.Flags()
 	f.StringVar(&s.class, "class", "", "only queries of this class")
-	f.StringVar(&s.reason, "reason", "", "only queries with one of these reasons, joined by + ("+strings.Join(record.AllReasons(), ", ")+")")
+	f.StringVar(&s.reason, "reason", "", "only queries with one of these reasons, joined by + ("+strings.Join(record.ReasonNames(), ", ")+")")
 	f.StringVar(&s.node, "node", "", "only queries with an attempt at this node")
 	f.DurationVar(&s.longer, "longer", 0, "only queries that took at least this long")
 	f.BoolVar(&s.bad, "bad", false, "only bad queries")
@@ -66,8 +66,8 @@
 }
 
 func (s *source) filter(now time.Time) (record.Filter, error) {
-	f := record.Filter{Class: s.class, Node: s.node, Longer: int64(s.longer), Bad: s.bad, Limit: s.limit}
-	if err := f.Reason.UnmarshalText([]byte(s.reason)); err != nil {
+	f := record.Filter{Class: s.class, AttemptNode: s.node, MinDuration: int64(s.longer), BadOnly: s.bad, Limit: s.limit}
+	if err := f.Reasons.UnmarshalText([]byte(s.reason)); err != nil {
 		return f, fmt.Errorf("--%w", err)
 	}
 	if s.since > 0 {
@@ -122,7 +122,7 @@
 		fmt.Fprintf(s.warning, "%d open queries cannot be made out\n", unreadable)
 	}
 	for _, t := range open {
-		t.Interrupt()
+		t.CompleteInterrupted()
 		if f.Match(t) {
 			traces = append(traces, t)
 		}
--- a/tracing/critical/critical_test.go
+++ b/tracing/critical/critical_test.go
@@ -11,15 +11,15 @@
 	"onyxsail/tracing/record"
 )
 
-func at(ms int) record.Offset { return record.After(time.Duration(ms) * time.Millisecond) }
+func at(ms int) record.Offset { return record.OffsetOf(time.Duration(ms) * time.Millisecond) }
 
 const ok = record.Outcome(decide.OK)
 
 // attempt is one that went over an open connection at once.
-func attempt(shard, n int, node string, why record.Why, opened, answer, ended int, o record.Outcome) record.Attempt {
-	a := record.Attempt{ID: uint64(100*shard + n), Shard: shard, N: n, Node: node, Why: why, Opened: at(opened), Gone: at(opened), Outcome: o}
+func attempt(shard, n int, node string, why record.AttemptReason, opened, answer, ended int, o record.Outcome) record.Attempt {
+	a := record.Attempt{ID: uint64(100*shard + n), Shard: shard, Number: n, Node: node, Reason: why, Opened: at(opened), Sent: at(opened), Outcome: o}
 	if answer > 0 {
-		a.Answer = at(answer)
+		a.FirstByte = at(answer)
 	}
 	if ended > 0 {
 		a.Ended = at(ended)
@@ -28,7 +28,7 @@
 }
 
 func trace(ended int, v record.Verdict, attempts ...record.Attempt) *record.Trace {
-	return &record.Trace{Class: "screen", Taken: at(1), Ended: at(ended), Verdict: v, Probability: 1, Attempts: attempts}
+	return &record.Trace{Class: "screen", Accepted: at(1), Ended: at(ended), Verdict: v, Probability: 1, Attempts: attempts}
 }
 
 func text(p Path) string {
@@ -41,9 +41,9 @@
 
 func TestPaths(t *testing.T) {
 	dialed := attempt(1, 0, "a", 0, 2, 80, 90, ok)
-	dialed.Dialed, dialed.Up, dialed.Gone = at(0), at(30), at(35)
-	stuck := attempt(1, 0, "a", 0, 2, 0, 0, record.Out)
-	stuck.Gone = 0
+	dialed.DialStarted, dialed.Connected, dialed.Sent = at(0), at(30), at(35)
+	stuck := attempt(1, 0, "a", 0, 2, 0, 0, record.OutcomePending)
+	stuck.Sent = 0
 	for _, c := range []struct {
 		name  string
 		trace *record.Trace
@@ -77,12 +77,12 @@
 func TestPathIsWhole(t *testing.T) {
 	offset := rapid.Custom(func(t *rapid.T) record.Offset { return record.Offset(rapid.Int64Range(0, 60).Draw(t, "offset")) })
 	rapid.Check(t, func(t *rapid.T) {
-		tr := &record.Trace{Taken: offset.Draw(t, "taken"), Ended: offset.Draw(t, "ended"), Verdict: record.Verdict(rapid.IntRange(0, 6).Draw(t, "verdict"))}
+		tr := &record.Trace{Accepted: offset.Draw(t, "taken"), Ended: offset.Draw(t, "ended"), Verdict: record.Verdict(rapid.IntRange(0, 6).Draw(t, "verdict"))}
 		for range rapid.IntRange(0, 8).Draw(t, "attempts") {
 			tr.Attempts = append(tr.Attempts, record.Attempt{
-				Shard: rapid.IntRange(0, 2).Draw(t, "shard"), N: rapid.IntRange(0, 2).Draw(t, "n"),
-				Opened: offset.Draw(t, "opened"), Dialed: offset.Draw(t, "dialed"), Up: offset.Draw(t, "up"), Gone: offset.Draw(t, "gone"),
-				Answer: offset.Draw(t, "answer"), Ended: offset.Draw(t, "end"), Outcome: record.Outcome(rapid.IntRange(0, 8).Draw(t, "outcome")),
+				Shard: rapid.IntRange(0, 2).Draw(t, "shard"), Number: rapid.IntRange(0, 2).Draw(t, "n"),
+				Opened: offset.Draw(t, "opened"), DialStarted: offset.Draw(t, "dialed"), Connected: offset.Draw(t, "up"), Sent: offset.Draw(t, "gone"),
+				FirstByte: offset.Draw(t, "answer"), Ended: offset.Draw(t, "end"), Outcome: record.Outcome(rapid.IntRange(0, 8).Draw(t, "outcome")),
 			})
 		}
 		p, now := Of(tr), time.Duration(0)
@@ -92,8 +92,8 @@
 			}
 			now = s.To
 		}
-		if now != tr.Took() {
-			t.Fatalf("the path ends at %v, the query took %v", now, tr.Took())
+		if now != tr.Elapsed() {
+			t.Fatalf("the path ends at %v, the query took %v", now, tr.Elapsed())
 		}
 	})
 }
@@ -102,7 +102,7 @@
 // keeping, and lands at the node that had it.
 func TestWhy(t *testing.T) {
 	usual := trace(22, 0, attempt(1, 0, "a", 0, 2, 18, 20, ok))
-	usual.Reasons = record.Usual
+	usual.Reasons = record.Baseline
 	late := trace(222, 0, attempt(1, 0, "b", 0, 2, 218, 220, ok))
 	late.Attempts[0].Cell = 2
 	late.Reasons, late.Probability = record.Late, 0.25
--- a/tracing/critical/path.go
+++ b/tracing/critical/path.go
@@ -80,9 +80,9 @@
 
 // Of computes the critical path of a trace.
 func Of(t *record.Trace) Path {
-	b := &builder{end: t.Took()}
+	b := &builder{end: t.Elapsed()}
 	b.path.Shard, b.path.Decisive = -1, -1
-	b.to(t.Taken.Duration(), Queue, -1)
+	b.to(t.Accepted.Duration(), Queue, -1)
 	last := decisive(t, b.end)
 	if last < 0 {
 		b.to(b.end, Place, -1)
@@ -100,38 +100,38 @@
 		first = false
 		// Until the decisive attempt was opened the part hung on this one: to
 		// its end where it had ended by then, else all the while.
-		if e.Ended.Set() && e.Ended <= a.Opened {
+		if e.Ended.IsSet() && e.Ended <= a.Opened {
 			b.to(e.Ended.Duration(), Lost, i)
 		} else if next := openedAfter(t, e, a); next != nil {
 			b.to(next.Opened.Duration(), Stalled, i)
 		}
 	}
 	b.opened(a, first)
-	if a.Dialed.Set() {
-		up := a.Up
-		if !up.Set() {
+	if a.DialStarted.IsSet() {
+		up := a.Connected
+		if !up.IsSet() {
 			up = a.Ended
 		}
-		if up.Set() {
+		if up.IsSet() {
 			b.to(up.Duration(), Connect, last)
 		} else {
 			b.to(b.end, Connect, last)
 		}
 	}
-	if a.Gone.Set() {
-		b.to(a.Gone.Duration(), Send, last)
-		if a.Answer.Set() {
-			b.to(a.Answer.Duration(), Node, last)
+	if a.Sent.IsSet() {
+		b.to(a.Sent.Duration(), Send, last)
+		if a.FirstByte.IsSet() {
+			b.to(a.FirstByte.Duration(), Node, last)
 		}
 	}
 	rest := Node
 	switch {
-	case a.Answer.Set():
+	case a.FirstByte.IsSet():
 		rest = Read
-	case !a.Gone.Set():
+	case !a.Sent.IsSet():
 		rest = Send
 	}
-	if a.Ended.Set() {
+	if a.Ended.IsSet() {
 		b.to(a.Ended.Duration(), rest, last)
 		b.to(b.end, Finish, -1)
 	} else {
@@ -152,7 +152,7 @@
 // openedAfter is the next attempt of the same part after e, a at the latest.
 func openedAfter(t *record.Trace, e, a *record.Attempt) *record.Attempt {
 	for i := range t.Attempts {
-		if x := &t.Attempts[i]; x.Shard == e.Shard && x != e && x.N > e.N && x.Opened <= a.Opened {
+		if x := &t.Attempts[i]; x.Shard == e.Shard && x != e && x.Number > e.Number && x.Opened <= a.Opened {
 			return x
 		}
 	}
@@ -174,7 +174,7 @@
 		at, index, won := partEnd(t, shard, end)
 		// A part that never came in outweighs any that did: without it there
 		// was no answer, unless the query was served without it.
-		served := t.Ended.Set() && t.Verdict == 0
+		served := t.Ended.IsSet() && t.Verdict == 0
 		switch {
 		case served && !won:
 			continue
@@ -194,7 +194,7 @@
 			continue
 		}
 		ended := end
-		if a.Ended.Set() {
+		if a.Ended.IsSet() {
 			ended = min(end, a.Ended.Duration())
 		}
 		ok := a.Outcome == record.Outcome(decide.OK)
--- a/tracing/critical/why.go
+++ b/tracing/critical/why.go
@@ -67,12 +67,12 @@
 	}
 	for n, tr := range traces {
 		t.Traces++
-		bad := tr.Reasons &^ (record.Usual | record.Asked)
+		bad := tr.Reasons &^ (record.Baseline | record.Requested)
 		if bad == 0 {
 			continue
 		}
 		t.Bad++
-		bad.Each(func(r record.Reasons) { t.Reasons[r.String()]++ })
+		bad.ForEach(func(r record.Reasons) { t.Reasons[r.String()]++ })
 		weight := 1.0
 		if tr.Probability > 0 {
 			weight = 1 / tr.Probability
@@ -90,7 +90,7 @@
 			k := Key{Class: tr.Class, Phase: s.Phase}
 			if s.Attempt >= 0 {
 				a := &tr.Attempts[s.Attempt]
-				k.Node, k.Cell, k.Why = a.Node, strconv.Itoa(a.Cell), a.Why.String()
+				k.Node, k.Cell, k.Why = a.Node, strconv.Itoa(a.Cell), a.Reason.String()
 			}
 			lost := weight * float64(over)
 			t.Lost += time.Duration(lost)
@@ -122,7 +122,7 @@
 func usualTimes(traces []*record.Trace, n *int) map[string]map[Phase]time.Duration {
 	sums, counts := map[string]map[Phase]time.Duration{}, map[string]int{}
 	for _, tr := range traces {
-		if tr.Reasons&^record.Asked != record.Usual {
+		if tr.Reasons&^record.Requested != record.Baseline {
 			continue
 		}
 		if sums[tr.Class] == nil {
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -81,7 +81,7 @@
 				!same && (tr.Parent != record.SpanID{} || c.Tracestate != "") {
 				t.Errorf("%s: trace %s, parent %s, state %q", name, tr.ID, tr.Parent, c.Tracestate)
 			}
-			if asked := tr.Reasons&record.Asked != 0; asked != (a.name == "asked") {
+			if asked := tr.Reasons&record.Requested != 0; asked != (a.name == "asked") {
 				t.Errorf("%s: reasons %s", name, tr.Reasons)
 			}
 		}
--- a/tracing/export/export_test.go
+++ b/tracing/export/export_test.go
@@ -27,8 +27,8 @@
 var short = Limits{Queue: 8, Bytes: 1 << 20, Batch: 4, Wait: 5 * time.Millisecond, Back: 10 * time.Millisecond, Most: 40 * time.Millisecond, Longest: time.Minute, Tries: 6}
 
 func trace(i int) *record.Trace {
-	return &record.Trace{ID: record.TraceID{1, byte(i)}, Span: record.SpanID{2, byte(i)}, Came: time.Unix(1_800_000_000, 0),
-		Taken: 1, Ended: 1000, Attempts: []record.Attempt{{ID: 1, Opened: 2, Ended: 900, Span: record.SpanID{3, byte(i)}}}}
+	return &record.Trace{ID: record.TraceID{1, byte(i)}, Span: record.SpanID{2, byte(i)}, Received: time.Unix(1_800_000_000, 0),
+		Accepted: 1, Ended: 1000, Attempts: []record.Attempt{{ID: 1, Opened: 2, Ended: 900, Span: record.SpanID{3, byte(i)}}}}
 }
 
 // A collector that hangs, refuses to come now, resets in the middle of a batch
--- a/tracing/export/exporter.go
+++ b/tracing/export/exporter.go
@@ -114,7 +114,7 @@
 // Put queues a trace, which must not change any more. It never blocks.
 func (e *Exporter) Put(t *record.Trace) {
 	e.mu.Lock()
-	if e.plan.Put(e.opts.Now(), t.Size()) {
+	if e.plan.Put(e.opts.Now(), t.MemoryBytes()) {
 		e.queue = append(e.queue, t)
 	}
 	e.mu.Unlock()
--- a/tracing/export/otlp.go
+++ b/tracing/export/otlp.go
@@ -49,18 +49,18 @@
 	}}
 }
 
-func at(t *record.Trace, d time.Duration) uint64 { return uint64(max(0, t.Came.Add(d).UnixNano())) }
+func at(t *record.Trace, d time.Duration) uint64 { return uint64(max(0, t.Received.Add(d).UnixNano())) }
 
 func querySpan(t *record.Trace) *tracepb.Span {
 	s := &tracepb.Span{
-		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), t.Span[:]...), TraceState: t.State,
+		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), t.Span[:]...), TraceState: t.TraceState,
 		Name: t.Class, Kind: tracepb.Span_SPAN_KIND_SERVER,
-		StartTimeUnixNano: at(t, 0), EndTimeUnixNano: at(t, t.Took()),
+		StartTimeUnixNano: at(t, 0), EndTimeUnixNano: at(t, t.Elapsed()),
 		Attributes: []*commonpb.KeyValue{
 			text("gannetchute.query", t.Query), text("gannetchute.verdict", t.Verdict.String()),
-			text("gannetchute.reasons", t.Reasons.String()), text("gannetchute.kept", t.Kept.String()),
+			text("gannetchute.reasons", t.Reasons.String()), text("gannetchute.kept", t.KeepReason.String()),
 			double("gannetchute.probability", t.Probability), integer("gannetchute.parts", int64(t.Parts)),
-			integer("gannetchute.wanted_ms", t.Wanted.Milliseconds()), boolean("gannetchute.whole", t.Whole),
+			integer("gannetchute.wanted_ms", t.Objective.Milliseconds()), boolean("gannetchute.whole", t.Complete),
 		},
 		Status: &tracepb.Status{},
 	}
@@ -74,8 +74,8 @@
 	default:
 		s.Status.Code, s.Status.Message = tracepb.Status_STATUS_CODE_ERROR, t.Verdict.String()
 	}
-	if t.Taken.Set() {
-		s.Events = append(s.Events, event(t, "taken", t.Taken))
+	if t.Accepted.IsSet() {
+		s.Events = append(s.Events, event(t, "taken", t.Accepted))
 	}
 	return s
 }
@@ -86,19 +86,19 @@
 
 func attemptSpan(t *record.Trace, a *record.Attempt) *tracepb.Span {
 	end := a.Ended.Duration()
-	if !a.Ended.Set() {
-		end = max(t.Took(), a.Opened.Duration())
+	if !a.Ended.IsSet() {
+		end = max(t.Elapsed(), a.Opened.Duration())
 	}
 	s := &tracepb.Span{
 		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), a.Span[:]...),
-		ParentSpanId: append([]byte(nil), t.Span[:]...), TraceState: t.State,
-		Name: fmt.Sprintf("part %d, %s", a.Shard, a.Why), Kind: tracepb.Span_SPAN_KIND_CLIENT,
+		ParentSpanId: append([]byte(nil), t.Span[:]...), TraceState: t.TraceState,
+		Name: fmt.Sprintf("part %d, %s", a.Shard, a.Reason), Kind: tracepb.Span_SPAN_KIND_CLIENT,
 		StartTimeUnixNano: at(t, a.Opened.Duration()), EndTimeUnixNano: at(t, end),
 		Attributes: []*commonpb.KeyValue{
-			integer("gannetchute.shard", int64(a.Shard)), integer("gannetchute.attempt", int64(a.N)),
-			text("gannetchute.why", a.Why.String()), text("gannetchute.node", a.Node), integer("gannetchute.cell", int64(a.Cell)),
+			integer("gannetchute.shard", int64(a.Shard)), integer("gannetchute.attempt", int64(a.Number)),
+			text("gannetchute.why", a.Reason.String()), text("gannetchute.node", a.Node), integer("gannetchute.cell", int64(a.Cell)),
 			text("server.address", a.Addr), text("gannetchute.outcome", a.Outcome.String()),
-			boolean("gannetchute.may_run", a.MayRun), boolean("gannetchute.doubt", a.Doubt), boolean("gannetchute.ours", a.Ours),
+			boolean("gannetchute.may_run", a.MayStillRun), boolean("gannetchute.doubt", a.Suspected), boolean("gannetchute.ours", a.EndedByBroker),
 		},
 		Status: &tracepb.Status{},
 	}
@@ -112,12 +112,12 @@
 	for _, e := range []struct {
 		name string
 		at   record.Offset
-	}{{"dialed", a.Dialed}, {"up", a.Up}, {"gone", a.Gone}, {"answer", a.Answer}, {"gave-up", a.GaveUp}} {
-		if e.at.Set() {
+	}{{"dialed", a.DialStarted}, {"up", a.Connected}, {"gone", a.Sent}, {"answer", a.FirstByte}, {"gave-up", a.Abandoned}} {
+		if e.at.IsSet() {
 			s.Events = append(s.Events, event(t, e.name, e.at))
 		}
 	}
-	if a.LateAt.Set() && a.LateOutcome != nil {
+	if a.LateAt.IsSet() && a.LateOutcome != nil {
 		e := event(t, "late-outcome", a.LateAt)
 		e.Attributes = []*commonpb.KeyValue{text("gannetchute.outcome", a.LateOutcome.String())}
 		s.Events = append(s.Events, e)
--- a/tracing/owed.go
+++ b/tracing/owed.go
@@ -43,7 +43,7 @@
 func passes(cause spool.Cause) bool { return cause == spool.DropPaused || cause == spool.DropFailed }
 
 // store writes records to the spool, behind those that a disk which failed still owes.
-func (t *Tracer) store(traces []*record.Trace, notes []record.Note) {
+func (t *Tracer) store(traces []*record.Trace, notes []record.LateOutcome) {
 	for _, tr := range traces {
 		if data, err := record.Encode(tr); err == nil {
 			t.owe(spoolRecord{kind: spool.KindTrace, payload: data})
--- a/tracing/process_test.go
+++ b/tracing/process_test.go
@@ -133,7 +133,7 @@
 	}
 	p = launch(t, "", nodes, disco, trace)
 	p.kill()
-	traces, bad, err := tracing.ReadDir(dir, record.Filter{Reason: record.Interrupted})
+	traces, bad, err := tracing.ReadDir(dir, record.Filter{Reasons: record.Interrupted})
 	if err != nil || len(bad) > 0 {
 		t.Fatal(err, bad)
 	}
@@ -144,7 +144,7 @@
 			t.Errorf("%s: %+v", tr.Query, tr)
 		}
 		for _, a := range tr.Attempts {
-			if a.Outcome != record.Out || !a.MayRun || a.Node == "" || !a.Gone.Set() {
+			if a.Outcome != record.OutcomePending || !a.MayStillRun || a.Node == "" || !a.Sent.IsSet() {
 				t.Errorf("%s: %+v", tr.Query, a)
 			}
 		}
--- a/tracing/proof_test.go
+++ b/tracing/proof_test.go
@@ -112,17 +112,17 @@
 	kept, whys := map[string]*record.Trace{}, map[record.Reasons]int{}
 	for _, tr := range readDir(t, dir) {
 		kept[tr.Query] = tr
-		whys[tr.Kept]++
+		whys[tr.KeepReason]++
 	}
 	missed, keptGood := 0, 0
 	for id, why := range bad {
-		if tr := kept[id]; tr == nil || tr.Reasons&^(record.Usual|record.Asked) == 0 {
+		if tr := kept[id]; tr == nil || tr.Reasons&^(record.Baseline|record.Requested) == 0 {
 			missed++
 			t.Errorf("no trace of %s: %s", id, why)
 		}
 	}
 	for id := range good {
-		if tr := kept[id]; tr != nil && tr.Reasons == record.Usual {
+		if tr := kept[id]; tr != nil && tr.Reasons == record.Baseline {
 			keptGood++
 		}
 	}
--- a/tracing/read.go
+++ b/tracing/read.go
@@ -21,17 +21,17 @@
 
 func (r *ring) add(t *record.Trace) {
 	r.traces = append(r.traces, t)
-	r.bytes += t.Size()
+	r.bytes += t.MemoryBytes()
 	n := 0
 	for r.bytes > r.most {
-		r.bytes -= r.traces[n].Size()
+		r.bytes -= r.traces[n].MemoryBytes()
 		r.traces[n] = nil // or the array's start would keep it
 		n++
 	}
 	r.traces = r.traces[n:]
 }
 
-func (r *ring) note(n record.Note) {
+func (r *ring) note(n record.LateOutcome) {
 	for i, t := range r.traces {
 		if t.ID == n.ID && t.Span == n.Span {
 			c := *t
@@ -63,8 +63,8 @@
 			traces = append(traces, tr)
 		}
 	}
-	slices.SortStableFunc(traces, func(a, b *record.Trace) int { return cmp.Compare(a.Came.UnixNano(), b.Came.UnixNano()) })
-	return f.Last(traces), bad, nil
+	slices.SortStableFunc(traces, func(a, b *record.Trace) int { return cmp.Compare(a.Received.UnixNano(), b.Received.UnixNano()) })
+	return f.Latest(traces), bad, nil
 }
 
 // Follow calls f with each trace that is kept from now on and matches, until
@@ -136,9 +136,9 @@
 		Open: t.open.n, Held: len(t.held), Recent: len(t.recent.traces), Bytes: t.recent.bytes + t.owing,
 		Sampled: t.sampler.Counts(), Unseen: t.unseen, Late: t.noted, Following: len(t.follow), Unfollowed: t.missed,
 	}
-	t.open.each(func(l *live) { c.Bytes += l.Size() })
+	t.open.each(func(l *live) { c.Bytes += l.MemoryBytes() })
 	for _, l := range t.held {
-		c.Bytes += l.Size()
+		c.Bytes += l.MemoryBytes()
 	}
 	if t.table != nil {
 		c.NoSlot = t.table.Full()
--- a/tracing/record/filter.go
+++ b/tracing/record/filter.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Filter picks traces. Zero fields pick all.
+// Filter selects traces. A zero field matches every trace.
 type Filter struct {
-	ID     string    `json:"id,omitempty"` // the beginning of the trace's id, or a query's own id
-	Class  string    `json:"class,omitempty"`
-	Reason Reasons   `json:"reason,omitempty"` // any of these
-	Node   string    `json:"node,omitempty"`   // that an attempt went to
-	Since  time.Time `json:"since,omitzero"`
-	Until  time.Time `json:"until,omitzero"`
-	Longer int64     `json:"longer,omitempty"` // nanoseconds that it took at least
-	Bad    bool      `json:"bad,omitempty"`    // only queries with a reason beside Asked and Usual
-	Limit  int       `json:"limit,omitempty"`  // the latest so many; 0: all
+	ID          string    `json:"id,omitempty"` // prefix of the trace ID, or the exact query ID
+	Class       string    `json:"class,omitempty"`
+	Reasons     Reasons   `json:"reason,omitempty"` // at least one of these
+	AttemptNode string    `json:"node,omitempty"`   // some attempt went to this node
+	Since       time.Time `json:"since,omitzero"`   // received at this time or later
+	Until       time.Time `json:"until,omitzero"`   // received before this time
+	MinDuration int64     `json:"longer,omitempty"` // lower bound of the elapsed time, in nanoseconds
+	BadOnly     bool      `json:"bad,omitempty"`    // only queries with a reason other than Requested and Baseline
+	Limit       int       `json:"limit,omitempty"`  // the number of latest traces to return; 0: all
 }
 
-// Match says whether a trace is picked, Limit apart.
+// Match reports whether a trace satisfies every condition except Limit.
 func (f Filter) Match(t *Trace) bool {
 	switch {
 	case f.ID != "" && !strings.HasPrefix(t.ID.String(), f.ID) && t.Query != f.ID,
 		f.Class != "" && t.Class != f.Class,
-		f.Reason != 0 && t.Reasons&f.Reason == 0,
-		f.Bad && t.Reasons&^(Asked|Usual) == 0,
-		!f.Since.IsZero() && t.Came.Before(f.Since),
-		!f.Until.IsZero() && !t.Came.Before(f.Until),
-		f.Longer > 0 && int64(t.Took()) < f.Longer:
+		f.Reasons != 0 && t.Reasons&f.Reasons == 0,
+		f.BadOnly && t.Reasons&^(Requested|Baseline) == 0,
+		!f.Since.IsZero() && t.Received.Before(f.Since),
+		!f.Until.IsZero() && !t.Received.Before(f.Until),
+		f.MinDuration > 0 && int64(t.Elapsed()) < f.MinDuration:
 		return false
 	}
-	if f.Node == "" {
+	if f.AttemptNode == "" {
 		return true
 	}
 	for i := range t.Attempts {
-		if t.Attempts[i].Node == f.Node {
+		if t.Attempts[i].Node == f.AttemptNode {
 			return true
 		}
 	}
 	return false
 }
 
-// Last cuts traces, in the order of their coming, to Limit.
-func (f Filter) Last(traces []*Trace) []*Trace {
+// Latest returns the last Limit of the traces, which must be in order of arrival.
+func (f Filter) Latest(traces []*Trace) []*Trace {
 	if f.Limit > 0 && len(traces) > f.Limit {
 		return traces[len(traces)-f.Limit:]
 	}
--- a/tracing/record/record.go
+++ b/tracing/record/record.go
@@ -1,5 +1,6 @@
-// Package record is what a trace holds: one query with its parts and attempts,
-// in offsets from the moment it came. It has no I/O and no clock.
+// Package record defines the trace data model: one query with its parts and
+// attempts, timed as offsets from the query's arrival. It does no I/O and reads
+// no clock.
 package record
 
 import (
@@ -15,43 +16,44 @@
 	"onyxsail/decide"
 )
 
-// Reasons is the set of reasons for which a query counts as bad, or is kept.
+// Reasons is a bit set of the reasons why a query counts as bad or its trace is
+// kept.
 type Reasons uint16
 
-// The reasons, the gravest first.
+// The reasons, in order of decreasing severity.
 const (
-	Interrupted Reasons = 1 << iota // the broker ended under it
-	Failed                          // given up, with no promise about its effect
-	Expired                         // its time ran out
-	Refused                         // turned away
-	Late                            // answered past its class's wanted time
-	LeftLate                        // the client went after its wanted time
-	Partial                         // answered, but not whole
-	Saved                           // a copy or a further try gave an answer that it needed
-	Doubted                         // an attempt went to a node in doubt, or one that came into doubt under it
-	Slow                            // in time, but unusually slow for its class
-	Asked                           // the caller asked for the trace
-	Usual                           // a good one, kept at the told rate
+	Interrupted   Reasons = 1 << iota // the broker process ended before the query did
+	Failed                            // given up; it may or may not have taken effect
+	Expired                           // its deadline passed
+	Refused                           // refused by the broker, with no effect
+	Late                              // answered after its class's latency objective
+	AbandonedLate                     // the client left after the latency objective had passed
+	Partial                           // answered, but incompletely
+	Recovered                         // a copy (hedged request) or a retry supplied an answer that it needed
+	SuspectNode                       // an attempt went to a suspected node, or its node became suspected meanwhile
+	Slow                              // within the objective, but unusually slow for its class
+	Requested                         // the caller requested the trace
+	Baseline                          // a good query, sampled at the configured rate for comparison
 )
 
 var reasonNames = []string{
 	"interrupted", "failed", "expired", "refused", "late", "left-late", "partial", "saved", "doubted", "slow", "asked", "usual",
 }
 
-// AllReasons are the reasons by name, the gravest first.
-func AllReasons() []string { return append([]string(nil), reasonNames...) }
+// ReasonNames returns the names of all reasons, in order of decreasing severity.
+func ReasonNames() []string { return append([]string(nil), reasonNames...) }
 
-// Gravest returns the first of the reasons in the set, 0 for none.
-func (r Reasons) Gravest() Reasons { return r & -r }
+// MostSevere returns the most severe reason of the set, 0 if the set is empty.
+func (r Reasons) MostSevere() Reasons { return r & -r }
 
-// Each calls f with each single reason of the set, the gravest first.
-func (r Reasons) Each(f func(Reasons)) {
+// ForEach calls visit with each reason of the set, in order of decreasing severity.
+func (r Reasons) ForEach(visit func(Reasons)) {
 	for ; r != 0; r &= r - 1 {
-		f(r.Gravest())
+		visit(r.MostSevere())
 	}
 }
 
-// String names the reasons, joined by "+".
+// String returns the names of the reasons, joined by "+".
 func (r Reasons) String() string {
 	var names []string
 	for i, name := range reasonNames {
@@ -71,35 +73,37 @@
 	if len(text) == 0 {
 		return nil
 	}
-	for _, word := range strings.Split(string(text), "+") {
-		i := indexOf(reasonNames, word)
-		if i < 0 {
-			return fmt.Errorf("reason: got %q, want one of %s", word, strings.Join(reasonNames, ", "))
+	for _, name := range strings.Split(string(text), "+") {
+		bit := indexOf(reasonNames, name)
+		if bit < 0 {
+			return fmt.Errorf("reason: got %q, want one of %s", name, strings.Join(reasonNames, ", "))
 		}
-		*r |= 1 << i
+		*r |= 1 << bit
 	}
 	return nil
 }
 
 func indexOf(names []string, name string) int {
-	for i, n := range names {
-		if n == name {
+	for i, candidate := range names {
+		if candidate == name {
 			return i
 		}
 	}
 	return -1
 }
 
-// Verdicts by name: those of broker.Verdict in its order, and Open for a query
-// that was never answered.
+// verdictNames are the names of the values of broker.Verdict, in their order,
+// and of VerdictOpen.
 var verdictNames = []string{"served", "refused", "failed", "expired", "duplicate", "left", "open"}
 
-// Open is the verdict of a query under which the broker ended.
-const Open = broker.Left + 1
+// VerdictOpen is the verdict of a query that has not ended, or that was open when
+// the broker process ended.
+const VerdictOpen = broker.Left + 1
 
-// Verdict is a broker.Verdict with a name.
+// Verdict is a broker.Verdict, or VerdictOpen, that is encoded by its name.
 type Verdict broker.Verdict
 
+// String returns the name of the verdict.
 func (v Verdict) String() string { return nameOf(verdictNames, int(v)) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -110,31 +114,33 @@
 	return parseName("verdict", verdictNames, text, func(i int) { *v = Verdict(i) })
 }
 
-// Why is a broker.Reason with a name.
-type Why broker.Reason
+// AttemptReason is a broker.Reason that is encoded by its name.
+type AttemptReason broker.Reason
 
-var whyNames = []string{"first", "copy", "retry", "trial"}
+var attemptReasonNames = []string{"first", "copy", "retry", "trial"}
 
-func (w Why) String() string { return nameOf(whyNames, int(w)) }
+// String returns the name of the reason.
+func (r AttemptReason) String() string { return nameOf(attemptReasonNames, int(r)) }
 
 // MarshalText implements encoding.TextMarshaler.
-func (w Why) MarshalText() ([]byte, error) { return []byte(w.String()), nil }
+func (r AttemptReason) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (w *Why) UnmarshalText(text []byte) error {
-	return parseName("why", whyNames, text, func(i int) { *w = Why(i) })
+func (r *AttemptReason) UnmarshalText(text []byte) error {
+	return parseName("why", attemptReasonNames, text, func(i int) { *r = AttemptReason(i) })
 }
 
-// Outcome is a decide.Outcome with a name, or Out.
+// Outcome is a decide.Outcome, or OutcomePending, that is encoded by its name.
 type Outcome decide.Outcome
 
-// Out is an attempt without an outcome yet.
-const Out = Outcome(decide.NotSent + 1)
+// OutcomePending is the outcome of an attempt that has not ended.
+const OutcomePending = Outcome(decide.NotSent + 1)
 
 var outcomeNames = []string{
 	"ok", "failed", "rejected", "timed-out", "unreachable", "broken", "cancelled", "not-sent", "out",
 }
 
+// String returns the name of the outcome.
 func (o Outcome) String() string { return nameOf(outcomeNames, int(o)) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -161,12 +167,16 @@
 	return nil
 }
 
-// TraceID and SpanID are those of W3C Trace Context; text is lower hex.
 type (
+	// TraceID is a trace-id of W3C Trace Context; its text form is lower-case
+	// hexadecimal.
 	TraceID [16]byte
-	SpanID  [8]byte
+	// SpanID is a parent-id (span ID) of W3C Trace Context; its text form is
+	// lower-case hexadecimal.
+	SpanID [8]byte
 )
 
+// String returns the ID in lower-case hexadecimal.
 func (t TraceID) String() string { return hex.EncodeToString(t[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -175,6 +185,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (t *TraceID) UnmarshalText(text []byte) error { return parseHex("trace id", t[:], text) }
 
+// String returns the ID in lower-case hexadecimal.
 func (s SpanID) String() string { return hex.EncodeToString(s[:]) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -183,158 +194,162 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (s *SpanID) UnmarshalText(text []byte) error { return parseHex("span id", s[:], text) }
 
-func parseHex(field string, to, text []byte) error {
-	if len(text) != 2*len(to) {
-		return fmt.Errorf("%s: got %d characters, want %d", field, len(text), 2*len(to))
+func parseHex(field string, dst, text []byte) error {
+	if len(text) != 2*len(dst) {
+		return fmt.Errorf("%s: got %d characters, want %d", field, len(text), 2*len(dst))
 	}
-	if _, err := hex.Decode(to, text); err != nil {
+	if _, err := hex.Decode(dst, text); err != nil {
 		return fmt.Errorf("%s: %w", field, err)
 	}
 	return nil
 }
 
-// AttemptSpan is the span of an attempt, made of its query's span and its
-// number by the finalizer of SplitMix64 (Steele, Lea and Flood, 2014), so that
-// it need not be stored.
+// AttemptSpan derives the span ID of an attempt from its query's span ID and the
+// attempt's ID, with the finalizer of SplitMix64 (Steele, Lea and Flood, 2014),
+// so that it need not be stored.
 func AttemptSpan(query SpanID, attempt uint64) SpanID {
 	z := binary.BigEndian.Uint64(query[:]) + (attempt+1)*0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	z ^= z >> 31
-	var s SpanID
-	binary.BigEndian.PutUint64(s[:], max(1, z)) // zero is no span
-	return s
+	var span SpanID
+	binary.BigEndian.PutUint64(span[:], max(1, z)) // an all-zero span ID is invalid
+	return span
 }
 
-// Offset is a moment in nanoseconds after the query came, plus one: 0 stands
-// for never.
+// Offset is a point in time, in nanoseconds after the query's arrival, plus one:
+// 0 means that the event never happened.
 type Offset int64
 
-// After returns the offset of a moment so long after the query came; what lies
-// before that counts as at once.
-func After(d time.Duration) Offset { return Offset(max(0, d)) + 1 }
+// OffsetOf returns the offset of an event that happened d after the query's
+// arrival; a negative d counts as 0.
+func OffsetOf(d time.Duration) Offset { return Offset(max(0, d)) + 1 }
 
-// Set says whether the moment came.
-func (o Offset) Set() bool { return o > 0 }
+// IsSet reports whether the event happened.
+func (o Offset) IsSet() bool { return o > 0 }
 
-// Duration is the time from the query's coming, 0 where the moment never came.
+// Duration returns the time since the query's arrival, 0 if the event never
+// happened.
 func (o Offset) Duration() time.Duration { return time.Duration(max(0, o-1)) }
 
-// Attempt is one try of one part.
+// Attempt is one attempt of one part.
 type Attempt struct {
-	ID     uint64 `json:"id"`
-	Span   SpanID `json:"span"`
-	Shard  int    `json:"shard"`
-	N      int    `json:"n"`
-	Node   string `json:"node,omitempty"`
-	Cell   int    `json:"cell"`
-	Addr   string `json:"addr,omitempty"`
-	Why    Why    `json:"why"`
-	Doubt  bool   `json:"doubt,omitempty"` // its node was in doubt, or came into doubt under it
-	Opened Offset `json:"opened"`
-	Dialed Offset `json:"dialed,omitempty"` // the making of the connection that it waited for
-	Up     Offset `json:"up,omitempty"`
-	Gone   Offset `json:"gone,omitempty"`   // its last byte left
-	Answer Offset `json:"answer,omitempty"` // the answer's first byte came
-	GaveUp Offset `json:"gave_up,omitempty"`
-	Ended  Offset `json:"ended,omitempty"`
-
-	Outcome Outcome `json:"outcome"`
-	Ours    bool    `json:"ours,omitempty"` // the broker ended it, not its node
-	MayRun  bool    `json:"may_run,omitempty"`
-
-	LateAt      Offset   `json:"late_at,omitempty"` // when its outcome came after all
-	LateOutcome *Outcome `json:"late_outcome,omitempty"`
+	ID          uint64        `json:"id"`
+	Span        SpanID        `json:"span"`
+	Shard       int           `json:"shard"`
+	Number      int           `json:"n"` // counts the attempts of the part, from 0
+	Node        string        `json:"node,omitempty"`
+	Cell        int           `json:"cell"`
+	Addr        string        `json:"addr,omitempty"`
+	Reason      AttemptReason `json:"why"`             // why it was opened
+	Suspected   bool          `json:"doubt,omitempty"` // its node was suspected when it opened or became so before it ended
+	Opened      Offset        `json:"opened"`
+	DialStarted Offset        `json:"dialed,omitempty"`  // when dialing of the connection that it waited for began
+	Connected   Offset        `json:"up,omitempty"`      // when that connection was established
+	Sent        Offset        `json:"gone,omitempty"`    // when its last byte was sent
+	FirstByte   Offset        `json:"answer,omitempty"`  // when the first byte of the answer was received
+	Abandoned   Offset        `json:"gave_up,omitempty"` // when the broker cancelled it
+	Ended       Offset        `json:"ended,omitempty"`
+
+	Outcome       Outcome `json:"outcome"`
+	EndedByBroker bool    `json:"ours,omitempty"`    // ended by the broker, not by the node
+	MayStillRun   bool    `json:"may_run,omitempty"` // the node may still execute it
+
+	LateAt      Offset   `json:"late_at,omitempty"`      // when its outcome arrived after it had been given up
+	LateOutcome *Outcome `json:"late_outcome,omitempty"` // that outcome; nil: none arrived
 }
 
-// End gives the attempt its one outcome. ours says that the broker ended it;
-// then it may still run if its last byte had left.
-func (a *Attempt) End(o decide.Outcome, ours bool, at Offset) {
-	a.Ended, a.Outcome, a.Ours = at, Outcome(o), ours
-	switch o {
+// End records the outcome of the attempt. byBroker says that the broker ended it
+// rather than the node. Unless the outcome rules that out, an attempt whose last
+// byte was sent may still run.
+func (a *Attempt) End(outcome decide.Outcome, byBroker bool, at Offset) {
+	a.Ended, a.Outcome, a.EndedByBroker = at, Outcome(outcome), byBroker
+	switch outcome {
 	case decide.Failed, decide.Broken, decide.TimedOut, decide.Cancelled:
-		a.MayRun = a.Gone.Set()
+		a.MayStillRun = a.Sent.IsSet()
 	default:
-		a.MayRun = false // it did, or it never can
+		a.MayStillRun = false // it has run, or it never will
 	}
 }
 
-// Trace is one query.
+// Trace is the trace of one query.
 type Trace struct {
-	ID      TraceID `json:"trace"`
-	Span    SpanID  `json:"span"`
-	Parent  SpanID  `json:"parent,omitzero"`
-	State   string  `json:"state,omitempty"`
-	Sampled bool    `json:"sampled,omitempty"` // by the caller's word
-
-	Broker string        `json:"broker"`
-	Query  string        `json:"query"`
-	Class  string        `json:"class"`
-	Came   time.Time     `json:"came"`
-	Wanted time.Duration `json:"wanted"` // nanoseconds, as all durations here
-	Budget time.Duration `json:"budget"`
-	Retry  bool          `json:"retry,omitempty"`
-	Parts  int           `json:"parts"`
-	Taken  Offset        `json:"taken"` // when the core took it
-	Ended  Offset        `json:"ended,omitempty"`
+	ID         TraceID `json:"trace"`
+	Span       SpanID  `json:"span"`
+	Parent     SpanID  `json:"parent,omitzero"`   // the span of the caller; zero: none
+	TraceState string  `json:"state,omitempty"`   // the tracestate header of the caller
+	Sampled    bool    `json:"sampled,omitempty"` // the sampled flag of the caller
+
+	Broker    string        `json:"broker"`
+	Query     string        `json:"query"`
+	Class     string        `json:"class"`
+	Received  time.Time     `json:"came"`            // when the query arrived
+	Objective time.Duration `json:"wanted"`          // latency objective, in nanoseconds, like every duration here
+	Budget    time.Duration `json:"budget"`          // time from arrival to the deadline
+	Retry     bool          `json:"retry,omitempty"` // the client marked the query as a retry
+	Parts     int           `json:"parts"`
+	Accepted  Offset        `json:"taken"` // when the core dequeued it
+	Ended     Offset        `json:"ended,omitempty"`
 
 	Verdict    Verdict       `json:"verdict"`
-	Whole      bool          `json:"whole,omitempty"`
-	RetryAfter time.Duration `json:"retry_after,omitempty"`
+	Complete   bool          `json:"whole,omitempty"`       // the answer is complete, not partial
+	RetryAfter time.Duration `json:"retry_after,omitempty"` // the delay before a retry that the client was told
 
 	Reasons     Reasons `json:"reasons"`
-	Kept        Reasons `json:"kept"`        // the one reason for which it was kept
-	Probability float64 `json:"probability"` // with which a query like it is kept
-	Unseen      int     `json:"unseen,omitempty"`
+	KeepReason  Reasons `json:"kept"`             // the single reason for which the trace is kept
+	Probability float64 `json:"probability"`      // sampling probability of a query like this one; 0: unknown
+	Unrecorded  int     `json:"unseen,omitempty"` // number of further attempts of which no details were stored
 
 	Attempts []Attempt `json:"attempts,omitempty"`
 }
 
-// Took is how long the query took, for an open one as far as is known.
-func (t *Trace) Took() time.Duration {
-	took := t.Ended.Duration()
-	if !t.Ended.Set() {
-		took = t.Taken.Duration()
+// Elapsed returns how long the query took. For a query that has not ended it is
+// the time of the last known event.
+func (t *Trace) Elapsed() time.Duration {
+	elapsed := t.Ended.Duration()
+	if !t.Ended.IsSet() {
+		elapsed = t.Accepted.Duration()
 		for i := range t.Attempts {
 			a := &t.Attempts[i]
-			took = max(took, a.Opened.Duration(), a.Gone.Duration(), a.Ended.Duration())
+			elapsed = max(elapsed, a.Opened.Duration(), a.Sent.Duration(), a.Ended.Duration())
 		}
 	}
-	return took
+	return elapsed
 }
 
-// Interrupt completes a trace that a broker left when it was killed. A query
-// that was over by then lacks nothing but the sampler's verdict.
-func (t *Trace) Interrupt() {
+// CompleteInterrupted completes the trace of a query that was in the table of
+// open queries when the broker was killed. A query that had ended by then lacks
+// only the decision of the sampler.
+func (t *Trace) CompleteInterrupted() {
 	t.Probability = 1
-	t.Reasons = t.Judge()
+	t.Reasons = t.DeriveReasons()
 	for i := range t.Attempts {
-		if a := &t.Attempts[i]; !a.Ended.Set() {
-			a.MayRun = a.Gone.Set()
+		if a := &t.Attempts[i]; !a.Ended.IsSet() {
+			a.MayStillRun = a.Sent.IsSet()
 		}
 	}
-	if t.Reasons == 0 { // a good one, kept at a rate that the table does not hold
-		t.Reasons, t.Probability = Usual, 0
+	if t.Reasons == 0 { // a good query; the table does not hold its sampling probability
+		t.Reasons, t.Probability = Baseline, 0
 	}
-	t.Kept = t.Reasons.Gravest()
+	t.KeepReason = t.Reasons.MostSevere()
 }
 
-// Size is about how many bytes the trace holds in memory.
-func (t *Trace) Size() int {
-	n := 400 + len(t.Query) + len(t.State) + len(t.Broker)
+// MemoryBytes estimates the memory that the trace uses, in bytes.
+func (t *Trace) MemoryBytes() int {
+	size := 400 + len(t.Query) + len(t.TraceState) + len(t.Broker)
 	for i := range t.Attempts {
-		n += 200 + len(t.Attempts[i].Node) + len(t.Attempts[i].Addr)
+		size += 200 + len(t.Attempts[i].Node) + len(t.Attempts[i].Addr)
 	}
-	return n
+	return size
 }
 
-// Bounds of one record that is read.
+// Upper bounds of the number of attempts and of parts in a decoded trace.
 const (
 	maxAttempts = 1 << 14
 	maxParts    = 1 << 12
 )
 
-// Encode renders a trace as JSON.
+// Encode returns the JSON encoding of a trace.
 func Encode(t *Trace) ([]byte, error) {
 	data, err := json.Marshal(t)
 	if err != nil {
@@ -343,26 +358,27 @@
 	return data, nil
 }
 
-// Decode reads what Encode wrote. Errors name the field; a field that is not
-// known is an error, so that nothing is lost in silence.
+// Decode parses the output of Encode. Errors name the field. An unknown field is
+// an error, so that no data is lost silently.
 func Decode(data []byte) (*Trace, error) {
 	t := new(Trace)
-	d := json.NewDecoder(strings.NewReader(string(data)))
-	d.DisallowUnknownFields()
-	if err := d.Decode(t); err != nil {
+	dec := json.NewDecoder(strings.NewReader(string(data)))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(t); err != nil {
 		return nil, fmt.Errorf("decoding a trace: %w", err)
 	}
-	if d.More() {
+	if dec.More() {
 		return nil, errors.New("decoding a trace: more follows the object")
 	}
-	if err := t.Check(); err != nil {
+	if err := t.Validate(); err != nil {
 		return nil, fmt.Errorf("decoding a trace: %w", err)
 	}
 	return t, nil
 }
 
-// Check says which field cannot be; what is read from disk passes it.
-func (t *Trace) Check() error {
+// Validate returns an error that names the first field with an invalid value.
+// Traces that are read from disk are validated.
+func (t *Trace) Validate() error {
 	switch {
 	case t.ID == TraceID{}:
 		return errors.New("trace: missing")
@@ -372,123 +388,127 @@
 		return fmt.Errorf("attempts: got %d, want %d at most", len(t.Attempts), maxAttempts)
 	case !(t.Probability >= 0 && t.Probability <= 1):
 		return fmt.Errorf("probability: got %v, want 0 to 1", t.Probability)
-	case t.Taken < 0 || t.Ended < 0 || t.Wanted < 0 || t.Budget < 0:
+	case t.Accepted < 0 || t.Ended < 0 || t.Objective < 0 || t.Budget < 0:
 		return errors.New("taken, ended, wanted and budget: want 0 or more")
 	}
 	for i := range t.Attempts {
 		a := &t.Attempts[i]
-		for _, o := range []Offset{a.Opened, a.Dialed, a.Up, a.Gone, a.Answer, a.GaveUp, a.Ended, a.LateAt} {
+		for _, o := range []Offset{a.Opened, a.DialStarted, a.Connected, a.Sent, a.FirstByte, a.Abandoned, a.Ended, a.LateAt} {
 			if o < 0 {
 				return fmt.Errorf("attempts[%d]: an offset of %d, want 0 or more", i, o)
 			}
 		}
-		if a.N < 0 || a.Shard < 0 {
-			return fmt.Errorf("attempts[%d]: n %d of shard %d, want 0 or more", i, a.N, a.Shard)
+		if a.Number < 0 || a.Shard < 0 {
+			return fmt.Errorf("attempts[%d]: n %d of shard %d, want 0 or more", i, a.Number, a.Shard)
 		}
 	}
 	return nil
 }
 
-// Note is an outcome that came after its trace was written.
-type Note struct {
+// LateOutcome is the outcome of an attempt that arrived after the trace of its
+// query had been written.
+type LateOutcome struct {
 	ID      TraceID `json:"trace"`
-	Span    SpanID  `json:"span"` // the query's: one trace may hold several queries
-	Attempt uint64  `json:"attempt"`
-	At      Offset  `json:"at"`
+	Span    SpanID  `json:"span"`    // the query's span: several queries may share a trace ID
+	Attempt uint64  `json:"attempt"` // the ID of the attempt
+	At      Offset  `json:"at"`      // when the outcome arrived
 	Outcome Outcome `json:"outcome"`
 }
 
-// DecodeNote reads a note.
-func DecodeNote(data []byte) (Note, error) {
-	var n Note
-	d := json.NewDecoder(strings.NewReader(string(data)))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&n); err != nil {
-		return n, fmt.Errorf("decoding a note: %w", err)
+// DecodeLateOutcome parses the JSON encoding of a late outcome.
+func DecodeLateOutcome(data []byte) (LateOutcome, error) {
+	var late LateOutcome
+	dec := json.NewDecoder(strings.NewReader(string(data)))
+	dec.DisallowUnknownFields()
+	if err := dec.Decode(&late); err != nil {
+		return late, fmt.Errorf("decoding a note: %w", err)
 	}
-	if n.At < 0 || n.ID == (TraceID{}) {
-		return n, errors.New("decoding a note: trace and at: missing or negative")
+	if late.At < 0 || late.ID == (TraceID{}) {
+		return late, errors.New("decoding a note: trace and at: missing or negative")
 	}
-	return n, nil
+	return late, nil
 }
 
-// Apply puts a note into its trace; false says that it belongs to another.
-func (n Note) Apply(t *Trace) bool {
-	if t.ID != n.ID || t.Span != n.Span {
+// Apply stores the late outcome in the trace and reports whether it belongs to
+// one of the attempts of that trace.
+func (l LateOutcome) Apply(t *Trace) bool {
+	if t.ID != l.ID || t.Span != l.Span {
 		return false
 	}
 	for i := range t.Attempts {
-		if a := &t.Attempts[i]; a.ID == n.Attempt {
-			o := n.Outcome
-			a.LateAt, a.LateOutcome = n.At, &o
+		if a := &t.Attempts[i]; a.ID == l.Attempt {
+			outcome := l.Outcome
+			a.LateAt, a.LateOutcome = l.At, &outcome
 			return true
 		}
 	}
 	return false
 }
 
-// Judge gives the reasons that the trace itself shows; Slow, Asked and Usual
-// are the sampler's to add.
-func (t *Trace) Judge() Reasons {
-	var r Reasons
-	took := t.Took()
+// DeriveReasons returns the reasons that follow from the trace alone. The sampler
+// adds Slow, Requested and Baseline.
+func (t *Trace) DeriveReasons() Reasons {
+	var reasons Reasons
+	elapsed := t.Elapsed()
 	switch broker.Verdict(t.Verdict) {
 	case broker.Served:
-		if t.Wanted > 0 && took > t.Wanted {
-			r |= Late
+		if t.Objective > 0 && elapsed > t.Objective {
+			reasons |= Late
 		}
-		if !t.Whole {
-			r |= Partial
+		if !t.Complete {
+			reasons |= Partial
 		}
 	case broker.Refused:
-		r |= Refused
+		reasons |= Refused
 	case broker.Failed, broker.Duplicate:
-		r |= Failed
+		reasons |= Failed
 	case broker.Expired:
-		r |= Expired
+		reasons |= Expired
 	case broker.Left:
-		if t.Wanted > 0 && took > t.Wanted {
-			r |= LeftLate
+		if t.Objective > 0 && elapsed > t.Objective {
+			reasons |= AbandonedLate
 		}
 	default:
-		r |= Interrupted
+		reasons |= Interrupted
 	}
 	for i := range t.Attempts {
 		a := &t.Attempts[i]
-		if a.N > 0 && a.Outcome == Outcome(decide.OK) && t.Winner(a.Shard) == a {
-			r |= Saved
+		if a.Number > 0 && a.Outcome == Outcome(decide.OK) && t.Winner(a.Shard) == a {
+			reasons |= Recovered
 		}
-		if a.Doubt {
-			r |= Doubted
+		if a.Suspected {
+			reasons |= SuspectNode
 		}
 	}
-	return r
+	return reasons
 }
 
-// Winner is the attempt whose answer served a shard, nil if none did.
+// Winner returns the attempt whose answer was used for a shard: the first that
+// succeeded, nil if none did.
 func (t *Trace) Winner(shard int) *Attempt {
-	var best *Attempt
+	var winner *Attempt
 	for i := range t.Attempts {
-		if a := &t.Attempts[i]; a.Shard == shard && a.Outcome == Outcome(decide.OK) && (best == nil || a.Ended < best.Ended) {
-			best = a
+		if a := &t.Attempts[i]; a.Shard == shard && a.Outcome == Outcome(decide.OK) && (winner == nil || a.Ended < winner.Ended) {
+			winner = a
 		}
 	}
-	return best
+	return winner
 }
 
-// Culprit is the node that the query lost most time at: of the attempts that
-// brought no answer, else of all, the one that was out the longest.
-func (t *Trace) Culprit() string {
-	node, longest, bad := "", time.Duration(-1), false
+// WorstNode returns the node at which the query lost the most time: that of the
+// longest attempt among those without an answer or, if all were answered, among
+// all attempts.
+func (t *Trace) WorstNode() string {
+	node, longest, worstFailed := "", time.Duration(-1), false
 	for i := range t.Attempts {
 		a := &t.Attempts[i]
 		end := a.Ended
-		if !end.Set() {
+		if !end.IsSet() {
 			end = t.Ended
 		}
-		out, failed := end.Duration()-a.Opened.Duration(), a.Outcome != Outcome(decide.OK)
-		if a.Node != "" && (failed && !bad || failed == bad && out > longest) {
-			node, longest, bad = a.Node, out, failed
+		duration, failed := end.Duration()-a.Opened.Duration(), a.Outcome != Outcome(decide.OK)
+		if a.Node != "" && (failed && !worstFailed || failed == worstFailed && duration > longest) {
+			node, longest, worstFailed = a.Node, duration, failed
 		}
 	}
 	return node
--- a/tracing/record/record_test.go
+++ b/tracing/record/record_test.go
@@ -10,30 +10,32 @@
 	"onyxsail/decide"
 )
 
-func full() *Trace {
+func fullTrace() *Trace {
 	late := Outcome(decide.OK)
 	return &Trace{
-		ID: TraceID{1, 2}, Span: SpanID{3}, Parent: SpanID{4}, State: "a=b", Sampled: true, Broker: "n1", Query: "q", Class: "screen",
-		Came: time.Unix(1_800_000_000, 5).UTC(), Wanted: time.Second, Budget: 2 * time.Second, Retry: true, Parts: 2, Taken: After(0), Ended: After(time.Second),
-		Verdict: Verdict(broker.Refused), RetryAfter: time.Second, Reasons: Refused | Slow, Kept: Refused, Probability: 0.5,
-		Attempts: []Attempt{{ID: 9, Span: AttemptSpan(SpanID{3}, 9), Shard: 3, N: 1, Node: "s-1", Cell: 2, Addr: "x:1", Why: Why(broker.Copy), Opened: After(5),
-			Gone: After(6), Ended: After(7), Outcome: Outcome(decide.TimedOut), Ours: true, MayRun: true, LateAt: After(9), LateOutcome: &late}},
+		ID: TraceID{1, 2}, Span: SpanID{3}, Parent: SpanID{4}, TraceState: "a=b", Sampled: true, Broker: "n1", Query: "q", Class: "screen",
+		Received: time.Unix(1_800_000_000, 5).UTC(), Objective: time.Second, Budget: 2 * time.Second, Retry: true, Parts: 2, Accepted: OffsetOf(0), Ended: OffsetOf(time.Second),
+		Verdict: Verdict(broker.Refused), RetryAfter: time.Second, Reasons: Refused | Slow, KeepReason: Refused, Probability: 0.5,
+		Attempts: []Attempt{{ID: 9, Span: AttemptSpan(SpanID{3}, 9), Shard: 3, Number: 1, Node: "s-1", Cell: 2, Addr: "x:1", Reason: AttemptReason(broker.Copy), Opened: OffsetOf(5),
+			Sent: OffsetOf(6), Ended: OffsetOf(7), Outcome: Outcome(decide.TimedOut), EndedByBroker: true, MayStillRun: true, LateAt: OffsetOf(9), LateOutcome: &late}},
 	}
 }
 
-func TestDecodeGivesBackAll(t *testing.T) {
-	data, err := Encode(full())
+// Every field of a trace survives encoding and decoding.
+func TestEncodeDecodeKeepsEveryField(t *testing.T) {
+	data, err := Encode(fullTrace())
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := Decode(data)
-	if err != nil || !reflect.DeepEqual(got, full()) {
+	if err != nil || !reflect.DeepEqual(got, fullTrace()) {
 		t.Errorf("got %+v, %v", got, err)
 	}
 }
 
-func TestDecodeNamesTheField(t *testing.T) {
-	data, err := Encode(full())
+// Each kind of invalid field is rejected with an error that names the field.
+func TestDecodeErrorNamesTheField(t *testing.T) {
+	data, err := Encode(fullTrace())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,55 +47,57 @@
 	} {
 		bad := strings.Replace(string(data), c.old, c.new, 1)
 		if bad == string(data) {
-			t.Fatalf("%s is not in %s", c.old, data)
+			t.Fatalf("no %s in %s to replace", c.old, data)
 		}
 		if _, err := Decode([]byte(bad)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s for %s: got %v, want %q named", c.new, c.old, err, c.want)
+			t.Errorf("%s for %s: got error %v, want one that names %q", c.new, c.old, err, c.want)
 		}
 	}
 }
 
+// Decode does not panic, and what it accepts survives another round trip.
 func FuzzDecode(f *testing.F) {
-	data, _ := Encode(full())
+	data, _ := Encode(fullTrace())
 	f.Add(data)
 	f.Add([]byte(`{}`))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		tr, err := Decode(b)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		decoded, err := Decode(input)
 		if err != nil {
 			return
 		}
-		again, err := Encode(tr)
+		reencoded, err := Encode(decoded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Decode(again); err != nil {
-			t.Fatalf("%s was read, and not %s: %v", b, again, err)
+		if _, err := Decode(reencoded); err != nil {
+			t.Fatalf("decoded %s, but not its re-encoding %s: %v", input, reencoded, err)
 		}
 	})
 }
 
-func TestJudge(t *testing.T) {
-	won := func(n int) Attempt {
-		return Attempt{Shard: 1, N: n, Outcome: Outcome(decide.OK), Ended: After(time.Duration(n))}
+// Each verdict and attempt outcome leads to the documented reasons.
+func TestDeriveReasons(t *testing.T) {
+	answered := func(n int) Attempt {
+		return Attempt{Shard: 1, Number: n, Outcome: Outcome(decide.OK), Ended: OffsetOf(time.Duration(n))}
 	}
 	for _, c := range []struct {
 		name string
 		t    Trace
 		want Reasons
 	}{
-		{"good", Trace{Whole: true, Ended: After(5), Wanted: 9}, 0},
-		{"late", Trace{Whole: true, Ended: After(10), Wanted: 9}, Late},
-		{"in part", Trace{Ended: After(5), Wanted: 9}, Partial},
-		{"left in time", Trace{Verdict: Verdict(broker.Left), Ended: After(5), Wanted: 9}, 0},
-		{"left late", Trace{Verdict: Verdict(broker.Left), Ended: After(10), Wanted: 9}, LeftLate},
-		{"open", Trace{Verdict: Verdict(Open)}, Interrupted},
+		{"good", Trace{Complete: true, Ended: OffsetOf(5), Objective: 9}, 0},
+		{"late", Trace{Complete: true, Ended: OffsetOf(10), Objective: 9}, Late},
+		{"partial", Trace{Ended: OffsetOf(5), Objective: 9}, Partial},
+		{"abandoned in time", Trace{Verdict: Verdict(broker.Left), Ended: OffsetOf(5), Objective: 9}, 0},
+		{"abandoned late", Trace{Verdict: Verdict(broker.Left), Ended: OffsetOf(10), Objective: 9}, AbandonedLate},
+		{"open", Trace{Verdict: Verdict(VerdictOpen)}, Interrupted},
 		{"duplicate", Trace{Verdict: Verdict(broker.Duplicate)}, Failed},
 		{"expired", Trace{Verdict: Verdict(broker.Expired)}, Expired},
-		{"a copy won", Trace{Whole: true, Attempts: []Attempt{{Shard: 1, Outcome: Outcome(decide.Cancelled)}, won(1)}}, Saved},
-		{"a copy answered after the first", Trace{Whole: true, Attempts: []Attempt{won(0), won(1)}}, 0},
-		{"a node in doubt", Trace{Whole: true, Attempts: []Attempt{{Doubt: true}}}, Doubted},
+		{"a copy won", Trace{Complete: true, Attempts: []Attempt{{Shard: 1, Outcome: Outcome(decide.Cancelled)}, answered(1)}}, Recovered},
+		{"a copy answered after the first attempt", Trace{Complete: true, Attempts: []Attempt{answered(0), answered(1)}}, 0},
+		{"a suspected node", Trace{Complete: true, Attempts: []Attempt{{Suspected: true}}}, SuspectNode},
 	} {
-		if got := c.t.Judge(); got != c.want {
+		if got := c.t.DeriveReasons(); got != c.want {
 			t.Errorf("%s: %s, want %s", c.name, got, c.want)
 		}
 	}
--- a/tracing/sample/sample.go
+++ b/tracing/sample/sample.go
@@ -187,7 +187,7 @@
 	if it.Asked {
 		if s.asked < s.cfg.Asked {
 			s.asked++
-			r |= record.Asked
+			r |= record.Requested
 		} else {
 			s.counts.AskedOver++
 		}
@@ -196,7 +196,7 @@
 		if s.rng.Float64() >= s.cfg.Usual {
 			return false, nil
 		}
-		r = record.Usual
+		r = record.Baseline
 	}
 	if it.Size > s.cfg.Bytes || s.cfg.Budget < 1 {
 		s.tooBig++
@@ -211,7 +211,7 @@
 		p := s.fullest()
 		e := heap.Pop(p).(entry)
 		s.count(p, -1, -e.size)
-		if p.reason != record.Usual && p.reason != record.Asked {
+		if p.reason != record.Baseline && p.reason != record.Requested {
 			s.shed[index(p.reason)]++
 		}
 		if e.key == it.Key {
@@ -227,12 +227,12 @@
 // its commonest reason a rare failure would be lost among the common.
 func (s *Sampler) rarest(r record.Reasons) record.Reasons {
 	var best record.Reasons
-	r.Each(func(one record.Reasons) {
+	r.ForEach(func(one record.Reasons) {
 		if best == 0 || s.heat[index(one)] < s.heat[index(best)] {
 			best = one
 		}
 	})
-	r.Each(func(one record.Reasons) { s.heat[index(one)]++ })
+	r.ForEach(func(one record.Reasons) { s.heat[index(one)]++ })
 	return best
 }
 
@@ -352,7 +352,7 @@
 			for _, p := range c.nodes {
 				for _, e := range p.held {
 					k := Kept{Key: e.key, Reasons: e.reasons, Reason: p.reason, Probability: float64(len(p.held)) / float64(p.seen)}
-					if p.reason == record.Usual {
+					if p.reason == record.Baseline {
 						k.Probability *= s.cfg.Usual
 					}
 					kept = append(kept, k)
--- a/tracing/spool/open.go
+++ b/tracing/spool/open.go
@@ -83,7 +83,7 @@
 
 // moment is an offset as an attempt stores it.
 func moment(o record.Offset) uint32 {
-	if !o.Set() {
+	if !o.IsSet() {
 		return 0
 	}
 	return uint32(min(o.Duration().Microseconds()+1, math.MaxUint32))
@@ -93,7 +93,7 @@
 	if m == 0 {
 		return 0
 	}
-	return record.After(time.Duration(m-1) * time.Microsecond)
+	return record.OffsetOf(time.Duration(m-1) * time.Microsecond)
 }
 
 const (
@@ -220,12 +220,12 @@
 	copy(b[hTrace:], tr.ID[:])
 	copy(b[hSpan:], tr.Span[:])
 	copy(b[hParent:], tr.Parent[:])
-	le.PutUint64(b[hCame:], uint64(tr.Came.UnixNano()))
-	le.PutUint64(b[hWanted:], uint64(tr.Wanted))
+	le.PutUint64(b[hCame:], uint64(tr.Received.UnixNano()))
+	le.PutUint64(b[hWanted:], uint64(tr.Objective))
 	le.PutUint64(b[hBudget:], uint64(tr.Budget))
-	le.PutUint64(b[hTaken:], uint64(tr.Taken))
+	le.PutUint64(b[hTaken:], uint64(tr.Accepted))
 	le.PutUint64(b[hEnded:], 0)
-	b[hVerdict] = byte(record.Open)
+	b[hVerdict] = byte(record.VerdictOpen)
 	b[hFlags] = bit(tr.Retry, flagRetry) | bit(tr.Sampled, flagSampled)
 	putText(b[hClass:hClass+1+maxClass], tr.Class)
 	putText(b[hQuery:hQuery+1+maxQuery], tr.Query)
@@ -249,14 +249,14 @@
 	b, le := s[slotHead+i*trySize:slotHead+(i+1)*trySize], binary.LittleEndian
 	le.PutUint64(b[tID:], a.ID)
 	le.PutUint32(b[tOpened:], moment(a.Opened))
-	le.PutUint32(b[tDialed:], moment(a.Dialed))
-	le.PutUint32(b[tUp:], moment(a.Up))
-	le.PutUint32(b[tGone:], moment(a.Gone))
+	le.PutUint32(b[tDialed:], moment(a.DialStarted))
+	le.PutUint32(b[tUp:], moment(a.Connected))
+	le.PutUint32(b[tGone:], moment(a.Sent))
 	le.PutUint32(b[tEnded:], moment(a.Ended))
 	le.PutUint32(b[tShard:], uint32(a.Shard))
-	le.PutUint16(b[tN:], uint16(min(a.N, math.MaxUint16)))
+	le.PutUint16(b[tN:], uint16(min(a.Number, math.MaxUint16)))
 	le.PutUint16(b[tCell:], uint16(min(max(a.Cell, 0), math.MaxUint16)))
-	b[tWhy], b[tOutcome] = byte(a.Why), byte(a.Outcome)
+	b[tWhy], b[tOutcome] = byte(a.Reason), byte(a.Outcome)
 	b[tFlags] = flags(a)
 	putText(b[tNode:], a.Node)
 	if n := uint32(i + 1); le.Uint32(s[hTries:]) < n {
@@ -296,7 +296,7 @@
 	defer t.guard()
 	b := t.slot(slot)
 	b[hVerdict] = byte(tr.Verdict)
-	b[hFlags] |= bit(tr.Whole, flagWhole)
+	b[hFlags] |= bit(tr.Complete, flagWhole)
 	binary.LittleEndian.PutUint64(b[hEnded:], uint64(tr.Ended))
 }
 
@@ -307,7 +307,7 @@
 	for i := range tr.Attempts {
 		t.Attempt(slot, i, &tr.Attempts[i])
 	}
-	if tr.Ended.Set() {
+	if tr.Ended.IsSet() {
 		t.End(slot, tr)
 	}
 }
@@ -338,7 +338,7 @@
 }
 
 func flags(a *record.Attempt) byte {
-	return bit(a.Doubt, flagDoubt) | bit(a.Ours, flagOurs) | bit(a.MayRun, flagMayRun)
+	return bit(a.Suspected, flagDoubt) | bit(a.EndedByBroker, flagOurs) | bit(a.MayStillRun, flagMayRun)
 }
 
 func bit(on bool, flag byte) byte {
@@ -407,11 +407,11 @@
 		return nil, fmt.Errorf("state %x", le.Uint32(b[hState:]))
 	}
 	t := &record.Trace{
-		Parts: int(le.Uint32(b[hParts:])), Came: time.Unix(0, int64(le.Uint64(b[hCame:]))),
-		Wanted: time.Duration(le.Uint64(b[hWanted:])), Budget: time.Duration(le.Uint64(b[hBudget:])),
-		Taken: record.Offset(le.Uint64(b[hTaken:])), Ended: record.Offset(le.Uint64(b[hEnded:])),
-		Verdict: record.Verdict(b[hVerdict]), Unseen: int(le.Uint32(b[hUnseen:])), Probability: 1,
-		Retry: b[hFlags]&flagRetry != 0, Sampled: b[hFlags]&flagSampled != 0, Whole: b[hFlags]&flagWhole != 0,
+		Parts: int(le.Uint32(b[hParts:])), Received: time.Unix(0, int64(le.Uint64(b[hCame:]))),
+		Objective: time.Duration(le.Uint64(b[hWanted:])), Budget: time.Duration(le.Uint64(b[hBudget:])),
+		Accepted: record.Offset(le.Uint64(b[hTaken:])), Ended: record.Offset(le.Uint64(b[hEnded:])),
+		Verdict: record.Verdict(b[hVerdict]), Unrecorded: int(le.Uint32(b[hUnseen:])), Probability: 1,
+		Retry: b[hFlags]&flagRetry != 0, Sampled: b[hFlags]&flagSampled != 0, Complete: b[hFlags]&flagWhole != 0,
 	}
 	copy(t.ID[:], b[hTrace:])
 	copy(t.Span[:], b[hSpan:])
@@ -423,7 +423,7 @@
 	if err := errors.Join(err1, err2); err != nil {
 		return nil, err
 	}
-	if tries > slotTries || broker.Verdict(t.Verdict) > record.Open {
+	if tries > slotTries || broker.Verdict(t.Verdict) > record.VerdictOpen {
 		return nil, fmt.Errorf("%d attempts, verdict %d", tries, t.Verdict)
 	}
 	for i := range tries {
@@ -434,20 +434,20 @@
 		a.Span = record.AttemptSpan(t.Span, a.ID)
 		t.Attempts = append(t.Attempts, a)
 	}
-	return t, t.Check()
+	return t, t.Validate()
 }
 
 func readTry(b []byte) (record.Attempt, error) {
 	le := binary.LittleEndian
 	a := record.Attempt{
-		ID: le.Uint64(b[tID:]), Shard: int(le.Uint32(b[tShard:])), N: int(le.Uint16(b[tN:])), Why: record.Why(b[tWhy]),
+		ID: le.Uint64(b[tID:]), Shard: int(le.Uint32(b[tShard:])), Number: int(le.Uint16(b[tN:])), Reason: record.AttemptReason(b[tWhy]),
 		Outcome: record.Outcome(b[tOutcome]), Cell: int(le.Uint16(b[tCell:])),
-		Opened: offset(le.Uint32(b[tOpened:])), Dialed: offset(le.Uint32(b[tDialed:])), Up: offset(le.Uint32(b[tUp:])),
-		Gone: offset(le.Uint32(b[tGone:])), Ended: offset(le.Uint32(b[tEnded:])),
-		Doubt: b[tFlags]&flagDoubt != 0, Ours: b[tFlags]&flagOurs != 0, MayRun: b[tFlags]&flagMayRun != 0,
+		Opened: offset(le.Uint32(b[tOpened:])), DialStarted: offset(le.Uint32(b[tDialed:])), Connected: offset(le.Uint32(b[tUp:])),
+		Sent: offset(le.Uint32(b[tGone:])), Ended: offset(le.Uint32(b[tEnded:])),
+		Suspected: b[tFlags]&flagDoubt != 0, EndedByBroker: b[tFlags]&flagOurs != 0, MayStillRun: b[tFlags]&flagMayRun != 0,
 	}
-	if a.Outcome > record.Out || a.Why > record.Why(broker.Trial) {
-		return a, fmt.Errorf("outcome %d, reason %d", a.Outcome, a.Why)
+	if a.Outcome > record.OutcomePending || a.Reason > record.AttemptReason(broker.Trial) {
+		return a, fmt.Errorf("outcome %d, reason %d", a.Outcome, a.Reason)
 	}
 	var err error
 	a.Node, err = getText(b[tNode:])
--- a/tracing/spool/spool.go
+++ b/tracing/spool/spool.go
@@ -333,7 +333,7 @@
 }
 
 func sortByTime(traces []*record.Trace) {
-	slices.SortStableFunc(traces, func(a, b *record.Trace) int { return cmp.Compare(a.Came.UnixNano(), b.Came.UnixNano()) })
+	slices.SortStableFunc(traces, func(a, b *record.Trace) int { return cmp.Compare(a.Received.UnixNano(), b.Received.UnixNano()) })
 }
 
 // Read returns the traces of a folder, the latest limit of them (0: all), also while a broker writes there, with
@@ -374,13 +374,13 @@
 					if before := at[key]; before == nil {
 						at[key] = t
 						traces = append(traces, t)
-					} else if t.Verdict != record.Verdict(record.Open) { // its end outweighs what was seen of it while open
+					} else if t.Verdict != record.Verdict(record.VerdictOpen) { // its end outweighs what was seen of it while open
 						*before = *t
 					}
 				}
 			case KindNote:
-				var n record.Note
-				if n, err = record.DecodeNote(payload); err == nil {
+				var n record.LateOutcome
+				if n, err = record.DecodeLateOutcome(payload); err == nil {
 					if t := at[id{n.ID, n.Span}]; t != nil {
 						n.Apply(t)
 					}
@@ -403,7 +403,7 @@
 }
 
 // EncodeNote renders a note.
-func EncodeNote(n record.Note) ([]byte, error) {
+func EncodeNote(n record.LateOutcome) ([]byte, error) {
 	data, err := json.Marshal(n)
 	if err != nil {
 		return nil, fmt.Errorf("encoding a note: %w", err)
--- a/tracing/spool/spool_test.go
+++ b/tracing/spool/spool_test.go
@@ -36,8 +36,8 @@
 func sampleTrace(i int) *record.Trace {
 	return &record.Trace{
 		ID: record.TraceID{1, byte(i), byte(i >> 8)}, Span: record.SpanID{2, byte(i), byte(i >> 8)}, Query: fmt.Sprintf("q%d", i), Class: "screen",
-		Came: time.Unix(1_800_000_000+int64(i), 0).UTC(), Parts: 1, Taken: 1, Ended: 5, Probability: 1, Reasons: record.Late, Kept: record.Late,
-		Attempts: []record.Attempt{{ID: uint64(i), Node: "s-1", Opened: 2001, Gone: 3001, Ended: 4001}},
+		Received: time.Unix(1_800_000_000+int64(i), 0).UTC(), Parts: 1, Accepted: 1, Ended: 5, Probability: 1, Reasons: record.Late, KeepReason: record.Late,
+		Attempts: []record.Attempt{{ID: uint64(i), Node: "s-1", Opened: 2001, Sent: 3001, Ended: 4001}},
 	}
 }
 
@@ -235,7 +235,7 @@
 	dir, c := t.TempDir(), &clock{}
 	s := open(t, dir, c, io.Discard, nil)
 	left := sampleTrace(1)
-	left.Verdict, left.Ended = record.Verdict(record.Open), 0
+	left.Verdict, left.Ended = record.Verdict(record.VerdictOpen), 0
 	data, err := record.Encode(left)
 	if err != nil {
 		t.Fatal(err)
@@ -245,7 +245,7 @@
 		put(t, s, i)
 	}
 	s.Append(KindTrace, data)
-	note, err := EncodeNote(record.Note{ID: sampleTrace(30).ID, Span: sampleTrace(30).Span, Attempt: 30, At: 9, Outcome: record.Outcome(decide.OK)})
+	note, err := EncodeNote(record.LateOutcome{ID: sampleTrace(30).ID, Span: sampleTrace(30).Span, Attempt: 30, At: 9, Outcome: record.Outcome(decide.OK)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -367,8 +367,8 @@
 		t.Fatalf("a new table has %v, %d", left, bad)
 	}
 	one, two := sampleTrace(1), sampleTrace(2)
-	one.Parent, one.Retry, one.Sampled, one.Wanted, one.Budget = record.SpanID{9}, true, true, time.Second, 2*time.Second
-	one.Attempts[0].Outcome, one.Attempts[0].Ended = record.Out, 0
+	one.Parent, one.Retry, one.Sampled, one.Objective, one.Budget = record.SpanID{9}, true, true, time.Second, 2*time.Second
+	one.Attempts[0].Outcome, one.Attempts[0].Ended = record.OutcomePending, 0
 	slot, other := tab.Begin(one), tab.Begin(two)
 	tab.Attempt(slot, 0, &one.Attempts[0])
 	for i := range slotTries + 3 { // more than a slot holds
@@ -383,7 +383,7 @@
 	if tab.Begin(sampleTrace(7)) != -1 || tab.Full() != 1 {
 		t.Error("a full table took one more")
 	}
-	two.Verdict, two.Whole, two.Ended = record.Verdict(broker.Failed), true, 77
+	two.Verdict, two.Complete, two.Ended = record.Verdict(broker.Failed), true, 77
 	tab.End(other, two)
 
 	_, left, bad = openTable(t, dir, 4) // nothing was closed: as after a kill
@@ -392,15 +392,15 @@
 	}
 	got := left[0]
 	if got.Query != "q1" || got.ID != one.ID || got.Span != one.Span || got.Parent != one.Parent || !got.Retry || !got.Sampled ||
-		got.Wanted != time.Second || got.Budget != 2*time.Second || !got.Came.Equal(one.Came) || got.Verdict != record.Verdict(record.Open) ||
+		got.Objective != time.Second || got.Budget != 2*time.Second || !got.Received.Equal(one.Received) || got.Verdict != record.Verdict(record.VerdictOpen) ||
 		len(got.Attempts) != 1 {
 		t.Errorf("got %+v", got)
 	}
-	if a := got.Attempts[0]; a.ID != 1 || a.Node != "s-1" || a.Gone != 3001 || a.Opened != 2001 || a.Dialed.Set() || a.Outcome != record.Out || a.Span != record.AttemptSpan(one.Span, 1) {
+	if a := got.Attempts[0]; a.ID != 1 || a.Node != "s-1" || a.Sent != 3001 || a.Opened != 2001 || a.DialStarted.IsSet() || a.Outcome != record.OutcomePending || a.Span != record.AttemptSpan(one.Span, 1) {
 		t.Errorf("got %+v", a)
 	}
-	if got = left[1]; got.Verdict != record.Verdict(broker.Failed) || got.Ended != 77 || len(got.Attempts) != slotTries || got.Unseen != 3 {
-		t.Errorf("got %v, ended %d, %d attempts and %d unseen", got.Verdict, got.Ended, len(got.Attempts), got.Unseen)
+	if got = left[1]; got.Verdict != record.Verdict(broker.Failed) || got.Ended != 77 || len(got.Attempts) != slotTries || got.Unrecorded != 3 {
+		t.Errorf("got %v, ended %d, %d attempts and %d unseen", got.Verdict, got.Ended, len(got.Attempts), got.Unrecorded)
 	}
 }
 
@@ -441,10 +441,10 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		left, _ := readTable(b)
 		for _, tr := range left {
-			if err := tr.Check(); err != nil {
+			if err := tr.Validate(); err != nil {
 				t.Fatal(err)
 			}
-			tr.Interrupt()
+			tr.CompleteInterrupted()
 			if _, err := record.Encode(tr); err != nil && !errors.Is(err, io.EOF) {
 				t.Fatal(err)
 			}
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -101,8 +101,8 @@
 	sampler *sample.Sampler
 	table   *spool.Table // nil: none
 	late    map[broker.AttemptID]lateRef
-	lateQ   []broker.AttemptID // in the order of their time
-	notes   []record.Note      // to be written
+	lateQ   []broker.AttemptID   // in the order of their time
+	notes   []record.LateOutcome // to be written
 	recent  ring
 	unseen  int64 // queries that were not followed
 	noted   int64 // late outcomes
@@ -176,7 +176,7 @@
 	carried := 0
 	for _, tr := range left {
 		tr.Broker = t.opts.Broker
-		tr.Interrupt()
+		tr.CompleteInterrupted()
 		if t.write(tr) {
 			continue
 		}
@@ -285,7 +285,7 @@
 	for _, k := range kept {
 		l := t.held[k.Key]
 		delete(t.held, k.Key)
-		l.Reasons, l.Kept, l.Probability = k.Reasons, k.Reason, k.Probability
+		l.Reasons, l.KeepReason, l.Probability = k.Reasons, k.Reason, k.Probability
 		t.awaitLate(l, now)
 		t.recent.add(&l.Trace)
 		traces, slots = append(traces, &l.Trace), append(slots, l.slot)
@@ -344,7 +344,7 @@
 			continue
 		}
 		t.byTry.remove(a.ID)
-		if a.MayRun && !a.LateAt.Set() && len(t.lateQ) < maxLate {
+		if a.MayStillRun && !a.LateAt.IsSet() && len(t.lateQ) < maxLate {
 			t.late[id] = lateRef{l.ID, l.Span, l.came, now.Add(lateFor)}
 			t.lateQ = append(t.lateQ, id)
 		}
@@ -362,7 +362,7 @@
 		l = &live{Trace: record.Trace{Attempts: make([]record.Attempt, 0, len(q.Parts)+1)}}
 	}
 	l.came, l.slot, l.class = q.Came, -1, q.Class
-	l.ID, l.Parent, l.Sampled, l.State = q.Trace.ID, q.Trace.Parent, q.Trace.Sampled, q.Trace.State
+	l.ID, l.Parent, l.Sampled, l.TraceState = q.Trace.ID, q.Trace.Parent, q.Trace.Sampled, q.Trace.State
 	if l.ID == (record.TraceID{}) {
 		binary.LittleEndian.PutUint64(l.ID[:], t.rng.Uint64())
 		binary.LittleEndian.PutUint64(l.ID[8:], t.rng.Uint64()|1) // zero is no id
@@ -370,18 +370,18 @@
 	binary.LittleEndian.PutUint64(l.Span[:], t.rng.Uint64()|1)
 	l.Broker, l.Query, l.Retry, l.Parts, l.Budget = t.opts.Broker, q.Name, q.Retry, len(q.Parts), q.Budget
 	// The wall clock is read once, at the start: one that steps moves no trace.
-	l.Came = t.start.Add(q.Came.Sub(t.start)).Round(0)
-	l.Taken = record.After(at.Sub(q.Came))
-	l.Verdict = record.Verdict(record.Open)
+	l.Received = t.start.Add(q.Came.Sub(t.start)).Round(0)
+	l.Accepted = record.OffsetOf(at.Sub(q.Came))
+	l.Verdict = record.Verdict(record.VerdictOpen)
 	if q.Class >= 0 && q.Class < len(t.opts.Classes) {
 		c := &t.opts.Classes[q.Class]
-		l.Class, l.Wanted = c.Name, c.Wanted
+		l.Class, l.Objective = c.Name, c.Wanted
 		if c.Stretch > 0 {
 			work := 0.0
 			for i := range q.Parts {
 				work += q.Parts[i].WorkMs
 			}
-			l.Wanted = min(l.Wanted+time.Duration(c.Stretch*work*float64(time.Millisecond)), c.Most)
+			l.Objective = min(l.Objective+time.Duration(c.Stretch*work*float64(time.Millisecond)), c.Most)
 		}
 	}
 	return l
@@ -419,8 +419,8 @@
 		return
 	}
 	l.Attempts = append(l.Attempts, record.Attempt{
-		ID: uint64(o.ID), Span: record.AttemptSpan(l.Span, uint64(o.ID)), Shard: o.Shard, N: o.N, Node: o.Node, Cell: o.Cell,
-		Why: record.Why(o.Why), Doubt: o.Doubt, Opened: record.After(o.At.Sub(l.came)), Outcome: record.Out,
+		ID: uint64(o.ID), Span: record.AttemptSpan(l.Span, uint64(o.ID)), Shard: o.Shard, Number: o.N, Node: o.Node, Cell: o.Cell,
+		Reason: record.AttemptReason(o.Why), Suspected: o.Doubt, Opened: record.OffsetOf(o.At.Sub(l.came)), Outcome: record.OutcomePending,
 	})
 	i := len(l.Attempts) - 1
 	t.byTry.put(uint64(o.ID), tryRef{l, i})
@@ -434,7 +434,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ref, ok := t.byTry.get(uint64(id)); ok {
-		ref.l.Attempts[ref.i].GaveUp = record.After(at.Sub(ref.l.came))
+		ref.l.Attempts[ref.i].Abandoned = record.OffsetOf(at.Sub(ref.l.came))
 	}
 }
 
@@ -448,9 +448,9 @@
 	}
 	a := &ref.l.Attempts[ref.i]
 	if !began.IsZero() {
-		a.Answer = record.After(began.Sub(ref.l.came))
+		a.FirstByte = record.OffsetOf(began.Sub(ref.l.came))
 	}
-	a.End(o, by != broker.ByNode, record.After(at.Sub(ref.l.came)))
+	a.End(o, by != broker.ByNode, record.OffsetOf(at.Sub(ref.l.came)))
 	if ref.l.slot >= 0 {
 		t.table.Ended(ref.l.slot, ref.i, a)
 	}
@@ -465,8 +465,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.byTry.each(func(ref tryRef) {
-		if a := &ref.l.Attempts[ref.i]; a.Node == node && !a.Ended.Set() {
-			a.Doubt = true
+		if a := &ref.l.Attempts[ref.i]; a.Node == node && !a.Ended.IsSet() {
+			a.Suspected = true
 		}
 	})
 }
@@ -484,23 +484,23 @@
 // end ends a query and its attempts and asks the sampler; t.mu is held.
 func (t *Tracer) end(l *live, r *broker.Reply, at time.Time) {
 	l.ended = true
-	l.Ended = record.After(at.Sub(l.came))
-	l.Verdict, l.Whole, l.RetryAfter = record.Verdict(r.Verdict), r.Whole, r.RetryAfter
+	l.Ended = record.OffsetOf(at.Sub(l.came))
+	l.Verdict, l.Complete, l.RetryAfter = record.Verdict(r.Verdict), r.Whole, r.RetryAfter
 	for i := range l.Attempts {
-		if a := &l.Attempts[i]; !a.Ended.Set() {
+		if a := &l.Attempts[i]; !a.Ended.IsSet() {
 			// It never answered: the core has given it up, and it may still run.
 			a.End(decide.Cancelled, true, l.Ended)
 		}
 	}
-	l.Reasons = l.Judge()
+	l.Reasons = l.DeriveReasons()
 	t.lastKey++
 	key, node := t.lastKey, ""
 	if l.Reasons != 0 {
-		node = l.Culprit()
+		node = l.WorstNode()
 	}
 	hold, drop := t.sampler.Offer(sample.Item{
 		Key: key, At: at.Sub(t.start), Class: l.class, Node: node, Took: l.Ended.Duration(),
-		Served: r.Verdict == broker.Served, Reasons: l.Reasons, Asked: l.Sampled, Size: l.Size(),
+		Served: r.Verdict == broker.Served, Reasons: l.Reasons, Asked: l.Sampled, Size: l.MemoryBytes(),
 	})
 	for _, k := range drop {
 		if other := t.held[k]; other != nil {
@@ -541,15 +541,15 @@
 	if !ok || ref.l.ended {
 		return
 	}
-	a, when := &ref.l.Attempts[ref.i], record.After(at.Sub(ref.l.came))
+	a, when := &ref.l.Attempts[ref.i], record.OffsetOf(at.Sub(ref.l.came))
 	a.Addr = addr
 	switch phase {
 	case broker.WireDialing:
-		a.Dialed = when
+		a.DialStarted = when
 	case broker.WireUp:
-		a.Up = when
+		a.Connected = when
 	case broker.WireGone:
-		a.Gone = when
+		a.Sent = when
 		if ref.l.slot >= 0 {
 			t.table.Gone(ref.l.slot, ref.i, when)
 		}
@@ -566,13 +566,13 @@
 	defer t.mu.Unlock()
 	if ref, ok := t.byTry.get(uint64(id)); ok {
 		a, outcome := &ref.l.Attempts[ref.i], record.Outcome(o)
-		a.LateAt, a.LateOutcome = record.After(at.Sub(ref.l.came)), &outcome
+		a.LateAt, a.LateOutcome = record.OffsetOf(at.Sub(ref.l.came)), &outcome
 		t.noted++
 		return
 	}
 	if ref, ok := t.late[id]; ok {
 		delete(t.late, id) // lateQ forgets it in time
-		n := record.Note{ID: ref.id, Span: ref.span, Attempt: uint64(id), At: record.After(at.Sub(ref.came)), Outcome: record.Outcome(o)}
+		n := record.LateOutcome{ID: ref.id, Span: ref.span, Attempt: uint64(id), At: record.OffsetOf(at.Sub(ref.came)), Outcome: record.Outcome(o)}
 		t.recent.note(n)
 		t.noted++
 		if t.spool != nil && len(t.notes) < maxLate {
@@ -590,5 +590,5 @@
 	if !ok {
 		return "", ""
 	}
-	return tracecontext.Format(ref.l.ID, ref.l.Attempts[ref.i].Span, ref.l.Sampled), ref.l.State
+	return tracecontext.Format(ref.l.ID, ref.l.Attempts[ref.i].Span, ref.l.Sampled), ref.l.TraceState
 }
--- a/tracing/tracer_test.go
+++ b/tracing/tracer_test.go
@@ -89,11 +89,11 @@
 		}
 		for i, o := range []decide.Outcome{decide.OK, decide.Failed} {
 			a, b := traces[i].Attempts[0], traces[i].Attempts[1]
-			if a.Outcome != record.Outcome(decide.Cancelled) || !a.MayRun || !a.Ours || !a.GaveUp.Set() || a.Addr == "" ||
+			if a.Outcome != record.Outcome(decide.Cancelled) || !a.MayStillRun || !a.EndedByBroker || !a.Abandoned.IsSet() || a.Addr == "" ||
 				a.LateOutcome == nil || *a.LateOutcome != record.Outcome(o) || a.LateAt.Duration() != time.Duration(1600+100*i)*time.Millisecond {
 				t.Errorf("query %d: %+v", i+1, a)
 			}
-			if b.MayRun || b.Ended.Duration() != 1500*time.Millisecond { // its bytes never left
+			if b.MayStillRun || b.Ended.Duration() != 1500*time.Millisecond { // its bytes never left
 				t.Errorf("query %d: %+v", i+1, b)
 			}
 		}
@@ -165,8 +165,8 @@
 		t.Fatalf("%d traces", len(traces))
 	}
 	for i, x := range traces {
-		if want := tr.start.Add(now.Sub(tr.start) + time.Duration(i+1)*time.Millisecond); x.Came.UnixNano() != want.UnixNano() || x.Took() != time.Microsecond {
-			t.Errorf("came %v, want %v; took %v", x.Came, want, x.Took())
+		if want := tr.start.Add(now.Sub(tr.start) + time.Duration(i+1)*time.Millisecond); x.Received.UnixNano() != want.UnixNano() || x.Elapsed() != time.Microsecond {
+			t.Errorf("came %v, want %v; took %v", x.Received, want, x.Elapsed())
 		}
 	}
 	tr.Close(context.Background())
@@ -333,11 +333,11 @@
 		if len(got) != 2 || got["open"] == nil || got["over"] == nil {
 			t.Fatalf("got %v", got)
 		}
-		if x := got["open"]; x.Reasons != record.Interrupted || len(x.Attempts) != 2 || !x.Attempts[0].MayRun || x.Attempts[1].MayRun ||
-			x.Attempts[0].Outcome != record.Out || x.Attempts[0].Node != "a" {
+		if x := got["open"]; x.Reasons != record.Interrupted || len(x.Attempts) != 2 || !x.Attempts[0].MayStillRun || x.Attempts[1].MayStillRun ||
+			x.Attempts[0].Outcome != record.OutcomePending || x.Attempts[0].Node != "a" {
 			t.Errorf("got %+v", x)
 		}
-		if x := got["over"]; x.Reasons != record.Expired || x.Took() != time.Second {
+		if x := got["over"]; x.Reasons != record.Expired || x.Elapsed() != time.Second {
 			t.Errorf("got %+v", x)
 		}
 	}
@@ -366,7 +366,7 @@
 		t.Errorf("got %q, %q, want %q", parent, state, want)
 	}
 	tr.Final(1, &broker.Reply{Whole: true}, tr.start)
-	if x := kept(t, tr, record.Filter{}); len(x) != 1 || x[0].Parent != (record.SpanID{1}) || x[0].Kept != record.Asked {
+	if x := kept(t, tr, record.Filter{}); len(x) != 1 || x[0].Parent != (record.SpanID{1}) || x[0].KeepReason != record.Requested {
 		t.Errorf("got %+v", x)
 	}
 	tr.Close(context.Background())
--- a/tracing/view/view.go
+++ b/tracing/view/view.go
@@ -57,11 +57,11 @@
 // heaviest stretch of its critical path.
 func Line(t *record.Trace) []string {
 	end := t.Verdict.String()
-	if broker.Verdict(t.Verdict) == broker.Served && !t.Whole {
+	if broker.Verdict(t.Verdict) == broker.Served && !t.Complete {
 		end += " in part"
 	}
 	return []string{
-		t.Came.UTC().Format("15:04:05.000"), t.ID.String()[:16], safe(t.Class), safe(t.Query), end, ms(t.Took()), ms(t.Wanted),
+		t.Received.UTC().Format("15:04:05.000"), t.ID.String()[:16], safe(t.Class), safe(t.Query), end, ms(t.Elapsed()), ms(t.Objective),
 		t.Reasons.String(), heaviest(t),
 	}
 }
@@ -80,7 +80,7 @@
 	text := fmt.Sprintf("%s %s", most.Phase, ms(most.Took()))
 	if most.Attempt >= 0 {
 		a := &t.Attempts[most.Attempt]
-		text += fmt.Sprintf(" (%s, %s)", safe(a.Node), a.Why)
+		text += fmt.Sprintf(" (%s, %s)", safe(a.Node), a.Reason)
 	}
 	return text
 }
@@ -102,13 +102,13 @@
 		on[s.Attempt] = true
 	}
 	whole := ""
-	if broker.Verdict(t.Verdict) == broker.Served && !t.Whole {
+	if broker.Verdict(t.Verdict) == broker.Served && !t.Complete {
 		whole = " in part"
 	}
 	fmt.Fprintf(w, "trace %s, query %s of class %s, broker %s\n", t.ID, safe(t.Query), safe(t.Class), safe(t.Broker))
 	fmt.Fprintf(w, "came %s, %d parts, %s%s after %s; wanted within %s, given up at %s\n",
-		t.Came.UTC().Format(time.RFC3339Nano), t.Parts, t.Verdict, whole, ms(t.Took()), ms(t.Wanted), ms(t.Budget))
-	fmt.Fprintf(w, "reasons %s; kept as %s, with probability %.3g\n", t.Reasons, t.Kept, t.Probability)
+		t.Received.UTC().Format(time.RFC3339Nano), t.Parts, t.Verdict, whole, ms(t.Elapsed()), ms(t.Objective), ms(t.Budget))
+	fmt.Fprintf(w, "reasons %s; kept as %s, with probability %.3g\n", t.Reasons, t.KeepReason, t.Probability)
 	if t.Parent != (record.SpanID{}) {
 		fmt.Fprintf(w, "called from span %s\n", t.Parent)
 	}
@@ -118,7 +118,7 @@
 	if len(t.Attempts) == 0 {
 		fmt.Fprintln(w, "no attempt was made")
 	} else {
-		rows := [][]string{{"", "PART", "N", "WHY", "NODE", "0 " + strings.Repeat(" ", barWidth-2-len(ms(t.Took()))) + ms(t.Took()), "END"}}
+		rows := [][]string{{"", "PART", "N", "WHY", "NODE", "0 " + strings.Repeat(" ", barWidth-2-len(ms(t.Elapsed()))) + ms(t.Elapsed()), "END"}}
 		for i := range t.Attempts {
 			a := &t.Attempts[i]
 			mark := ""
@@ -126,7 +126,7 @@
 				mark = "*"
 			}
 			rows = append(rows, []string{
-				mark, fmt.Sprint(a.Shard), fmt.Sprint(a.N), a.Why.String(), fmt.Sprintf("%s (cell %d)", safe(a.Node), a.Cell), bar(t, a), outcome(t, a),
+				mark, fmt.Sprint(a.Shard), fmt.Sprint(a.Number), a.Reason.String(), fmt.Sprintf("%s (cell %d)", safe(a.Node), a.Cell), bar(t, a), outcome(t, a),
 			})
 		}
 		if err := table(w, rows); err != nil {
@@ -135,15 +135,15 @@
 		fmt.Fprintf(w, "%c in the broker or for a connection  %c until its last byte left  %c at the node  %c until the answer was whole  * on the critical path\n",
 			markCore, markBlocked, markNode, markRead)
 	}
-	if t.Unseen > 0 {
-		fmt.Fprintf(w, "%d more attempts were made, of which nothing is known\n", t.Unseen)
+	if t.Unrecorded > 0 {
+		fmt.Fprintf(w, "%d more attempts were made, of which nothing is known\n", t.Unrecorded)
 	}
 	rows := [][]string{{"CRITICAL PATH", "FROM", "TOOK", "ATTEMPT"}}
 	for _, s := range path.Segments {
 		what := "-"
 		if s.Attempt >= 0 {
 			a := &t.Attempts[s.Attempt]
-			what = fmt.Sprintf("part %d, %s at %s", a.Shard, a.Why, safe(a.Node))
+			what = fmt.Sprintf("part %d, %s at %s", a.Shard, a.Reason, safe(a.Node))
 			if a.Addr != "" {
 				what += " (" + safe(a.Addr) + ")"
 			}
@@ -155,11 +155,11 @@
 
 // bar draws an attempt against its query's time.
 func bar(t *record.Trace, a *record.Attempt) string {
-	all := max(t.Took(), 1)
+	all := max(t.Elapsed(), 1)
 	column := func(o record.Offset) int { return int(int64(o.Duration()) * barWidth / int64(all)) }
 	end := a.Ended
-	if !end.Set() {
-		end = record.After(all)
+	if !end.IsSet() {
+		end = record.OffsetOf(all)
 	}
 	b := []rune(strings.Repeat(" ", barWidth))
 	at := min(column(a.Opened), barWidth-1)
@@ -169,18 +169,18 @@
 		}
 	}
 	last := markCore
-	if a.Up.Set() || !a.Dialed.Set() {
-		if a.Up.Set() {
-			fill(a.Up, markCore)
+	if a.Connected.IsSet() || !a.DialStarted.IsSet() {
+		if a.Connected.IsSet() {
+			fill(a.Connected, markCore)
 		}
 		last = markBlocked
 	}
-	if a.Gone.Set() {
-		fill(a.Gone, markBlocked)
+	if a.Sent.IsSet() {
+		fill(a.Sent, markBlocked)
 		last = markNode
 	}
-	if a.Answer.Set() {
-		fill(a.Answer, markNode)
+	if a.FirstByte.IsSet() {
+		fill(a.FirstByte, markNode)
 		last = markRead
 	}
 	from := at
@@ -193,19 +193,19 @@
 
 func outcome(t *record.Trace, a *record.Attempt) string {
 	text := a.Outcome.String()
-	if a.Ours && a.Ended.Set() {
+	if a.EndedByBroker && a.Ended.IsSet() {
 		text += " by the broker"
 	}
-	if a.MayRun {
+	if a.MayStillRun {
 		text += ", may still run"
 	}
-	if a.Doubt {
+	if a.Suspected {
 		text += ", in doubt"
 	}
 	if w := t.Winner(a.Shard); w != nil && w != a {
-		text += fmt.Sprintf(", attempt %d won", w.N)
+		text += fmt.Sprintf(", attempt %d won", w.Number)
 	}
-	if a.LateAt.Set() && a.LateOutcome != nil {
+	if a.LateAt.IsSet() && a.LateOutcome != nil {
 		text += fmt.Sprintf(", %s after all at %s", a.LateOutcome, ms(a.LateAt.Duration()))
 	}
 	return text
@@ -220,7 +220,7 @@
 		fmt.Fprintln(w, "no good query was kept: all the time of the bad ones counts as lost")
 	}
 	reasons := [][]string{{"REASON", "KEPT"}}
-	for _, name := range record.AllReasons() {
+	for _, name := range record.ReasonNames() {
 		if n := t.Reasons[name]; n > 0 {
 			reasons = append(reasons, []string{name, fmt.Sprint(n)})
 		}
