--- a/cli/trace.go
+++ b/cli/trace.go
@@ -114,7 +114,7 @@
 	if !s.open {
 		return traces, nil
 	}
-	open, unreadable, err := spool.ReadOpen(s.dir)
+	open, unreadable, err := spool.ReadOpenQueries(s.dir)
 	if err != nil {
 		return nil, err
 	}
--- a/tracing/owed.go
+++ b/tracing/owed.go
@@ -9,7 +9,7 @@
 type spoolRecord struct {
 	kind    spool.Kind
 	payload []byte
-	cause   spool.Cause // why it is not written yet
+	cause   spool.DropCause // why it is not written yet
 }
 
 // owed holds the records that the spool's disk has not taken, the oldest first, within a
@@ -40,7 +40,9 @@
 }
 
 // passes says whether a record that was not written may be written later.
-func passes(cause spool.Cause) bool { return cause == spool.DropPaused || cause == spool.DropFailed }
+func passes(cause spool.DropCause) bool {
+	return cause == spool.DropPaused || cause == spool.DropFailed
+}
 
 // store writes records to the spool, behind those that a disk which failed still owes.
 func (t *Tracer) store(traces []*record.Trace, notes []record.LateOutcome) {
@@ -50,8 +52,8 @@
 		}
 	}
 	for _, n := range notes {
-		if data, err := spool.EncodeNote(n); err == nil {
-			t.owe(spoolRecord{kind: spool.KindNote, payload: data})
+		if data, err := spool.EncodeLateOutcome(n); err == nil {
+			t.owe(spoolRecord{kind: spool.KindLateOutcome, payload: data})
 		}
 	}
 	t.settle()
@@ -61,7 +63,7 @@
 func (t *Tracer) owe(r spoolRecord) {
 	r.cause = spool.DropPaused
 	for _, out := range t.owed.add(r) {
-		t.spool.GiveUp(out.cause)
+		t.spool.CountDropped(out.cause)
 	}
 }
 
@@ -69,7 +71,7 @@
 func (t *Tracer) settle() {
 	for len(t.owed.records) > 0 {
 		oldest := &t.owed.records[0]
-		cause := t.spool.Offer(oldest.kind, oldest.payload)
+		cause := t.spool.TryAppend(oldest.kind, oldest.payload)
 		if passes(cause) {
 			if cause == spool.DropFailed || oldest.cause != spool.DropFailed {
 				oldest.cause = cause
@@ -78,7 +80,7 @@
 		}
 		t.owed.take()
 		if cause != spool.DropNone {
-			t.spool.GiveUp(cause)
+			t.spool.CountDropped(cause)
 		}
 	}
 }
--- a/tracing/read.go
+++ b/tracing/read.go
@@ -141,7 +141,7 @@
 		c.Bytes += l.MemoryBytes()
 	}
 	if t.table != nil {
-		c.NoSlot = t.table.Full()
+		c.NoSlot = t.table.Overflows()
 	}
 	if t.spool != nil {
 		s := t.spooled
--- a/tracing/spool/frame.go
+++ b/tracing/spool/frame.go
@@ -6,101 +6,104 @@
 	"hash/crc32"
 )
 
-// A segment is a header, the magic and the segment's number, then records:
-// length of the payload (four bytes), kind (one), CRC-32C of kind and payload
-// (four), payload. Numbers are little-endian.
+// A segment file consists of a header (the magic and the sequence number of the
+// segment, 8 bytes each) and records. A record consists of the payload length
+// (4 bytes), the kind (1 byte), the CRC-32C of kind and payload (4 bytes) and the
+// payload. Integers are little-endian. Sizes are in bytes.
 const (
-	magic      = "gchtrc1\n"
-	headSize   = len(magic) + 8
-	frameSize  = 4 + 1 + 4
-	maxPayload = 4 << 20
+	segmentMagic      = "gchtrc1\n"
+	segmentHeaderSize = len(segmentMagic) + 8
+	recordHeaderSize  = 4 + 1 + 4
+	maxPayloadBytes   = 4 << 20
 )
 
-// Kind is what a record holds.
+// Kind is the type of a record's payload.
 type Kind byte
 
 // The kinds of record.
 const (
-	KindTrace Kind = 1 + iota // record.Encode's
-	KindNote                  // a record.Note as JSON
+	KindTrace       Kind = 1 + iota // the output of record.Encode
+	KindLateOutcome                 // the output of EncodeLateOutcome
 )
 
-// State is how a segment ends.
-type State uint8
+// SegmentState tells whether a segment can be read to its end.
+type SegmentState uint8
 
 // The states of a segment.
 const (
-	Whole   State = iota
-	Torn          // its last record was cut off in the writing
-	Damaged       // bytes that are no record, and more behind them
+	Intact  SegmentState = iota // every record is valid
+	Torn                        // the last record is incomplete, as after an interrupted write
+	Corrupt                     // an invalid record is followed by further data
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func checksum(k Kind, payload []byte) uint32 {
-	return crc32.Update(crc32.Checksum([]byte{byte(k)}, table), table, payload)
+func checksum(kind Kind, payload []byte) uint32 {
+	return crc32.Update(crc32.Checksum([]byte{byte(kind)}, castagnoli), castagnoli, payload)
 }
 
-func appendHead(dst []byte, seq uint64) []byte {
-	return binary.LittleEndian.AppendUint64(append(dst, magic...), seq)
+func appendSegmentHeader(dst []byte, seq uint64) []byte {
+	return binary.LittleEndian.AppendUint64(append(dst, segmentMagic...), seq)
 }
 
-func appendFrame(dst []byte, k Kind, payload []byte) []byte {
+func appendRecord(dst []byte, kind Kind, payload []byte) []byte {
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(payload)))
-	dst = append(dst, byte(k))
-	dst = binary.LittleEndian.AppendUint32(dst, checksum(k, payload))
+	dst = append(dst, byte(kind))
+	dst = binary.LittleEndian.AppendUint32(dst, checksum(kind, payload))
 	return append(dst, payload...)
 }
 
-// checkHead says whether a segment begins as it must.
-func checkHead(b []byte, seq uint64) error {
+// checkSegmentHeader returns an error unless data begins with the header of the
+// segment seq.
+func checkSegmentHeader(data []byte, seq uint64) error {
 	switch {
-	case len(b) < headSize:
-		return fmt.Errorf("header of %d bytes, want %d", len(b), headSize)
-	case string(b[:len(magic)]) != magic:
-		return fmt.Errorf("magic %q, want %q", b[:len(magic)], magic)
+	case len(data) < segmentHeaderSize:
+		return fmt.Errorf("header of %d bytes, want %d", len(data), segmentHeaderSize)
+	case string(data[:len(segmentMagic)]) != segmentMagic:
+		return fmt.Errorf("magic %q, want %q", data[:len(segmentMagic)], segmentMagic)
 	}
-	if n := binary.LittleEndian.Uint64(b[len(magic):]); n != seq {
+	if n := binary.LittleEndian.Uint64(data[len(segmentMagic):]); n != seq {
 		return fmt.Errorf("number %d, want %d", n, seq)
 	}
 	return nil
 }
 
-// scan calls f with each record of a segment's bytes, which begin with its
-// header, until a record is not whole. good is how many bytes are.
-func scan(b []byte, f func(Kind, []byte)) (good int, s State) {
-	at := headSize
-	for at < len(b) {
-		rest := b[at:]
-		if len(rest) < frameSize {
+// scanRecords calls visit with each record of a segment until it meets an invalid
+// one. data is the content of the segment, its header included. intactBytes is
+// the length of the valid prefix.
+func scanRecords(data []byte, visit func(Kind, []byte)) (intactBytes int, state SegmentState) {
+	at := segmentHeaderSize
+	for at < len(data) {
+		rest := data[at:]
+		if len(rest) < recordHeaderSize {
 			return at, Torn
 		}
 		size, kind := int(binary.LittleEndian.Uint32(rest)), Kind(rest[4])
-		if size > maxPayload || kind != KindTrace && kind != KindNote {
-			if zero(rest) { // room that a crash of the machine left unwritten
+		if size > maxPayloadBytes || kind != KindTrace && kind != KindLateOutcome {
+			if allZero(rest) { // space that was allocated but not written when the machine crashed
 				return at, Torn
 			}
-			return at, Damaged
+			return at, Corrupt
 		}
-		end := frameSize + size
+		end := recordHeaderSize + size
 		if end > len(rest) {
 			return at, Torn
 		}
-		payload := rest[frameSize:end]
+		payload := rest[recordHeaderSize:end]
 		if checksum(kind, payload) != binary.LittleEndian.Uint32(rest[5:]) {
 			if end == len(rest) {
 				return at, Torn
 			}
-			return at, Damaged
+			return at, Corrupt
 		}
-		f(kind, payload)
+		visit(kind, payload)
 		at += end
 	}
-	return at, Whole
+	return at, Intact
 }
 
-func zero(b []byte) bool {
-	for _, x := range b {
+func allZero(data []byte) bool {
+	for _, x := range data {
 		if x != 0 {
 			return false
 		}
--- a/tracing/spool/open.go
+++ b/tracing/spool/open.go
@@ -18,152 +18,159 @@
 	"onyxsail/tracing/record"
 )
 
-// The table of open queries is a file of slots, mapped into memory: a write is
-// a few stores, and what was stored is in the file also when the process is
-// killed right after. A slot holds the query and up to slotTries attempts; of
-// further ones the number alone.
+// The table of open queries is a memory-mapped file of fixed-size slots, one per
+// query. A write takes a few stores, and what was stored is in the file even if
+// the process is killed right afterwards. A slot holds the query and up to
+// attemptsPerSlot attempts; further attempts are only counted. Sizes are in
+// bytes.
 const (
-	openName  = "open.tab"
-	openMagic = "gchopen1"
-	openHead  = 64 // magic, slots, size of a slot; the rest is zero
-	slotHead  = 192
-	trySize   = 64 // a cache line
-	slotTries = 61
-	slotSize  = slotHead + slotTries*trySize // a page
+	tableName       = "open.tab"
+	tableMagic      = "gchopen1"
+	tableHeaderSize = 64 // magic, number of slots, slot size; the rest is zero
+	slotHeaderSize  = 192
+	attemptSize     = 64 // a cache line
+	attemptsPerSlot = 61
+	slotSize        = slotHeaderSize + attemptsPerSlot*attemptSize // a page
 )
 
-// Invariants of a slot: its first word is slotFree unless all of its head is
-// written, and the count of attempts goes up only after the attempt's bytes
-// are there. A process dies between two stores, never in one of them.
+// The values of the first word of a slot. Invariants: the word is slotFree unless
+// the whole slot header is written, and the attempt count is increased only after
+// the attempt has been stored. A process that is killed stops between two stores,
+// never within one.
 const (
 	slotFree = 0
 	slotUsed = 0x7573656e
 )
 
-// Offsets in a slot's head.
+// Byte offsets in the slot header and maximum text lengths in bytes. Durations
+// are in nanoseconds.
 const (
-	hState   = 0
-	hTries   = 4 // uint32
-	hUnseen  = 8 // uint32
-	hParts   = 12
-	hTrace   = 16
-	hSpan    = 32
-	hParent  = 40
-	hCame    = 48 // Unix nanoseconds
-	hWanted  = 56
-	hBudget  = 64
-	hTaken   = 72
-	hEnded   = 80
-	hVerdict = 88
-	hFlags   = 89
-	hClass   = 90 // length, then up to maxClass bytes
-	hQuery   = 123
-	maxClass = 32
-	maxQuery = 68
+	offSlotState       = 0
+	offAttemptCount    = 4 // uint32
+	offUnrecordedCount = 8 // uint32
+	offParts           = 12
+	offTraceID         = 16
+	offSpan            = 32
+	offParent          = 40
+	offReceived        = 48 // Unix nanoseconds
+	offObjective       = 56
+	offBudget          = 64
+	offAccepted        = 72
+	offEnded           = 80
+	offVerdict         = 88
+	offFlags           = 89
+	offClass           = 90  // length byte, then up to maxClassBytes
+	offQuery           = 123 // length byte, then up to maxQueryBytes
+	maxClassBytes      = 32
+	maxQueryBytes      = 68
 )
 
-// Offsets in an attempt. Moments are microseconds after the query came, plus
-// one, and stop at an hour and eleven minutes.
+// Byte offsets in a stored attempt. Times are 32-bit, in microseconds after the
+// query's arrival plus one, and saturate after an hour and eleven minutes.
 const (
-	tID      = 0
-	tOpened  = 8 // uint32, as those behind it
-	tDialed  = 12
-	tUp      = 16
-	tGone    = 20
-	tEnded   = 24
-	tShard   = 28
-	tN       = 32 // uint16
-	tCell    = 34 // uint16
-	tWhy     = 36
-	tOutcome = 37
-	tFlags   = 38
-	tNode    = 39 // length, then up to maxNode bytes
-	maxNode  = trySize - tNode - 1
+	offAttemptID          = 0
+	offAttemptOpened      = 8 // uint32, like the following ones
+	offAttemptDialStarted = 12
+	offAttemptConnected   = 16
+	offAttemptSent        = 20
+	offAttemptEnded       = 24
+	offAttemptShard       = 28
+	offAttemptNumber      = 32 // uint16
+	offAttemptCell        = 34 // uint16
+	offAttemptReason      = 36
+	offAttemptOutcome     = 37
+	offAttemptFlags       = 38
+	offAttemptNode        = 39 // length byte, then up to maxNodeBytes
+	maxNodeBytes          = attemptSize - offAttemptNode - 1
 )
 
-// moment is an offset as an attempt stores it.
-func moment(o record.Offset) uint32 {
+// encodeOffset converts an offset to the form in which an attempt stores it.
+func encodeOffset(o record.Offset) uint32 {
 	if !o.IsSet() {
 		return 0
 	}
 	return uint32(min(o.Duration().Microseconds()+1, math.MaxUint32))
 }
 
-func offset(m uint32) record.Offset {
-	if m == 0 {
+func decodeOffset(stored uint32) record.Offset {
+	if stored == 0 {
 		return 0
 	}
-	return record.OffsetOf(time.Duration(m-1) * time.Microsecond)
+	return record.OffsetOf(time.Duration(stored-1) * time.Microsecond)
 }
 
+// Bits of the flags of a query.
 const (
 	flagRetry = 1 << iota
 	flagSampled
-	flagWhole
+	flagComplete
 )
 
+// Bits of the flags of an attempt.
 const (
-	flagDoubt = 1 << iota
-	flagOurs
-	flagMayRun
+	flagSuspected = 1 << iota
+	flagEndedByBroker
+	flagMayStillRun
 )
 
-// Table is the table of open queries. It is not safe for concurrent use.
-type Table struct {
-	file *os.File
-	b    []byte // nil: the table is not to be had, or was lost
-	free []int
-	full int64 // queries that found no slot
-	lost error
+// QueryTable is the table of open queries. It is not safe for concurrent use.
+type QueryTable struct {
+	file      *os.File
+	mapped    []byte // nil: the table is closed, or a write to it faulted
+	free      []int  // indexes of the free slots
+	overflows int64  // queries for which no slot was free
+	fault     error  // why the table can no longer be written
 }
 
-// OpenTable maps the table of a spool's folder, which this process must hold
-// by Open, with room for so many queries. What an earlier process left open is
-// returned; the file keeps it until Reset. unreadable counts slots that cannot
-// be made out.
-func OpenTable(dir string, slots int) (t *Table, left []*record.Trace, unreadable int, err error) {
-	path := filepath.Join(dir, openName)
+// OpenQueryTable creates and maps a table with the given number of slots in the
+// directory of a spool, which this process must have locked by Open. It returns
+// the queries that were open when an earlier process ended; the old file keeps
+// them until Commit. unreadable counts the slots that cannot be decoded.
+func OpenQueryTable(dir string, slots int) (table *QueryTable, recovered []*record.Trace, unreadable int, err error) {
+	path := filepath.Join(dir, tableName)
 	if old, err := os.ReadFile(path); err == nil {
-		left, unreadable = readTable(old)
+		recovered, unreadable = decodeTable(old)
 	} else if !errors.Is(err, os.ErrNotExist) {
 		unreadable++
 	}
-	// A file of its own, renamed into place by Reset: until what was left is
-	// safe elsewhere, a kill must find the old one whole.
-	f, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
+	// The new table is a separate file that Commit renames into place. Until the
+	// recovered queries are stored elsewhere, the old file must stay intact, in
+	// case this process is killed too.
+	file, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, left, unreadable, fmt.Errorf("making the table of open queries: %w", err)
+		return nil, recovered, unreadable, fmt.Errorf("creating the table of open queries: %w", err)
 	}
-	size := openHead + slots*slotSize
-	// All blocks now: a store into a hole of a full disk would be a fault.
-	if err := unix.Fallocate(int(f.Fd()), 0, 0, int64(size)); errors.Is(err, unix.EOPNOTSUPP) {
-		_, err = f.Write(make([]byte, size))
+	size := tableHeaderSize + slots*slotSize
+	// Allocate all blocks now: a store to an unallocated page of a sparse file
+	// raises SIGBUS if the disk is full.
+	if err := unix.Fallocate(int(file.Fd()), 0, 0, int64(size)); errors.Is(err, unix.EOPNOTSUPP) {
+		_, err = file.Write(make([]byte, size))
 		if err != nil {
-			_ = f.Close()
-			return nil, left, unreadable, fmt.Errorf("filling the table of open queries: %w", err)
+			_ = file.Close()
+			return nil, recovered, unreadable, fmt.Errorf("writing the initial table of open queries: %w", err)
 		}
 	} else if err != nil {
-		_ = f.Close()
-		return nil, left, unreadable, fmt.Errorf("reserving the table of open queries: %w", err)
+		_ = file.Close()
+		return nil, recovered, unreadable, fmt.Errorf("allocating disk space for the table of open queries: %w", err)
 	}
-	b, err := unix.Mmap(int(f.Fd()), 0, size, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
+	mapped, err := unix.Mmap(int(file.Fd()), 0, size, unix.PROT_READ|unix.PROT_WRITE, unix.MAP_SHARED)
 	if err != nil {
-		_ = f.Close()
-		return nil, left, unreadable, fmt.Errorf("mapping the table of open queries: %w", err)
+		_ = file.Close()
+		return nil, recovered, unreadable, fmt.Errorf("mapping the table of open queries: %w", err)
 	}
-	copy(b, openMagic)
-	binary.LittleEndian.PutUint32(b[8:], uint32(slots))
-	binary.LittleEndian.PutUint32(b[12:], slotSize)
-	t = &Table{file: f, b: b}
+	copy(mapped, tableMagic)
+	binary.LittleEndian.PutUint32(mapped[8:], uint32(slots))
+	binary.LittleEndian.PutUint32(mapped[12:], slotSize)
+	table = &QueryTable{file: file, mapped: mapped}
 	for i := slots - 1; i >= 0; i-- {
-		t.free = append(t.free, i)
+		table.free = append(table.free, i)
 	}
-	return t, left, unreadable, nil
+	return table, recovered, unreadable, nil
 }
 
-// Reset puts the new table in the place of the old one, whose queries are in a
-// segment by now.
-func (t *Table) Reset() error {
+// Commit replaces the old table file by the new one. The recovered queries must
+// have been stored in a segment or in the new table before.
+func (t *QueryTable) Commit() error {
 	path := t.file.Name()
 	if err := os.Rename(path, path[:len(path)-len(".new")]); err != nil {
 		return fmt.Errorf("replacing the table of open queries: %w", err)
@@ -171,165 +178,167 @@
 	return nil
 }
 
-// Lost says why the table can no longer be written, nil while it can.
-func (t *Table) Lost() error { return t.lost }
+// Fault returns why the table can no longer be written, nil while it can.
+func (t *QueryTable) Fault() error { return t.fault }
 
-// Full counts the queries that found no slot.
-func (t *Table) Full() int64 { return t.full }
+// Overflows returns the number of queries for which no slot was free.
+func (t *QueryTable) Overflows() int64 { return t.overflows }
 
-// guard turns a fault in a store, as when somebody cut the file short, into
-// the loss of the table: tracing degrades, serving does not.
-func (t *Table) guard() {
-	if r := recover(); r != nil {
-		err, ok := r.(error)
-		if _, fault := r.(interface{ Addr() uintptr }); !ok || !fault {
-			panic(r)
+// recoverFault, when deferred, handles a memory fault in a store, which occurs
+// for example after the file was truncated: the table is disabled, and the
+// process continues to serve queries.
+func (t *QueryTable) recoverFault() {
+	if cause := recover(); cause != nil {
+		err, ok := cause.(error)
+		if _, isFault := cause.(interface{ Addr() uintptr }); !ok || !isFault {
+			panic(cause)
 		}
-		t.lost = fmt.Errorf("writing the table of open queries: %w", err)
-		t.b = nil // stays mapped until the process ends
+		t.fault = fmt.Errorf("writing the table of open queries: %w", err)
+		t.mapped = nil // the mapping remains until the process ends
 	}
 }
 
-func (t *Table) slot(i int) []byte {
-	return t.b[openHead+i*slotSize : openHead+(i+1)*slotSize : openHead+(i+1)*slotSize]
+func (t *QueryTable) slotBytes(i int) []byte {
+	return t.mapped[tableHeaderSize+i*slotSize : tableHeaderSize+(i+1)*slotSize : tableHeaderSize+(i+1)*slotSize]
 }
 
-func store32(b []byte, at int, v uint32) {
-	atomic.StoreUint32((*uint32)(unsafe.Pointer(&b[at])), v) // slots and words are aligned
+func storeUint32(slot []byte, off int, value uint32) {
+	atomic.StoreUint32((*uint32)(unsafe.Pointer(&slot[off])), value) // slots and words are aligned
 }
 
-// Begin gives a query a slot; -1 where there is none. State, Addr, Answer and
-// RetryAfter are not kept, moments are whole microseconds, and long names are
-// cut.
-func (t *Table) Begin(tr *record.Trace) (slot int) {
-	if t.b == nil {
+// Add stores a query in a free slot and returns its index, -1 if none is free.
+// TraceState, Addr, FirstByte and RetryAfter are not stored, the times of attempts
+// are rounded down to microseconds, and long names are truncated.
+func (t *QueryTable) Add(tr *record.Trace) (slot int) {
+	if t.mapped == nil {
 		return -1
 	}
 	if len(t.free) == 0 {
-		t.full++
+		t.overflows++
 		return -1
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer t.guard()
+	defer t.recoverFault()
 	slot = t.free[len(t.free)-1]
-	b, le := t.slot(slot), binary.LittleEndian
-	store32(b, hState, slotFree)
-	store32(b, hTries, 0)
-	store32(b, hUnseen, 0)
-	le.PutUint32(b[hParts:], uint32(tr.Parts))
-	copy(b[hTrace:], tr.ID[:])
-	copy(b[hSpan:], tr.Span[:])
-	copy(b[hParent:], tr.Parent[:])
-	le.PutUint64(b[hCame:], uint64(tr.Received.UnixNano()))
-	le.PutUint64(b[hWanted:], uint64(tr.Objective))
-	le.PutUint64(b[hBudget:], uint64(tr.Budget))
-	le.PutUint64(b[hTaken:], uint64(tr.Accepted))
-	le.PutUint64(b[hEnded:], 0)
-	b[hVerdict] = byte(record.VerdictOpen)
-	b[hFlags] = bit(tr.Retry, flagRetry) | bit(tr.Sampled, flagSampled)
-	putText(b[hClass:hClass+1+maxClass], tr.Class)
-	putText(b[hQuery:hQuery+1+maxQuery], tr.Query)
-	store32(b, hState, slotUsed)
+	header, le := t.slotBytes(slot), binary.LittleEndian
+	storeUint32(header, offSlotState, slotFree)
+	storeUint32(header, offAttemptCount, 0)
+	storeUint32(header, offUnrecordedCount, 0)
+	le.PutUint32(header[offParts:], uint32(tr.Parts))
+	copy(header[offTraceID:], tr.ID[:])
+	copy(header[offSpan:], tr.Span[:])
+	copy(header[offParent:], tr.Parent[:])
+	le.PutUint64(header[offReceived:], uint64(tr.Received.UnixNano()))
+	le.PutUint64(header[offObjective:], uint64(tr.Objective))
+	le.PutUint64(header[offBudget:], uint64(tr.Budget))
+	le.PutUint64(header[offAccepted:], uint64(tr.Accepted))
+	le.PutUint64(header[offEnded:], 0)
+	header[offVerdict] = byte(record.VerdictOpen)
+	header[offFlags] = flagIf(tr.Retry, flagRetry) | flagIf(tr.Sampled, flagSampled)
+	putText(header[offClass:offClass+1+maxClassBytes], tr.Class)
+	putText(header[offQuery:offQuery+1+maxQueryBytes], tr.Query)
+	storeUint32(header, offSlotState, slotUsed)
 	t.free = t.free[:len(t.free)-1]
 	return slot
 }
 
-// Attempt writes the i-th attempt of a slot anew.
-func (t *Table) Attempt(slot, i int, a *record.Attempt) {
-	if slot < 0 || t.b == nil {
+// PutAttempt stores the i-th attempt of a slot, replacing what was stored of it.
+func (t *QueryTable) PutAttempt(slot, i int, a *record.Attempt) {
+	if slot < 0 || t.mapped == nil {
 		return
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer t.guard()
-	s := t.slot(slot)
-	if i >= slotTries {
-		store32(s, hUnseen, uint32(i+1-slotTries))
+	defer t.recoverFault()
+	slotData := t.slotBytes(slot)
+	if i >= attemptsPerSlot {
+		storeUint32(slotData, offUnrecordedCount, uint32(i+1-attemptsPerSlot))
 		return
 	}
-	b, le := s[slotHead+i*trySize:slotHead+(i+1)*trySize], binary.LittleEndian
-	le.PutUint64(b[tID:], a.ID)
-	le.PutUint32(b[tOpened:], moment(a.Opened))
-	le.PutUint32(b[tDialed:], moment(a.DialStarted))
-	le.PutUint32(b[tUp:], moment(a.Connected))
-	le.PutUint32(b[tGone:], moment(a.Sent))
-	le.PutUint32(b[tEnded:], moment(a.Ended))
-	le.PutUint32(b[tShard:], uint32(a.Shard))
-	le.PutUint16(b[tN:], uint16(min(a.Number, math.MaxUint16)))
-	le.PutUint16(b[tCell:], uint16(min(max(a.Cell, 0), math.MaxUint16)))
-	b[tWhy], b[tOutcome] = byte(a.Reason), byte(a.Outcome)
-	b[tFlags] = flags(a)
-	putText(b[tNode:], a.Node)
-	if n := uint32(i + 1); le.Uint32(s[hTries:]) < n {
-		store32(s, hTries, n)
+	data, le := slotData[slotHeaderSize+i*attemptSize:slotHeaderSize+(i+1)*attemptSize], binary.LittleEndian
+	le.PutUint64(data[offAttemptID:], a.ID)
+	le.PutUint32(data[offAttemptOpened:], encodeOffset(a.Opened))
+	le.PutUint32(data[offAttemptDialStarted:], encodeOffset(a.DialStarted))
+	le.PutUint32(data[offAttemptConnected:], encodeOffset(a.Connected))
+	le.PutUint32(data[offAttemptSent:], encodeOffset(a.Sent))
+	le.PutUint32(data[offAttemptEnded:], encodeOffset(a.Ended))
+	le.PutUint32(data[offAttemptShard:], uint32(a.Shard))
+	le.PutUint16(data[offAttemptNumber:], uint16(min(a.Number, math.MaxUint16)))
+	le.PutUint16(data[offAttemptCell:], uint16(min(max(a.Cell, 0), math.MaxUint16)))
+	data[offAttemptReason], data[offAttemptOutcome] = byte(a.Reason), byte(a.Outcome)
+	data[offAttemptFlags] = attemptFlags(a)
+	putText(data[offAttemptNode:], a.Node)
+	if n := uint32(i + 1); le.Uint32(slotData[offAttemptCount:]) < n {
+		storeUint32(slotData, offAttemptCount, n)
 	}
 }
 
-// Gone notes that the last byte of a slot's i-th attempt has left.
-func (t *Table) Gone(slot, i int, at record.Offset) {
-	if slot < 0 || t.b == nil || i >= slotTries {
+// PutSent stores when the last byte of the i-th attempt of a slot was sent.
+func (t *QueryTable) PutSent(slot, i int, at record.Offset) {
+	if slot < 0 || t.mapped == nil || i >= attemptsPerSlot {
 		return
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer t.guard()
-	binary.LittleEndian.PutUint32(t.slot(slot)[slotHead+i*trySize+tGone:], moment(at))
+	defer t.recoverFault()
+	binary.LittleEndian.PutUint32(t.slotBytes(slot)[slotHeaderSize+i*attemptSize+offAttemptSent:], encodeOffset(at))
 }
 
-// Ended notes the outcome of a slot's i-th attempt.
-func (t *Table) Ended(slot, i int, a *record.Attempt) {
-	if slot < 0 || t.b == nil || i >= slotTries {
+// PutOutcome stores the outcome of the i-th attempt of a slot.
+func (t *QueryTable) PutOutcome(slot, i int, a *record.Attempt) {
+	if slot < 0 || t.mapped == nil || i >= attemptsPerSlot {
 		return
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer t.guard()
-	b := t.slot(slot)[slotHead+i*trySize : slotHead+(i+1)*trySize]
-	b[tOutcome] = byte(a.Outcome)
-	b[tFlags] = flags(a)
-	binary.LittleEndian.PutUint32(b[tEnded:], moment(a.Ended))
+	defer t.recoverFault()
+	data := t.slotBytes(slot)[slotHeaderSize+i*attemptSize : slotHeaderSize+(i+1)*attemptSize]
+	data[offAttemptOutcome] = byte(a.Outcome)
+	data[offAttemptFlags] = attemptFlags(a)
+	binary.LittleEndian.PutUint32(data[offAttemptEnded:], encodeOffset(a.Ended))
 }
 
-// End notes a query's end: it is over, but not yet written or dropped.
-func (t *Table) End(slot int, tr *record.Trace) {
-	if slot < 0 || t.b == nil {
+// EndQuery stores that a query has ended. Its trace has not yet been written to a
+// segment or dropped.
+func (t *QueryTable) EndQuery(slot int, tr *record.Trace) {
+	if slot < 0 || t.mapped == nil {
 		return
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer t.guard()
-	b := t.slot(slot)
-	b[hVerdict] = byte(tr.Verdict)
-	b[hFlags] |= bit(tr.Complete, flagWhole)
-	binary.LittleEndian.PutUint64(b[hEnded:], uint64(tr.Ended))
+	defer t.recoverFault()
+	header := t.slotBytes(slot)
+	header[offVerdict] = byte(tr.Verdict)
+	header[offFlags] |= flagIf(tr.Complete, flagComplete)
+	binary.LittleEndian.PutUint64(header[offEnded:], uint64(tr.Ended))
 }
 
-// Carry keeps a trace that an earlier process left, for the next start to find
-// again. Its slot is never given back.
-func (t *Table) Carry(tr *record.Trace) {
-	slot := t.Begin(tr)
+// CarryOver stores a recovered trace again, so that the next process finds it.
+// Its slot is never freed.
+func (t *QueryTable) CarryOver(tr *record.Trace) {
+	slot := t.Add(tr)
 	for i := range tr.Attempts {
-		t.Attempt(slot, i, &tr.Attempts[i])
+		t.PutAttempt(slot, i, &tr.Attempts[i])
 	}
 	if tr.Ended.IsSet() {
-		t.End(slot, tr)
+		t.EndQuery(slot, tr)
 	}
 }
 
-// Free gives a slot back.
-func (t *Table) Free(slot int) {
-	if slot < 0 || t.b == nil {
+// Free marks a slot as free.
+func (t *QueryTable) Free(slot int) {
+	if slot < 0 || t.mapped == nil {
 		return
 	}
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
-	defer t.guard()
-	store32(t.slot(slot), hState, slotFree)
+	defer t.recoverFault()
+	storeUint32(t.slotBytes(slot), offSlotState, slotFree)
 	t.free = append(t.free, slot)
 }
 
-// Close unmaps the table; nothing may be written to it afterwards.
-func (t *Table) Close() error {
-	b := t.b
-	t.b = nil
+// Close unmaps the table, which must not be used afterwards.
+func (t *QueryTable) Close() error {
+	mapped := t.mapped
+	t.mapped = nil
 	var err error
-	if b != nil {
-		err = unix.Munmap(b)
+	if mapped != nil {
+		err = unix.Munmap(mapped)
 	}
 	if err = errors.Join(err, t.file.Close()); err != nil {
 		return fmt.Errorf("closing the table of open queries: %w", err)
@@ -337,97 +346,98 @@
 	return nil
 }
 
-func flags(a *record.Attempt) byte {
-	return bit(a.Suspected, flagDoubt) | bit(a.EndedByBroker, flagOurs) | bit(a.MayStillRun, flagMayRun)
+func attemptFlags(a *record.Attempt) byte {
+	return flagIf(a.Suspected, flagSuspected) | flagIf(a.EndedByBroker, flagEndedByBroker) | flagIf(a.MayStillRun, flagMayStillRun)
 }
 
-func bit(on bool, flag byte) byte {
-	if on {
+func flagIf(set bool, flag byte) byte {
+	if set {
 		return flag
 	}
 	return 0
 }
 
-// putText stores a length and as much of the text as there is room for.
-func putText(b []byte, text string) { b[0] = byte(copy(b[1:], text)) }
+// putText stores a length byte and as much of the text as fits.
+func putText(dst []byte, text string) { dst[0] = byte(copy(dst[1:], text)) }
 
-func getText(b []byte) (string, error) {
-	if int(b[0]) >= len(b) {
-		return "", fmt.Errorf("a text of %d bytes, want %d at most", b[0], len(b)-1)
+func getText(src []byte) (string, error) {
+	if int(src[0]) >= len(src) {
+		return "", fmt.Errorf("text of %d bytes, want at most %d", src[0], len(src)-1)
 	}
-	return string(b[1 : 1+b[0]]), nil
+	return string(src[1 : 1+src[0]]), nil
 }
 
-// ReadOpen returns the queries of a folder's table, as a live broker has them
-// open or a dead one left them.
-func ReadOpen(dir string) (open []*record.Trace, unreadable int, err error) {
-	b, err := os.ReadFile(filepath.Join(dir, openName))
+// ReadOpenQueries returns the queries in the table of a spool's directory: those
+// that a running broker has open, or that were open when it ended. unreadable
+// counts the slots that cannot be decoded.
+func ReadOpenQueries(dir string) (open []*record.Trace, unreadable int, err error) {
+	data, err := os.ReadFile(filepath.Join(dir, tableName))
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, fmt.Errorf("reading the table of open queries: %w", err)
 	}
-	open, unreadable = readTable(b)
+	open, unreadable = decodeTable(data)
 	return open, unreadable, nil
 }
 
-// readTable makes out what it can of a table's bytes.
-func readTable(b []byte) (left []*record.Trace, unreadable int) {
-	if len(b) < openHead || string(b[:8]) != openMagic || binary.LittleEndian.Uint32(b[12:]) != slotSize {
-		if len(b) > 0 {
+// decodeTable decodes every readable slot of a table and counts the others.
+func decodeTable(data []byte) (queries []*record.Trace, unreadable int) {
+	if len(data) < tableHeaderSize || string(data[:8]) != tableMagic || binary.LittleEndian.Uint32(data[12:]) != slotSize {
+		if len(data) > 0 {
 			unreadable++
 		}
 		return nil, unreadable
 	}
-	slots := int(binary.LittleEndian.Uint32(b[8:]))
+	slots := int(binary.LittleEndian.Uint32(data[8:]))
 	for i := range slots {
-		from := openHead + i*slotSize
-		if from+slotSize > len(b) {
-			return left, unreadable + 1
+		start := tableHeaderSize + i*slotSize
+		if start+slotSize > len(data) {
+			return queries, unreadable + 1
 		}
-		tr, err := readSlot(b[from : from+slotSize])
+		tr, err := decodeSlot(data[start : start+slotSize])
 		switch {
 		case err != nil:
 			unreadable++
 		case tr != nil:
-			left = append(left, tr)
+			queries = append(queries, tr)
 		}
 	}
-	return left, unreadable
+	return queries, unreadable
 }
 
-func readSlot(b []byte) (*record.Trace, error) {
+func decodeSlot(data []byte) (*record.Trace, error) {
 	le := binary.LittleEndian
-	switch le.Uint32(b[hState:]) {
+	switch le.Uint32(data[offSlotState:]) {
 	case slotFree:
 		return nil, nil
 	case slotUsed:
 	default:
-		return nil, fmt.Errorf("state %x", le.Uint32(b[hState:]))
+		return nil, fmt.Errorf("invalid slot state %x", le.Uint32(data[offSlotState:]))
 	}
 	t := &record.Trace{
-		Parts: int(le.Uint32(b[hParts:])), Received: time.Unix(0, int64(le.Uint64(b[hCame:]))),
-		Objective: time.Duration(le.Uint64(b[hWanted:])), Budget: time.Duration(le.Uint64(b[hBudget:])),
-		Accepted: record.Offset(le.Uint64(b[hTaken:])), Ended: record.Offset(le.Uint64(b[hEnded:])),
-		Verdict: record.Verdict(b[hVerdict]), Unrecorded: int(le.Uint32(b[hUnseen:])), Probability: 1,
-		Retry: b[hFlags]&flagRetry != 0, Sampled: b[hFlags]&flagSampled != 0, Complete: b[hFlags]&flagWhole != 0,
-	}
-	copy(t.ID[:], b[hTrace:])
-	copy(t.Span[:], b[hSpan:])
-	copy(t.Parent[:], b[hParent:])
+		Parts: int(le.Uint32(data[offParts:])), Received: time.Unix(0, int64(le.Uint64(data[offReceived:]))),
+		Objective: time.Duration(le.Uint64(data[offObjective:])), Budget: time.Duration(le.Uint64(data[offBudget:])),
+		Accepted: record.Offset(le.Uint64(data[offAccepted:])), Ended: record.Offset(le.Uint64(data[offEnded:])),
+		Verdict: record.Verdict(data[offVerdict]), Unrecorded: int(le.Uint32(data[offUnrecordedCount:])), Probability: 1,
+		Retry: data[offFlags]&flagRetry != 0, Sampled: data[offFlags]&flagSampled != 0, Complete: data[offFlags]&flagComplete != 0,
+	}
+	copy(t.ID[:], data[offTraceID:])
+	copy(t.Span[:], data[offSpan:])
+	copy(t.Parent[:], data[offParent:])
 	var err1, err2 error
-	t.Class, err1 = getText(b[hClass : hClass+1+maxClass])
-	t.Query, err2 = getText(b[hQuery : hQuery+1+maxQuery])
-	tries := int(le.Uint32(b[hTries:]))
+	t.Class, err1 = getText(data[offClass : offClass+1+maxClassBytes])
+	t.Query, err2 = getText(data[offQuery : offQuery+1+maxQueryBytes])
+	attempts := int(le.Uint32(data[offAttemptCount:]))
 	if err := errors.Join(err1, err2); err != nil {
 		return nil, err
 	}
-	if tries > slotTries || broker.Verdict(t.Verdict) > record.VerdictOpen {
-		return nil, fmt.Errorf("%d attempts, verdict %d", tries, t.Verdict)
+	if attempts > attemptsPerSlot || broker.Verdict(t.Verdict) > record.VerdictOpen {
+		return nil, fmt.Errorf("invalid slot: %d attempts, verdict %d", attempts, t.Verdict)
 	}
-	for i := range tries {
-		a, err := readTry(b[slotHead+i*trySize : slotHead+(i+1)*trySize])
+	for i := range attempts {
+		a, err := decodeAttempt(data[slotHeaderSize+i*attemptSize : slotHeaderSize+(i+1)*attemptSize])
 		if err != nil {
 			return nil, fmt.Errorf("attempt %d: %w", i, err)
 		}
@@ -437,19 +447,19 @@
 	return t, t.Validate()
 }
 
-func readTry(b []byte) (record.Attempt, error) {
+func decodeAttempt(data []byte) (record.Attempt, error) {
 	le := binary.LittleEndian
 	a := record.Attempt{
-		ID: le.Uint64(b[tID:]), Shard: int(le.Uint32(b[tShard:])), Number: int(le.Uint16(b[tN:])), Reason: record.AttemptReason(b[tWhy]),
-		Outcome: record.Outcome(b[tOutcome]), Cell: int(le.Uint16(b[tCell:])),
-		Opened: offset(le.Uint32(b[tOpened:])), DialStarted: offset(le.Uint32(b[tDialed:])), Connected: offset(le.Uint32(b[tUp:])),
-		Sent: offset(le.Uint32(b[tGone:])), Ended: offset(le.Uint32(b[tEnded:])),
-		Suspected: b[tFlags]&flagDoubt != 0, EndedByBroker: b[tFlags]&flagOurs != 0, MayStillRun: b[tFlags]&flagMayRun != 0,
+		ID: le.Uint64(data[offAttemptID:]), Shard: int(le.Uint32(data[offAttemptShard:])), Number: int(le.Uint16(data[offAttemptNumber:])), Reason: record.AttemptReason(data[offAttemptReason]),
+		Outcome: record.Outcome(data[offAttemptOutcome]), Cell: int(le.Uint16(data[offAttemptCell:])),
+		Opened: decodeOffset(le.Uint32(data[offAttemptOpened:])), DialStarted: decodeOffset(le.Uint32(data[offAttemptDialStarted:])), Connected: decodeOffset(le.Uint32(data[offAttemptConnected:])),
+		Sent: decodeOffset(le.Uint32(data[offAttemptSent:])), Ended: decodeOffset(le.Uint32(data[offAttemptEnded:])),
+		Suspected: data[offAttemptFlags]&flagSuspected != 0, EndedByBroker: data[offAttemptFlags]&flagEndedByBroker != 0, MayStillRun: data[offAttemptFlags]&flagMayStillRun != 0,
 	}
 	if a.Outcome > record.OutcomePending || a.Reason > record.AttemptReason(broker.Trial) {
-		return a, fmt.Errorf("outcome %d, reason %d", a.Outcome, a.Reason)
+		return a, fmt.Errorf("invalid attempt: outcome %d, reason %d", a.Outcome, a.Reason)
 	}
 	var err error
-	a.Node, err = getText(b[tNode:])
+	a.Node, err = getText(data[offAttemptNode:])
 	return a, err
 }
--- a/tracing/spool/plan.go
+++ b/tracing/spool/plan.go
@@ -1,135 +1,140 @@
-// Package spool keeps traces on disk: segment files of bounded size and number,
-// and a table of the queries that are open, mapped into memory so that it
-// outlives a process that is killed.
+// Package spool stores traces on disk: in segment files, which are bounded in
+// size and number, and in a memory-mapped table of the open queries, which
+// survives a process that is killed.
 package spool
 
 import "time"
 
-// Limits bound a spool.
+// Limits are the bounds of a spool.
 type Limits struct {
-	Segment int64         // bytes of one segment; a new one begins beyond
-	Total   int64         // bytes of all segments
-	Back    time.Duration // first pause after a failure; doubled at each further one
-	Most    time.Duration // longest pause
+	SegmentBytes int64         // maximum size of a segment; a larger one is rotated
+	TotalBytes   int64         // maximum size of all segments together
+	MinBackoff   time.Duration // backoff after the first failed write, doubled after each further one
+	MaxBackoff   time.Duration // upper bound of the backoff
 }
 
-// Cause says why a record was not written.
-type Cause string
+// DropCause says why a record was not written.
+type DropCause string
 
-// The causes.
+// The causes of a dropped record.
 const (
-	DropNone    Cause = ""
-	DropPaused  Cause = "paused" // after a failure, until the pause is over
-	DropFailed  Cause = "failed" // the write itself failed
-	DropTooLong Cause = "too-long"
-	DropClosed  Cause = "closed"
+	DropNone    DropCause = ""         // written
+	DropPaused  DropCause = "paused"   // within the backoff after a failed write
+	DropFailed  DropCause = "failed"   // the write failed
+	DropTooLong DropCause = "too-long" // larger than a segment may be
+	DropClosed  DropCause = "closed"   // the spool is closed
 )
 
-// Step is what Plan asks for before a record is written.
+// Step is what SegmentPlanner requires before a record is written.
 type Step struct {
-	Drop   Cause    // not DropNone: write nothing
-	Remove []uint64 // segments to be removed first, the oldest first
-	Open   uint64   // the segment to begin; 0: go on in the present one
+	Drop   DropCause // if not DropNone, the record must not be written
+	Remove []uint64  // segments to delete first, in ascending order
+	Open   uint64    // the segment to start; 0: append to the current one
 }
 
-// Segment is one segment file by its number and size.
+// Segment is a segment file: its sequence number and its size in bytes.
 type Segment struct {
 	Seq  uint64
 	Size int64
 }
 
-// Plan decides when segments begin and end, which of them go, and how the
-// spool lives through a disk that fails. It does no I/O and reads no clock.
-type Plan struct {
-	limits Limits
-	old    []Segment // ended ones, the oldest first
-	now    Segment   // the present one; Seq 0: none
-	next   uint64
-	pause  time.Duration
-	until  time.Duration // nothing is written before
-	freed  bool          // segments were given up for a full disk since the last write
+// SegmentPlanner decides when segments are rotated, which of them are evicted and
+// how long writes are suspended after a failed write. It does no I/O and reads
+// no clock.
+type SegmentPlanner struct {
+	limits      Limits
+	closed      []Segment // segments that are no longer written, oldest first
+	current     Segment   // the segment that is written; Seq 0: none
+	nextSeq     uint64
+	backoff     time.Duration
+	pausedUntil time.Duration // no write is allowed earlier
+	evicted     bool          // segments were evicted for a full disk since the last successful write
 }
 
-// NewPlan returns a plan for a spool that holds these segments, in the order of
-// their numbers.
-func NewPlan(l Limits, have []Segment) *Plan {
-	p := &Plan{limits: l, old: append([]Segment(nil), have...), next: 1}
-	if n := len(have); n > 0 {
-		p.next = have[n-1].Seq + 1
+// NewSegmentPlanner returns a planner for a spool that holds the existing
+// segments, which must be in ascending order.
+func NewSegmentPlanner(l Limits, existing []Segment) *SegmentPlanner {
+	p := &SegmentPlanner{limits: l, closed: append([]Segment(nil), existing...), nextSeq: 1}
+	if n := len(existing); n > 0 {
+		p.nextSeq = existing[n-1].Seq + 1
 	}
 	return p
 }
 
-// Total is the bytes of all segments.
-func (p *Plan) Total() int64 {
-	sum := p.now.Size
-	for _, s := range p.old {
+// TotalBytes returns the size of all segments together.
+func (p *SegmentPlanner) TotalBytes() int64 {
+	sum := p.current.Size
+	for _, s := range p.closed {
 		sum += s.Size
 	}
 	return sum
 }
 
-// Before says what must be done so that n more bytes can be written. The plan
-// takes the step for done: what fails in it is told by Failed.
-func (p *Plan) Before(now time.Duration, n int64) Step {
+// BeforeWrite returns the step that must be taken before n more bytes are
+// written. The planner assumes that the caller takes it and reports a failure of
+// it by WriteFailed.
+func (p *SegmentPlanner) BeforeWrite(now time.Duration, n int64) Step {
 	switch {
-	case n > p.limits.Segment || n > p.limits.Total:
+	case n > p.limits.SegmentBytes || n > p.limits.TotalBytes:
 		return Step{Drop: DropTooLong}
-	case now < p.until:
+	case now < p.pausedUntil:
 		return Step{Drop: DropPaused}
 	}
-	var s Step
-	if p.now.Seq == 0 || p.now.Size+n > p.limits.Segment {
-		if p.now.Seq != 0 {
-			p.old = append(p.old, p.now)
+	var step Step
+	if p.current.Seq == 0 || p.current.Size+n > p.limits.SegmentBytes {
+		if p.current.Seq != 0 {
+			p.closed = append(p.closed, p.current)
 		}
-		p.now = Segment{Seq: p.next}
-		p.next++
-		s.Open = p.now.Seq
+		p.current = Segment{Seq: p.nextSeq}
+		p.nextSeq++
+		step.Open = p.current.Seq
 	}
-	for len(p.old) > 0 && p.Total()+n > p.limits.Total {
-		s.Remove = append(s.Remove, p.old[0].Seq)
-		p.old = p.old[1:]
+	for len(p.closed) > 0 && p.TotalBytes()+n > p.limits.TotalBytes {
+		step.Remove = append(step.Remove, p.closed[0].Seq)
+		p.closed = p.closed[1:]
 	}
-	return s
+	return step
 }
 
-// Wrote counts n bytes that were written, a segment's header included.
-func (p *Plan) Wrote(n int64) {
-	p.now.Size += n
-	p.pause, p.freed = 0, false
+// AfterWrite records that n bytes were written, including the header of a new
+// segment.
+func (p *SegmentPlanner) AfterWrite(n int64) {
+	p.current.Size += n
+	p.backoff, p.evicted = 0, false
 }
 
-// Failed takes a failure to write n bytes in. The present segment ends: its
-// tail may be torn. Where the disk is full the oldest segments go that make
-// room for as much, the last of them apart, and again says that the record may
-// be tried once more at once; else nothing is written for a while.
-func (p *Plan) Failed(now time.Duration, full bool, n int64) (remove []uint64, again bool) {
-	if p.now.Seq != 0 {
-		p.old = append(p.old, p.now)
-		p.now = Segment{}
+// WriteFailed records that n bytes could not be written. The current segment is
+// closed, as its tail may be torn. If the disk is full, the oldest segments that
+// free n bytes are evicted, but never the newest one, and retry says that the
+// write may be repeated at once. If that does not help, or if the disk is not
+// full, writes are suspended for the backoff.
+func (p *SegmentPlanner) WriteFailed(now time.Duration, diskFull bool, n int64) (evict []uint64, retry bool) {
+	if p.current.Seq != 0 {
+		p.closed = append(p.closed, p.current)
+		p.current = Segment{}
 	}
-	if full && !p.freed {
-		for room := int64(0); room < n && len(p.old) > 1; {
-			room += p.old[0].Size
-			remove = append(remove, p.old[0].Seq)
-			p.old = p.old[1:]
+	if diskFull && !p.evicted {
+		for freed := int64(0); freed < n && len(p.closed) > 1; {
+			freed += p.closed[0].Size
+			evict = append(evict, p.closed[0].Seq)
+			p.closed = p.closed[1:]
 		}
-		if len(remove) > 0 {
-			p.freed = true
-			return remove, true
+		if len(evict) > 0 {
+			p.evicted = true
+			return evict, true
 		}
 	}
-	p.freed = false
-	p.pause = min(max(2*p.pause, p.limits.Back), p.limits.Most)
-	p.until = now + p.pause
+	p.evicted = false
+	p.backoff = min(max(2*p.backoff, p.limits.MinBackoff), p.limits.MaxBackoff)
+	p.pausedUntil = now + p.backoff
 	return nil, false
 }
 
-// Paused says until when nothing is written; 0: it is.
-func (p *Plan) Paused(now time.Duration) time.Duration {
-	if now >= p.until {
+// PausedUntil returns the time until which writes are suspended, 0 if they are
+// not.
+func (p *SegmentPlanner) PausedUntil(now time.Duration) time.Duration {
+	if now >= p.pausedUntil {
 		return 0
 	}
-	return p.until
+	return p.pausedUntil
 }
--- a/tracing/spool/spool.go
+++ b/tracing/spool/spool.go
@@ -18,47 +18,47 @@
 	"onyxsail/tracing/record"
 )
 
-// Names of the files in a spool's folder. A segment that cannot be read keeps
-// its number with asideSuffix.
+// Names of the files in the directory of a spool. An unreadable segment keeps its
+// name, with quarantineSuffix appended.
 const (
-	lockName    = "lock"
-	segPrefix   = "trace-"
-	segSuffix   = ".seg"
-	asideSuffix = ".bad"
-	maxAside    = 4 // set aside at once; the oldest go
+	lockName         = "lock"
+	segmentPrefix    = "trace-"
+	segmentSuffix    = ".seg"
+	quarantineSuffix = ".bad"
+	maxQuarantined   = 4 // number of quarantined files; the oldest are deleted
 )
 
-// Options make a Spool.
+// Options are the parameters of Open.
 type Options struct {
 	Dir    string
 	Limits Limits
 	Log    zerolog.Logger
-	// Now is the time since a moment of the caller's.
+	// Now returns the time since a fixed point of the caller's choice.
 	Now func() time.Duration
-	// Write takes the place of the file's Write, in tests of a disk that fails.
+	// Write replaces the Write method of the file, for tests of a failing disk.
 	Write func(*os.File, []byte) (int, error)
 }
 
-// Spool writes segments. It is not safe for concurrent use.
+// Spool writes records to segment files. It is not safe for concurrent use.
 type Spool struct {
-	opts    Options
-	plan    *Plan
-	lock    *os.File
-	file    *os.File // nil: none is open
-	dropped map[Cause]int64
-	written int64
-	told    bool // the present failure is in the log
+	opts          Options
+	planner       *SegmentPlanner
+	lock          *os.File
+	file          *os.File // the current segment; nil: none is open
+	dropped       map[DropCause]int64
+	written       int64
+	failureLogged bool // the ongoing failure has been logged
 }
 
-// Open takes a folder for this process, makes it if need be, and puts in order
-// what an earlier one left: torn ends are cut off, segments that cannot be read
-// are set aside. An error says that the folder cannot be used at all.
+// Open locks the directory for this process, creates it if necessary, and repairs
+// the segments of earlier processes: torn tails are truncated, and unreadable
+// segments are quarantined. It fails only if the directory cannot be used at all.
 func Open(o Options) (*Spool, error) {
 	if o.Write == nil {
 		o.Write = func(f *os.File, b []byte) (int, error) { return f.Write(b) }
 	}
 	if err := os.MkdirAll(o.Dir, 0o700); err != nil {
-		return nil, fmt.Errorf("making the spool: %w", err)
+		return nil, fmt.Errorf("creating the spool: %w", err)
 	}
 	lock, err := os.OpenFile(filepath.Join(o.Dir, lockName), os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -66,232 +66,242 @@
 	}
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, fmt.Errorf("locking the spool: another process has %s: %w", o.Dir, err)
+		return nil, fmt.Errorf("locking the spool: %s is in use by another process: %w", o.Dir, err)
 	}
-	s := &Spool{opts: o, lock: lock, dropped: map[Cause]int64{}}
-	names, err := segments(o.Dir)
+	s := &Spool{opts: o, lock: lock, dropped: map[DropCause]int64{}}
+	seqs, err := listSegments(o.Dir)
 	if err != nil {
 		s.unlock()
 		return nil, err
 	}
-	var have []Segment
-	for _, seq := range names {
-		if size := s.repair(seq); size > 0 {
-			have = append(have, Segment{seq, size})
+	var existing []Segment
+	for _, seq := range seqs {
+		if size := s.repairSegment(seq); size > 0 {
+			existing = append(existing, Segment{seq, size})
 		}
 	}
-	s.plan = NewPlan(o.Limits, have)
-	if n := len(names); n > 0 { // also the numbers of those set aside are used up
-		s.plan.next = max(s.plan.next, names[n-1]+1)
+	s.planner = NewSegmentPlanner(o.Limits, existing)
+	if n := len(seqs); n > 0 { // numbers of quarantined segments are not reused either
+		s.planner.nextSeq = max(s.planner.nextSeq, seqs[n-1]+1)
 	}
 	return s, nil
 }
 
-func segName(seq uint64) string { return fmt.Sprintf("%s%012d%s", segPrefix, seq, segSuffix) }
+func segmentName(seq uint64) string {
+	return fmt.Sprintf("%s%012d%s", segmentPrefix, seq, segmentSuffix)
+}
 
-// segments lists the numbers of the segments in a folder, in order.
-func segments(dir string) ([]uint64, error) {
+// listSegments returns the sequence numbers of the segments in a directory, in
+// ascending order.
+func listSegments(dir string) ([]uint64, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, fmt.Errorf("listing the spool: %w", err)
 	}
-	var all []uint64
+	var seqs []uint64
 	for _, e := range entries {
-		text, ok := strings.CutPrefix(e.Name(), segPrefix)
+		digits, ok := strings.CutPrefix(e.Name(), segmentPrefix)
 		if !ok {
 			continue
 		}
-		if text, ok = strings.CutSuffix(text, segSuffix); !ok {
+		if digits, ok = strings.CutSuffix(digits, segmentSuffix); !ok {
 			continue
 		}
-		if seq, err := strconv.ParseUint(text, 10, 64); err == nil && seq > 0 && segName(seq) == e.Name() {
-			all = append(all, seq)
+		if seq, err := strconv.ParseUint(digits, 10, 64); err == nil && seq > 0 && segmentName(seq) == e.Name() {
+			seqs = append(seqs, seq)
 		}
 	}
-	slices.Sort(all)
-	return all, nil
+	slices.Sort(seqs)
+	return seqs, nil
 }
 
-// repair makes a segment readable to its end and returns its size then, 0
-// where nothing of it is left.
-func (s *Spool) repair(seq uint64) int64 {
-	path := filepath.Join(s.opts.Dir, segName(seq))
-	b, err := os.ReadFile(path)
-	if err == nil && len(b) < headSize && strings.HasPrefix(string(appendHead(nil, seq)), string(b)) {
-		_ = os.Remove(path) // cut off in its header: it never held anything
+// repairSegment makes a segment readable to its end and returns its remaining
+// size in bytes, 0 if nothing could be kept.
+func (s *Spool) repairSegment(seq uint64) int64 {
+	path := filepath.Join(s.opts.Dir, segmentName(seq))
+	data, err := os.ReadFile(path)
+	if err == nil && len(data) < segmentHeaderSize && strings.HasPrefix(string(appendSegmentHeader(nil, seq)), string(data)) {
+		_ = os.Remove(path) // the header is incomplete: no record was ever written
 		return 0
 	}
 	if err == nil {
-		err = checkHead(b, seq)
+		err = checkSegmentHeader(data, seq)
 	}
 	if err != nil {
-		s.aside(path, err)
+		s.quarantine(path, err)
 		return 0
 	}
-	good, state := scan(b, func(Kind, []byte) {})
+	intactBytes, state := scanRecords(data, func(Kind, []byte) {})
 	switch state {
 	case Torn:
-		s.opts.Log.Info().Str("event", "trace-torn").Str("file", path).Int("kept", good).Int("cut", len(b)-good).
-			Msg("the last record of a segment was not whole; it was cut off")
-		if err := os.Truncate(path, int64(good)); err != nil {
-			s.aside(path, err)
+		s.opts.Log.Info().Str("event", "trace-torn").Str("file", path).Int("kept", intactBytes).Int("cut", len(data)-intactBytes).
+			Msg("truncated an incomplete record at the end of a trace segment")
+		if err := os.Truncate(path, int64(intactBytes)); err != nil {
+			s.quarantine(path, err)
 			return 0
 		}
-	case Damaged: // what stands before the damage is saved under the old name
-		s.aside(path, fmt.Errorf("no record at byte %d", good))
-		if err := os.WriteFile(path, b[:good], 0o600); err != nil {
+	case Corrupt: // the valid prefix stays, under the old name
+		s.quarantine(path, fmt.Errorf("invalid record at byte %d", intactBytes))
+		if err := os.WriteFile(path, data[:intactBytes], 0o600); err != nil {
 			_ = os.Remove(path)
 			return 0
 		}
 	}
-	return int64(good)
+	return int64(intactBytes)
 }
 
-// aside moves a segment out of the way, and the oldest of those before it out
-// of the world.
-func (s *Spool) aside(path string, why error) {
-	s.opts.Log.Warn().Str("event", "trace-aside").Str("file", path).Err(why).
-		Msg("a segment of traces cannot be read; it was set aside")
-	if err := os.Rename(path, path+asideSuffix); err != nil {
-		s.opts.Log.Warn().Str("event", "trace-aside").Str("file", path).Err(err).Msg("a segment could not be set aside")
-	}
-	bad, err := filepath.Glob(filepath.Join(s.opts.Dir, segPrefix+"*"+segSuffix+asideSuffix))
+// quarantine renames an unreadable segment, and deletes the oldest quarantined
+// segments if there are more than maxQuarantined.
+func (s *Spool) quarantine(path string, cause error) {
+	s.opts.Log.Warn().Str("event", "trace-aside").Str("file", path).Err(cause).
+		Msg("trace segment is unreadable; renaming it")
+	if err := os.Rename(path, path+quarantineSuffix); err != nil {
+		s.opts.Log.Warn().Str("event", "trace-aside").Str("file", path).Err(err).Msg("unreadable trace segment could not be renamed")
+	}
+	quarantined, err := filepath.Glob(filepath.Join(s.opts.Dir, segmentPrefix+"*"+segmentSuffix+quarantineSuffix))
 	if err != nil {
-		return // the pattern is ours: cannot be
+		return // only a malformed pattern fails, and this one is valid
 	}
-	slices.Sort(bad)
-	for len(bad) > maxAside {
-		_ = os.Remove(bad[0])
-		bad = bad[1:]
+	slices.Sort(quarantined)
+	for len(quarantined) > maxQuarantined {
+		_ = os.Remove(quarantined[0])
+		quarantined = quarantined[1:]
 	}
 }
 
-// Append writes one record, or drops it and counts why.
-func (s *Spool) Append(k Kind, payload []byte) Cause {
-	cause := s.Offer(k, payload)
+// Append writes a record. If that fails, it drops the record, counts the cause and
+// returns it.
+func (s *Spool) Append(kind Kind, payload []byte) DropCause {
+	cause := s.TryAppend(kind, payload)
 	if cause != DropNone {
-		s.GiveUp(cause)
+		s.CountDropped(cause)
 	}
 	return cause
 }
 
-// Offer writes one record, or says why not; the caller keeps it then, or gives it up.
-func (s *Spool) Offer(k Kind, payload []byte) Cause {
-	cause := s.append(k, payload)
+// TryAppend writes a record, or returns why it could not. The caller then either
+// keeps the record for a later attempt or drops it and calls CountDropped.
+func (s *Spool) TryAppend(kind Kind, payload []byte) DropCause {
+	cause := s.write(kind, payload)
 	if cause == DropNone {
 		s.written++
 	}
 	return cause
 }
 
-// GiveUp counts a record that was offered and is dropped.
-func (s *Spool) GiveUp(cause Cause) { s.dropped[cause]++ }
+// CountDropped counts a record that TryAppend did not write and that is dropped.
+func (s *Spool) CountDropped(cause DropCause) { s.dropped[cause]++ }
 
-func (s *Spool) append(k Kind, payload []byte) Cause {
+// write performs the steps that the planner requires and appends the record. On
+// a full disk it retries once old segments have been evicted.
+func (s *Spool) write(kind Kind, payload []byte) DropCause {
 	if s.lock == nil {
 		return DropClosed
 	}
-	if len(payload) > maxPayload {
+	if len(payload) > maxPayloadBytes {
 		return DropTooLong
 	}
 	for {
-		need := int64(frameSize + len(payload))
-		step := s.plan.Before(s.opts.Now(), need+int64(headSize))
+		need := int64(recordHeaderSize + len(payload))
+		step := s.planner.BeforeWrite(s.opts.Now(), need+int64(segmentHeaderSize))
 		if step.Drop != DropNone {
 			return step.Drop
 		}
-		s.remove(step.Remove)
-		var b []byte
+		s.removeSegments(step.Remove)
+		var data []byte
 		var err error
 		if step.Open != 0 {
-			err = s.begin(step.Open)
-			b = appendHead(b, step.Open)
+			err = s.startSegment(step.Open)
+			data = appendSegmentHeader(data, step.Open)
 		}
 		if err == nil {
-			b = appendFrame(b, k, payload)
+			data = appendRecord(data, kind, payload)
 			var n int
-			if n, err = s.opts.Write(s.file, b); err == nil && n < len(b) {
-				err = fmt.Errorf("wrote %d of %d bytes", n, len(b))
+			if n, err = s.opts.Write(s.file, data); err == nil && n < len(data) {
+				err = fmt.Errorf("wrote %d of %d bytes", n, len(data))
 			}
 		}
 		if err == nil {
-			s.plan.Wrote(int64(len(b)))
-			if s.told {
-				s.told = false
-				s.opts.Log.Info().Str("event", "trace-spool").Msg("traces are being written again")
+			s.planner.AfterWrite(int64(len(data)))
+			if s.failureLogged {
+				s.failureLogged = false
+				s.opts.Log.Info().Str("event", "trace-spool").Msg("traces can be written to the spool again")
 			}
 			return DropNone
 		}
-		s.cut()
-		remove, again := s.plan.Failed(s.opts.Now(), errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT), need+int64(headSize))
-		s.remove(remove)
-		if !again {
-			if !s.told {
-				s.told = true
+		s.discardFailedWrite()
+		evict, retry := s.planner.WriteFailed(s.opts.Now(), errors.Is(err, unix.ENOSPC) || errors.Is(err, unix.EDQUOT), need+int64(segmentHeaderSize))
+		s.removeSegments(evict)
+		if !retry {
+			if !s.failureLogged {
+				s.failureLogged = true
 				s.opts.Log.Warn().Str("event", "trace-spool").Str("dir", s.opts.Dir).Err(err).
-					Msg("traces cannot be written; they are dropped, and serving goes on")
+					Msg("traces cannot be written to the spool; dropping them while queries are still served")
 			}
 			return DropFailed
 		}
 	}
 }
 
-// cut takes a failed write's remains off the present segment and closes it.
-func (s *Spool) cut() {
+// discardFailedWrite truncates the current segment to its complete records, or
+// deletes it if there are none, and closes it.
+func (s *Spool) discardFailedWrite() {
 	if s.file == nil {
 		return
 	}
-	size := s.plan.now.Size
+	size := s.planner.current.Size
 	if size == 0 {
 		_ = os.Remove(s.file.Name())
 	} else {
-		_ = s.file.Truncate(size) // else the next start cuts it
+		_ = s.file.Truncate(size) // if this fails, the next start truncates it
 	}
 	_ = s.file.Close()
 	s.file = nil
 }
 
-func (s *Spool) begin(seq uint64) error {
+// startSegment closes the current segment and creates the next one.
+func (s *Spool) startSegment(seq uint64) error {
 	if s.file != nil {
 		err := errors.Join(s.file.Sync(), s.file.Close())
 		s.file = nil
 		if err != nil {
-			return fmt.Errorf("ending a segment: %w", err)
+			return fmt.Errorf("closing a segment: %w", err)
 		}
 	}
-	f, err := os.OpenFile(filepath.Join(s.opts.Dir, segName(seq)), os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
+	file, err := os.OpenFile(filepath.Join(s.opts.Dir, segmentName(seq)), os.O_CREATE|os.O_EXCL|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
-		return fmt.Errorf("beginning a segment: %w", err)
+		return fmt.Errorf("creating a segment: %w", err)
 	}
-	s.file = f
+	s.file = file
 	return nil
 }
 
-func (s *Spool) remove(seqs []uint64) {
+func (s *Spool) removeSegments(seqs []uint64) {
 	for _, seq := range seqs {
-		if err := os.Remove(filepath.Join(s.opts.Dir, segName(seq))); err != nil && !errors.Is(err, os.ErrNotExist) {
-			s.opts.Log.Warn().Str("event", "trace-spool").Err(err).Msg("an old segment could not be removed")
+		if err := os.Remove(filepath.Join(s.opts.Dir, segmentName(seq))); err != nil && !errors.Is(err, os.ErrNotExist) {
+			s.opts.Log.Warn().Str("event", "trace-spool").Err(err).Msg("an old trace segment could not be removed")
 		}
 	}
 }
 
-// Counts are totals since the start, and the present size in bytes.
+// Counts are totals since the start, and the current size of all segments in
+// bytes.
 type Counts struct {
-	Written int64           `json:"written"`
-	Dropped map[Cause]int64 `json:"dropped,omitempty"`
-	Bytes   int64           `json:"bytes"`
+	Written int64               `json:"written"`
+	Dropped map[DropCause]int64 `json:"dropped,omitempty"`
+	Bytes   int64               `json:"bytes"`
 }
 
-// Counts returns the totals.
+// Counts returns the totals since the start and the current size.
 func (s *Spool) Counts() Counts {
-	c := Counts{Written: s.written, Bytes: s.plan.Total(), Dropped: map[Cause]int64{}}
+	c := Counts{Written: s.written, Bytes: s.planner.TotalBytes(), Dropped: map[DropCause]int64{}}
 	for cause, n := range s.dropped {
 		c.Dropped[cause] = n
 	}
 	return c
 }
 
-// Close ends the spool; what was written is on disk then.
+// Close syncs the spool to disk, closes it and releases its lock.
 func (s *Spool) Close() error {
 	if s.lock == nil {
 		return nil
@@ -309,38 +319,41 @@
 }
 
 func (s *Spool) unlock() {
-	_ = s.lock.Close() // gives up the lock
+	_ = s.lock.Close() // releases the lock
 	s.lock = nil
 }
 
-// Unreadable is a part of a spool that Read could not make out.
+// Unreadable is a record or a segment that Read could not decode.
 type Unreadable struct {
 	File string
 	Err  error
 }
 
-// trim drops all but the latest limit traces once there are twice as many, so
-// that reading a large spool needs little memory.
-func trim(traces []*record.Trace, limit int, forget func(*record.Trace)) []*record.Trace {
+// keepLatest drops all but the latest limit traces once there are twice as many,
+// to bound the memory for reading a large spool. It calls discard with each
+// dropped trace.
+func keepLatest(traces []*record.Trace, limit int, discard func(*record.Trace)) []*record.Trace {
 	if limit <= 0 || len(traces) < 2*limit {
 		return traces
 	}
-	sortByTime(traces)
+	sortByArrival(traces)
 	for _, t := range traces[:len(traces)-limit] {
-		forget(t)
+		discard(t)
 	}
 	return append(traces[:0:0], traces[len(traces)-limit:]...)
 }
 
-func sortByTime(traces []*record.Trace) {
+func sortByArrival(traces []*record.Trace) {
 	slices.SortStableFunc(traces, func(a, b *record.Trace) int { return cmp.Compare(a.Received.UnixNano(), b.Received.UnixNano()) })
 }
 
-// Read returns the traces of a folder, the latest limit of them (0: all), also while a broker writes there, with
-// the notes that belong to them, in the order of their coming. What was written
-// twice stands once. What cannot be read is passed over and named.
+// Read returns the traces of a spool's directory that match accepts (nil: all), in
+// order of arrival, and of those the latest limit (0: all). It may run while a
+// broker writes there. Late outcomes are merged into their traces, and a trace
+// that was written twice is returned once. Unreadable records and segments are
+// skipped and returned by name.
 func Read(dir string, match func(*record.Trace) bool, limit int) ([]*record.Trace, []Unreadable, error) {
-	seqs, err := segments(dir)
+	seqs, err := listSegments(dir)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -349,64 +362,64 @@
 		span  record.SpanID
 	}
 	var traces []*record.Trace
-	var bad []Unreadable
-	at := map[id]*record.Trace{}
+	var unreadable []Unreadable
+	byID := map[id]*record.Trace{}
 	for _, seq := range seqs {
-		name := segName(seq)
-		b, err := os.ReadFile(filepath.Join(dir, name))
+		name := segmentName(seq)
+		data, err := os.ReadFile(filepath.Join(dir, name))
 		if errors.Is(err, os.ErrNotExist) {
-			continue // removed since by its broker
+			continue // evicted by the running broker in the meantime
 		}
-		if err == nil && len(b) > 0 {
-			err = checkHead(b, seq)
+		if err == nil && len(data) > 0 {
+			err = checkSegmentHeader(data, seq)
 		}
 		if err != nil {
-			bad = append(bad, Unreadable{name, err})
+			unreadable = append(unreadable, Unreadable{name, err})
 			continue
 		}
-		_, state := scan(b, func(k Kind, payload []byte) {
+		_, state := scanRecords(data, func(kind Kind, payload []byte) {
 			var err error
-			switch k {
+			switch kind {
 			case KindTrace:
 				var t *record.Trace
 				if t, err = record.Decode(payload); err == nil && (match == nil || match(t)) {
 					key := id{t.ID, t.Span}
-					if before := at[key]; before == nil {
-						at[key] = t
+					if earlier := byID[key]; earlier == nil {
+						byID[key] = t
 						traces = append(traces, t)
-					} else if t.Verdict != record.Verdict(record.VerdictOpen) { // its end outweighs what was seen of it while open
-						*before = *t
+					} else if t.Verdict != record.Verdict(record.VerdictOpen) { // an ended query replaces what was recorded while it was open
+						*earlier = *t
 					}
 				}
-			case KindNote:
-				var n record.LateOutcome
-				if n, err = record.DecodeLateOutcome(payload); err == nil {
-					if t := at[id{n.ID, n.Span}]; t != nil {
-						n.Apply(t)
+			case KindLateOutcome:
+				var late record.LateOutcome
+				if late, err = record.DecodeLateOutcome(payload); err == nil {
+					if t := byID[id{late.ID, late.Span}]; t != nil {
+						late.Apply(t)
 					}
 				}
 			}
 			if err != nil {
-				bad = append(bad, Unreadable{name, err})
+				unreadable = append(unreadable, Unreadable{name, err})
 			}
 		})
-		if state == Damaged {
-			bad = append(bad, Unreadable{name, errors.New("damaged; what stands behind the damage is lost")})
+		if state == Corrupt {
+			unreadable = append(unreadable, Unreadable{name, errors.New("damaged; what stands behind the damage is lost")})
 		}
-		traces = trim(traces, limit, func(t *record.Trace) { delete(at, id{t.ID, t.Span}) })
+		traces = keepLatest(traces, limit, func(t *record.Trace) { delete(byID, id{t.ID, t.Span}) })
 	}
-	sortByTime(traces)
+	sortByArrival(traces)
 	if limit > 0 && len(traces) > limit {
 		traces = traces[len(traces)-limit:]
 	}
-	return traces, bad, nil
+	return traces, unreadable, nil
 }
 
-// EncodeNote renders a note.
-func EncodeNote(n record.LateOutcome) ([]byte, error) {
-	data, err := json.Marshal(n)
+// EncodeLateOutcome returns the JSON encoding of a late outcome.
+func EncodeLateOutcome(late record.LateOutcome) ([]byte, error) {
+	data, err := json.Marshal(late)
 	if err != nil {
-		return nil, fmt.Errorf("encoding a note: %w", err)
+		return nil, fmt.Errorf("encoding a late outcome: %w", err)
 	}
 	return data, nil
 }
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -99,7 +99,7 @@
 	lastKey uint64
 	spare   []*live
 	sampler *sample.Sampler
-	table   *spool.Table // nil: none
+	table   *spool.QueryTable // nil: none
 	late    map[broker.AttemptID]lateRef
 	lateQ   []broker.AttemptID   // in the order of their time
 	notes   []record.LateOutcome // to be written
@@ -161,14 +161,14 @@
 	c, log := t.opts.Config, t.opts.Log
 	s, err := spool.Open(spool.Options{
 		Dir: c.Dir, Log: log, Now: t.now, Write: t.opts.Write,
-		Limits: spool.Limits{Segment: int64(c.SegmentKB) << 10, Total: int64(c.SpoolMB) << 20, Back: backFirst, Most: backMost},
+		Limits: spool.Limits{SegmentBytes: int64(c.SegmentKB) << 10, TotalBytes: int64(c.SpoolMB) << 20, MinBackoff: backFirst, MaxBackoff: backMost},
 	})
 	if err != nil {
 		log.Warn().Str("event", "trace-spool").Str("dir", c.Dir).Err(err).Msg("the spool cannot be used; traces are kept in memory alone")
 		return
 	}
 	t.spool = s
-	table, left, unreadable, err := spool.OpenTable(c.Dir, c.OpenQueries)
+	table, left, unreadable, err := spool.OpenQueryTable(c.Dir, c.OpenQueries)
 	if err != nil {
 		log.Warn().Str("event", "trace-spool").Str("dir", c.Dir).Err(err).
 			Msg("the table of open queries cannot be used; a kill will leave no evidence of them")
@@ -182,11 +182,11 @@
 		}
 		carried++ // the segment took none: the new table keeps it for the next start
 		if table != nil {
-			table.Carry(tr)
+			table.CarryOver(tr)
 		}
 	}
 	if table != nil {
-		if err := table.Reset(); err != nil {
+		if err := table.Commit(); err != nil {
 			log.Warn().Str("event", "trace-spool").Err(err).Msg("a kill will leave no evidence of open queries")
 		}
 		t.table = table
@@ -303,9 +303,9 @@
 	}
 	notes := t.notes
 	t.notes = nil
-	if t.table != nil && t.table.Lost() != nil && !t.lost {
+	if t.table != nil && t.table.Fault() != nil && !t.lost {
 		t.lost = true
-		t.opts.Log.Warn().Str("event", "trace-spool").Err(t.table.Lost()).
+		t.opts.Log.Warn().Str("event", "trace-spool").Err(t.table.Fault()).
 			Msg("the table of open queries was lost; a kill will leave no evidence of them")
 	}
 	t.mu.Unlock()
@@ -398,7 +398,7 @@
 	l := t.take(q, at)
 	t.open.put(uint64(id), l)
 	if t.table != nil {
-		l.slot = t.table.Begin(&l.Trace)
+		l.slot = t.table.Add(&l.Trace)
 	}
 }
 
@@ -425,7 +425,7 @@
 	i := len(l.Attempts) - 1
 	t.byTry.put(uint64(o.ID), tryRef{l, i})
 	if l.slot >= 0 {
-		t.table.Attempt(l.slot, i, &l.Attempts[i])
+		t.table.PutAttempt(l.slot, i, &l.Attempts[i])
 	}
 }
 
@@ -452,7 +452,7 @@
 	}
 	a.End(o, by != broker.ByNode, record.OffsetOf(at.Sub(ref.l.came)))
 	if ref.l.slot >= 0 {
-		t.table.Ended(ref.l.slot, ref.i, a)
+		t.table.PutOutcome(ref.l.slot, ref.i, a)
 	}
 }
 
@@ -516,7 +516,7 @@
 		t.rouse()
 	}
 	if l.slot >= 0 {
-		t.table.End(l.slot, &l.Trace)
+		t.table.EndQuery(l.slot, &l.Trace)
 	}
 }
 
@@ -551,12 +551,12 @@
 	case broker.WireGone:
 		a.Sent = when
 		if ref.l.slot >= 0 {
-			t.table.Gone(ref.l.slot, ref.i, when)
+			t.table.PutSent(ref.l.slot, ref.i, when)
 		}
 		return
 	}
 	if ref.l.slot >= 0 {
-		t.table.Attempt(ref.l.slot, ref.i, a)
+		t.table.PutAttempt(ref.l.slot, ref.i, a)
 	}
 }
 
