--- a/cli/trace.go
+++ b/cli/trace.go
@@ -227,7 +227,7 @@
 			}
 			for i, t := range traces {
 				if s.asJSON {
-					err = printJSON(cmd.OutOrStdout(), shown{t, critical.Of(t)})
+					err = printJSON(cmd.OutOrStdout(), shown{t, critical.PathOf(t)})
 				} else {
 					if i > 0 {
 						fmt.Fprintln(cmd.OutOrStdout())
@@ -253,7 +253,7 @@
 			if err != nil {
 				return err
 			}
-			t := critical.Why(traces)
+			t := critical.AttributeLostTime(traces)
 			if s.asJSON {
 				return printJSON(cmd.OutOrStdout(), t)
 			}
--- a/tracing/critical/path.go
+++ b/tracing/critical/path.go
@@ -1,6 +1,6 @@
-// Package critical tells where a query's time went: the part that ended last,
-// the attempts that made it late, and how that time divides into phases. It has
-// no I/O and no clock.
+// Package critical computes the critical path of a query: the part that ended
+// last, the attempts that delayed it, and how the time divides into phases. It
+// does no I/O and reads no clock.
 package critical
 
 import (
@@ -10,160 +10,163 @@
 	"onyxsail/tracing/record"
 )
 
-// Phase is a kind of time on the critical path.
+// Phase is a category of time on the critical path.
 type Phase string
 
-// The phases, in the order in which a query meets them.
+// The phases, in the order in which a query passes through them.
 const (
-	Queue   Phase = "queue"   // from its last byte until the core took it
-	Place   Phase = "place"   // in the core, until the part's first attempt
-	Stalled Phase = "stalled" // at an earlier attempt that was still out, until the copy: it came too late
-	Lost    Phase = "lost"    // at an earlier attempt that ended without an answer
-	Again   Phase = "again"   // in the core, from that end until the further attempt
-	Connect Phase = "connect" // for a connection that was being made
-	Send    Phase = "send"    // until the last byte of the part had left
-	Node    Phase = "node"    // at the node, until the first byte of its answer
-	Read    Phase = "read"    // until the answer was whole and the core had it
-	Finish  Phase = "finish"  // in the core, from the last part to the query's end
+	PhaseQueue         Phase = "queue"   // from the arrival of its last byte until the core dequeued it
+	PhasePlacement     Phase = "place"   // in the core, until the first attempt of the part
+	PhaseStalled       Phase = "stalled" // at an earlier attempt that was still pending, until a copy was sent: the copy came too late
+	PhaseFailedAttempt Phase = "lost"    // at an earlier attempt that ended without an answer
+	PhaseRetryDelay    Phase = "again"   // in the core, from that end until the next attempt
+	PhaseConnect       Phase = "connect" // waiting for a connection to be established
+	PhaseSend          Phase = "send"    // until the last byte of the part was sent
+	PhaseNode          Phase = "node"    // at the node, until the first byte of its answer
+	PhaseRead          Phase = "read"    // until the core had the complete answer
+	PhaseFinish        Phase = "finish"  // in the core, from the end of the last part to the end of the query
 )
 
-// Phases are all phases in their order.
+// Phases returns all phases in their order.
 func Phases() []Phase {
-	return []Phase{Queue, Place, Stalled, Lost, Again, Connect, Send, Node, Read, Finish}
+	return []Phase{PhaseQueue, PhasePlacement, PhaseStalled, PhaseFailedAttempt, PhaseRetryDelay, PhaseConnect, PhaseSend, PhaseNode, PhaseRead, PhaseFinish}
 }
 
-// Segment is a stretch of the critical path.
+// Segment is a time interval of the critical path that belongs to one phase.
 type Segment struct {
 	Phase   Phase         `json:"phase"`
-	From    time.Duration `json:"from"` // since the query came, as To
+	From    time.Duration `json:"from"` // since the arrival of the query, like To
 	To      time.Duration `json:"to"`
-	Attempt int           `json:"attempt"` // index among the trace's attempts, -1 for none
+	Attempt int           `json:"attempt"` // index into the trace's attempts, -1: none
 }
 
-// Took is the segment's length.
-func (s Segment) Took() time.Duration { return s.To - s.From }
+// Duration returns the length of the segment.
+func (s Segment) Duration() time.Duration { return s.To - s.From }
 
-// Path is the critical path of one query. Its segments follow each other
-// without gaps from the query's coming to its end, and none is empty.
+// Path is the critical path of one query. Its segments are contiguous from the
+// arrival of the query to its end, and none is empty.
 type Path struct {
-	Shard    int       `json:"shard"`    // of the part that ended last; -1 where no part was ever placed
-	Decisive int       `json:"decisive"` // the attempt that ended it, index among the trace's; -1 for none
-	Segments []Segment `json:"segments"`
+	Shard           int       `json:"shard"`    // of the part that ended last; -1 if no attempt was ever opened
+	DecisiveAttempt int       `json:"decisive"` // the attempt that ended that part, as an index into the trace's attempts; -1: none
+	Segments        []Segment `json:"segments"`
 }
 
-// Total is the time of one phase.
-func (p *Path) Total(phase Phase) time.Duration {
+// PhaseTotal returns the total time of one phase.
+func (p *Path) PhaseTotal(phase Phase) time.Duration {
 	var sum time.Duration
 	for _, s := range p.Segments {
 		if s.Phase == phase {
-			sum += s.Took()
+			sum += s.Duration()
 		}
 	}
 	return sum
 }
 
-// builder puts segments end to end.
-type builder struct {
+// pathBuilder builds a path of contiguous segments.
+type pathBuilder struct {
 	path Path
 	at   time.Duration
 	end  time.Duration
 }
 
-// to extends the path up to a moment. What lies before the path's end or
-// beyond the query's adds nothing: clocks of several threads meet here.
-func (b *builder) to(t time.Duration, phase Phase, attempt int) {
-	if t = min(t, b.end); t > b.at {
-		b.path.Segments = append(b.path.Segments, Segment{phase, b.at, t, attempt})
-		b.at = t
+// extendTo extends the path up to a time, which is limited to the end of the
+// query. A time before the end of the path adds nothing: the times were read in
+// several goroutines and need not be in order.
+func (b *pathBuilder) extendTo(until time.Duration, phase Phase, attempt int) {
+	if until = min(until, b.end); until > b.at {
+		b.path.Segments = append(b.path.Segments, Segment{phase, b.at, until, attempt})
+		b.at = until
 	}
 }
 
-// Of computes the critical path of a trace.
-func Of(t *record.Trace) Path {
-	b := &builder{end: t.Elapsed()}
-	b.path.Shard, b.path.Decisive = -1, -1
-	b.to(t.Accepted.Duration(), Queue, -1)
-	last := decisive(t, b.end)
-	if last < 0 {
-		b.to(b.end, Place, -1)
-		return b.path
+// PathOf computes the critical path of a trace.
+func PathOf(t *record.Trace) Path {
+	builder := &pathBuilder{end: t.Elapsed()}
+	builder.path.Shard, builder.path.DecisiveAttempt = -1, -1
+	builder.extendTo(t.Accepted.Duration(), PhaseQueue, -1)
+	decisiveIndex := decisiveAttempt(t, builder.end)
+	if decisiveIndex < 0 {
+		builder.extendTo(builder.end, PhasePlacement, -1)
+		return builder.path
 	}
-	a := &t.Attempts[last]
-	b.path.Shard, b.path.Decisive = a.Shard, last
+	decisive := &t.Attempts[decisiveIndex]
+	builder.path.Shard, builder.path.DecisiveAttempt = decisive.Shard, decisiveIndex
 	first := true
 	for i := range t.Attempts { // in the order in which they were opened
-		e := &t.Attempts[i]
-		if e.Shard != a.Shard || i == last || e.Opened > a.Opened {
+		earlier := &t.Attempts[i]
+		if earlier.Shard != decisive.Shard || i == decisiveIndex || earlier.Opened > decisive.Opened {
 			continue
 		}
-		b.opened(e, first)
+		builder.extendToOpening(earlier, first)
 		first = false
-		// Until the decisive attempt was opened the part hung on this one: to
-		// its end where it had ended by then, else all the while.
-		if e.Ended.IsSet() && e.Ended <= a.Opened {
-			b.to(e.Ended.Duration(), Lost, i)
-		} else if next := openedAfter(t, e, a); next != nil {
-			b.to(next.Opened.Duration(), Stalled, i)
+		// Until the decisive attempt was opened, the part waited for this one: up
+		// to its end if it had ended by then, else up to the next attempt.
+		if earlier.Ended.IsSet() && earlier.Ended <= decisive.Opened {
+			builder.extendTo(earlier.Ended.Duration(), PhaseFailedAttempt, i)
+		} else if next := nextAttempt(t, earlier, decisive); next != nil {
+			builder.extendTo(next.Opened.Duration(), PhaseStalled, i)
 		}
 	}
-	b.opened(a, first)
-	if a.DialStarted.IsSet() {
-		up := a.Connected
-		if !up.IsSet() {
-			up = a.Ended
+	builder.extendToOpening(decisive, first)
+	if decisive.DialStarted.IsSet() {
+		connected := decisive.Connected
+		if !connected.IsSet() {
+			connected = decisive.Ended
 		}
-		if up.IsSet() {
-			b.to(up.Duration(), Connect, last)
+		if connected.IsSet() {
+			builder.extendTo(connected.Duration(), PhaseConnect, decisiveIndex)
 		} else {
-			b.to(b.end, Connect, last)
+			builder.extendTo(builder.end, PhaseConnect, decisiveIndex)
 		}
 	}
-	if a.Sent.IsSet() {
-		b.to(a.Sent.Duration(), Send, last)
-		if a.FirstByte.IsSet() {
-			b.to(a.FirstByte.Duration(), Node, last)
+	if decisive.Sent.IsSet() {
+		builder.extendTo(decisive.Sent.Duration(), PhaseSend, decisiveIndex)
+		if decisive.FirstByte.IsSet() {
+			builder.extendTo(decisive.FirstByte.Duration(), PhaseNode, decisiveIndex)
 		}
 	}
-	rest := Node
+	lastPhase := PhaseNode
 	switch {
-	case a.FirstByte.IsSet():
-		rest = Read
-	case !a.Sent.IsSet():
-		rest = Send
+	case decisive.FirstByte.IsSet():
+		lastPhase = PhaseRead
+	case !decisive.Sent.IsSet():
+		lastPhase = PhaseSend
 	}
-	if a.Ended.IsSet() {
-		b.to(a.Ended.Duration(), rest, last)
-		b.to(b.end, Finish, -1)
+	if decisive.Ended.IsSet() {
+		builder.extendTo(decisive.Ended.Duration(), lastPhase, decisiveIndex)
+		builder.extendTo(builder.end, PhaseFinish, -1)
 	} else {
-		b.to(b.end, rest, last)
+		builder.extendTo(builder.end, lastPhase, decisiveIndex)
 	}
-	return b.path
+	return builder.path
 }
 
-// opened brings the path to an attempt's opening.
-func (b *builder) opened(a *record.Attempt, first bool) {
-	phase := Again
+// extendToOpening extends the path to the opening of an attempt, which may be the
+// first of its part.
+func (b *pathBuilder) extendToOpening(a *record.Attempt, first bool) {
+	phase := PhaseRetryDelay
 	if first {
-		phase = Place
+		phase = PhasePlacement
 	}
-	b.to(a.Opened.Duration(), phase, -1)
+	b.extendTo(a.Opened.Duration(), phase, -1)
 }
 
-// openedAfter is the next attempt of the same part after e, a at the latest.
-func openedAfter(t *record.Trace, e, a *record.Attempt) *record.Attempt {
+// nextAttempt returns the attempt of the same part that follows earlier, at the
+// latest the decisive one.
+func nextAttempt(t *record.Trace, earlier, decisive *record.Attempt) *record.Attempt {
 	for i := range t.Attempts {
-		if x := &t.Attempts[i]; x.Shard == e.Shard && x != e && x.Number > e.Number && x.Opened <= a.Opened {
-			return x
+		if candidate := &t.Attempts[i]; candidate.Shard == earlier.Shard && candidate != earlier && candidate.Number > earlier.Number && candidate.Opened <= decisive.Opened {
+			return candidate
 		}
 	}
-	return a
+	return decisive
 }
 
-// decisive finds the attempt on which the query's end hung: of the parts the
-// one that was in, or given up, last; of its attempts the winner, or else the
-// one that ended last.
-func decisive(t *record.Trace, end time.Duration) int {
-	best, bestAt, bestWon := -1, time.Duration(-1), true
+// decisiveAttempt returns the index of the attempt that determined the end of the
+// query, -1 if there is none: of the part that was answered or given up last, the
+// attempt that won or, if none did, the one that ended last.
+func decisiveAttempt(t *record.Trace, end time.Duration) int {
+	best, bestEndedAt, bestAnswered := -1, time.Duration(-1), true
 	seen := map[int]bool{}
 	for i := range t.Attempts {
 		shard := t.Attempts[i].Shard
@@ -171,23 +174,24 @@
 			continue
 		}
 		seen[shard] = true
-		at, index, won := partEnd(t, shard, end)
-		// A part that never came in outweighs any that did: without it there
-		// was no answer, unless the query was served without it.
+		endedAt, index, answered := partEnd(t, shard, end)
+		// A part without an answer takes precedence over any answered part, as
+		// the query had no answer for want of it, unless it was served without.
 		served := t.Ended.IsSet() && t.Verdict == 0
 		switch {
-		case served && !won:
+		case served && !answered:
 			continue
-		case best < 0, !won && bestWon, won == bestWon && at > bestAt:
-			best, bestAt, bestWon = index, at, won
+		case best < 0, !answered && bestAnswered, answered == bestAnswered && endedAt > bestEndedAt:
+			best, bestEndedAt, bestAnswered = index, endedAt, answered
 		}
 	}
 	return best
 }
 
-// partEnd is when a part was in, or last given up, and by which attempt.
-func partEnd(t *record.Trace, shard int, end time.Duration) (at time.Duration, index int, won bool) {
-	index, at = -1, -1
+// partEnd returns when a part was answered or, if it never was, when its last
+// attempt ended, the index of that attempt, and whether the part was answered.
+func partEnd(t *record.Trace, shard int, end time.Duration) (endedAt time.Duration, index int, answered bool) {
+	index, endedAt = -1, -1
 	for i := range t.Attempts {
 		a := &t.Attempts[i]
 		if a.Shard != shard {
@@ -198,9 +202,9 @@
 			ended = min(end, a.Ended.Duration())
 		}
 		ok := a.Outcome == record.Outcome(decide.OK)
-		if index < 0 || ok && (!won || ended < at) || !ok && !won && ended >= at {
-			at, index, won = ended, i, ok
+		if index < 0 || ok && (!answered || ended < endedAt) || !ok && !answered && ended >= endedAt {
+			endedAt, index, answered = ended, i, ok
 		}
 	}
-	return at, index, won
+	return endedAt, index, answered
 }
--- a/tracing/critical/why.go
+++ b/tracing/critical/why.go
@@ -10,116 +10,122 @@
 	"onyxsail/tracing/record"
 )
 
-// Key names one row of a Table: what carries lost time.
+// Key identifies a row of a LostTimeReport: what lost time is attributed to. Fields
+// that the row does not distinguish are empty.
 type Key struct {
-	Class string `json:"class,omitempty"`
-	Phase Phase  `json:"phase,omitempty"`
-	Node  string `json:"node,omitempty"`
-	Cell  string `json:"cell,omitempty"` // "" where no node is at fault
-	Why   string `json:"why,omitempty"`  // reason of the attempt
+	Class         string `json:"class,omitempty"`
+	Phase         Phase  `json:"phase,omitempty"`
+	Node          string `json:"node,omitempty"`
+	Cell          string `json:"cell,omitempty"` // "": no node is involved
+	AttemptReason string `json:"why,omitempty"`  // why the attempt was opened
 }
 
-// Row is one carrier of lost time.
+// Row is the lost time that is attributed to a Key.
 type Row struct {
 	Key
-	Lost    time.Duration `json:"lost"`    // estimated over all queries, kept or not
-	Share   float64       `json:"share"`   // of all the lost time
-	Queries float64       `json:"queries"` // estimated
-	Kept    int           `json:"kept"`    // traces that the estimate rests on
+	LostTime   time.Duration `json:"lost"`    // estimate for all queries, with or without a kept trace
+	Share      float64       `json:"share"`   // of the total lost time, 0 to 1
+	Queries    float64       `json:"queries"` // estimated number of affected queries
+	KeptTraces int           `json:"kept"`    // number of traces that the estimate is based on
 }
 
-// Table tells which phase, node, cell and attempt reason carry the lost time
-// of a set of traces.
-type Table struct {
-	Traces  int            `json:"traces"`
-	Bad     int            `json:"bad"`
-	Queries float64        `json:"queries"` // estimated bad ones
-	Lost    time.Duration  `json:"lost"`
-	Reasons map[string]int `json:"reasons"` // kept bad traces by each of their reasons
-	// Usual is the number of good traces that tell what a phase usually takes.
-	Usual  int   `json:"usual"`
-	Phases []Row `json:"phases"`
-	Nodes  []Row `json:"nodes"`
-	Cells  []Row `json:"cells"`
-	Whys   []Row `json:"whys"`
-	Top    []Row `json:"top"` // by all of these together
+// LostTimeReport attributes the lost time of a set of traces to phases, nodes,
+// cells and reasons of attempts.
+type LostTimeReport struct {
+	Traces    int            `json:"traces"`
+	BadTraces int            `json:"bad"`
+	Queries   float64        `json:"queries"` // estimated number of bad queries
+	LostTime  time.Duration  `json:"lost"`
+	Reasons   map[string]int `json:"reasons"` // number of bad traces by reason; one may have several
+	// BaselineTraces is the number of good traces from which the usual time of
+	// each phase is computed.
+	BaselineTraces int   `json:"usual"`
+	Phases         []Row `json:"phases"`
+	Nodes          []Row `json:"nodes"`
+	Cells          []Row `json:"cells"`
+	AttemptReasons []Row `json:"whys"`
+	Combined       []Row `json:"top"` // by class, phase, node, cell and reason together
 }
 
-// maxRows bounds each list of a Table; the longest of the rest are dropped.
+// maxRows is the maximum number of rows in each list of a LostTimeReport; keys
+// that would exceed it are left out.
 const maxRows = 1 << 12
 
-type sum struct {
-	lost    float64
-	queries float64
-	kept    int
-	last    int // the trace that was counted last
+// rowSum accumulates a row.
+type rowSum struct {
+	lostNs     float64
+	queries    float64
+	keptTraces int
+	lastTrace  int // index of the trace that was counted last
 }
 
-// Why adds up where bad queries lost their time. What a phase takes in the
-// good queries of the class, on average, is no loss. Each trace counts for
-// 1/Probability queries (the Horvitz-Thompson estimator).
-func Why(traces []*record.Trace) Table {
-	t := Table{Reasons: map[string]int{}}
-	usual := usualTimes(traces, &t.Usual)
-	by := [5]map[Key]*sum{}
-	for i := range by {
-		by[i] = map[Key]*sum{}
+// AttributeLostTime sums up where bad queries lost time. The mean time that a phase
+// takes in good queries of the same class does not count as lost. Each trace
+// stands for 1/Probability queries (the Horvitz-Thompson estimator).
+func AttributeLostTime(traces []*record.Trace) LostTimeReport {
+	report := LostTimeReport{Reasons: map[string]int{}}
+	baseline := meanBaselineTimes(traces, &report.BaselineTraces)
+	sums := [5]map[Key]*rowSum{}
+	for i := range sums {
+		sums[i] = map[Key]*rowSum{}
 	}
-	for n, tr := range traces {
-		t.Traces++
+	for traceIndex, tr := range traces {
+		report.Traces++
 		bad := tr.Reasons &^ (record.Baseline | record.Requested)
 		if bad == 0 {
 			continue
 		}
-		t.Bad++
-		bad.ForEach(func(r record.Reasons) { t.Reasons[r.String()]++ })
+		report.BadTraces++
+		bad.ForEach(func(r record.Reasons) { report.Reasons[r.String()]++ })
 		weight := 1.0
 		if tr.Probability > 0 {
 			weight = 1 / tr.Probability
 		}
-		t.Queries += weight
-		path := Of(tr)
+		report.Queries += weight
+		path := PathOf(tr)
 		spent := map[Phase]time.Duration{}
 		for _, s := range path.Segments {
-			// The usual time is taken off a phase once, from its first segments.
-			allowed := usual[tr.Class][s.Phase]
-			over := max(0, spent[s.Phase]+s.Took()-allowed) - max(0, spent[s.Phase]-allowed)
-			if spent[s.Phase] += s.Took(); over <= 0 {
+			// The baseline of a phase is subtracted once per query, from the first
+			// segments of the phase.
+			expected := baseline[tr.Class][s.Phase]
+			excess := max(0, spent[s.Phase]+s.Duration()-expected) - max(0, spent[s.Phase]-expected)
+			if spent[s.Phase] += s.Duration(); excess <= 0 {
 				continue
 			}
-			k := Key{Class: tr.Class, Phase: s.Phase}
+			combined := Key{Class: tr.Class, Phase: s.Phase}
 			if s.Attempt >= 0 {
 				a := &tr.Attempts[s.Attempt]
-				k.Node, k.Cell, k.Why = a.Node, strconv.Itoa(a.Cell), a.Reason.String()
+				combined.Node, combined.Cell, combined.AttemptReason = a.Node, strconv.Itoa(a.Cell), a.Reason.String()
 			}
-			lost := weight * float64(over)
-			t.Lost += time.Duration(lost)
-			for i, key := range []Key{{Phase: k.Phase}, {Node: k.Node}, {Cell: k.Cell}, {Why: k.Why}, k} {
-				x := by[i][key]
-				if x == nil {
-					if len(by[i]) >= maxRows {
+			lostNs := weight * float64(excess)
+			report.LostTime += time.Duration(lostNs)
+			for i, key := range []Key{{Phase: combined.Phase}, {Node: combined.Node}, {Cell: combined.Cell}, {AttemptReason: combined.AttemptReason}, combined} {
+				row := sums[i][key]
+				if row == nil {
+					if len(sums[i]) >= maxRows {
 						continue
 					}
-					x = &sum{last: -1}
-					by[i][key] = x
+					row = &rowSum{lastTrace: -1}
+					sums[i][key] = row
 				}
-				x.lost += lost
-				if x.last != n {
-					x.last = n
-					x.queries += weight
-					x.kept++
+				row.lostNs += lostNs
+				if row.lastTrace != traceIndex {
+					row.lastTrace = traceIndex
+					row.queries += weight
+					row.keptTraces++
 				}
 			}
 		}
 	}
-	for i, rows := range []*[]Row{&t.Phases, &t.Nodes, &t.Cells, &t.Whys, &t.Top} {
-		*rows = sorted(by[i], float64(t.Lost))
+	for i, rows := range []*[]Row{&report.Phases, &report.Nodes, &report.Cells, &report.AttemptReasons, &report.Combined} {
+		*rows = sortedRows(sums[i], float64(report.LostTime))
 	}
-	return t
+	return report
 }
 
-// usualTimes is what each phase takes in the good queries of each class.
-func usualTimes(traces []*record.Trace, n *int) map[string]map[Phase]time.Duration {
+// meanBaselineTimes returns the mean time of each phase in the good queries of each
+// class, and adds the number of these queries to baselineTraces.
+func meanBaselineTimes(traces []*record.Trace, baselineTraces *int) map[string]map[Phase]time.Duration {
 	sums, counts := map[string]map[Phase]time.Duration{}, map[string]int{}
 	for _, tr := range traces {
 		if tr.Reasons&^record.Requested != record.Baseline {
@@ -129,9 +135,9 @@
 			sums[tr.Class] = map[Phase]time.Duration{}
 		}
 		counts[tr.Class]++
-		*n++
-		for _, s := range Of(tr).Segments {
-			sums[tr.Class][s.Phase] += s.Took()
+		*baselineTraces++
+		for _, s := range PathOf(tr).Segments {
+			sums[tr.Class][s.Phase] += s.Duration()
 		}
 	}
 	for class, phases := range sums {
@@ -142,17 +148,18 @@
 	return sums
 }
 
-func sorted(sums map[Key]*sum, all float64) []Row {
+// sortedRows returns the rows by lost time, in descending order.
+func sortedRows(sums map[Key]*rowSum, totalNs float64) []Row {
 	rows := make([]Row, 0, len(sums))
 	for k, s := range sums {
-		r := Row{Key: k, Lost: time.Duration(s.lost), Queries: s.queries, Kept: s.kept}
-		if all > 0 {
-			r.Share = s.lost / all
+		row := Row{Key: k, LostTime: time.Duration(s.lostNs), Queries: s.queries, KeptTraces: s.keptTraces}
+		if totalNs > 0 {
+			row.Share = s.lostNs / totalNs
 		}
-		rows = append(rows, r)
+		rows = append(rows, row)
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(b.Lost, a.Lost), cmp.Compare(fmt.Sprint(a.Key), fmt.Sprint(b.Key)))
+		return cmp.Or(cmp.Compare(b.LostTime, a.LostTime), cmp.Compare(fmt.Sprint(a.Key), fmt.Sprint(b.Key)))
 	})
 	return rows
 }
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -184,8 +184,8 @@
 	if out, errs, code := command("why"); code != 0 || !strings.Contains(out, "s-0") || !strings.Contains(out, "screen: node s-0 first") {
 		t.Errorf("why: %s%s", out, errs)
 	}
-	var table critical.Table
-	if out, _, code := command("why", "--json"); code != 0 || json.Unmarshal([]byte(out), &table) != nil || table.Bad == 0 || table.Phases[0].Phase != critical.Node {
+	var table critical.LostTimeReport
+	if out, _, code := command("why", "--json"); code != 0 || json.Unmarshal([]byte(out), &table) != nil || table.BadTraces == 0 || table.Phases[0].Phase != critical.PhaseNode {
 		t.Errorf("why --json: %s", out)
 	}
 	for _, c := range []struct{ args, want string }{
@@ -259,7 +259,7 @@
 	if err := d.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	table := critical.Why(readDir(t, dir))
+	table := critical.AttributeLostTime(readDir(t, dir))
 	var out bytes.Buffer
 	if err := view.Why(&out, table, 6); err != nil {
 		t.Fatal(err)
@@ -271,7 +271,7 @@
 			share += r.Share
 		}
 	}
-	if table.Bad == 0 || table.Usual == 0 || share < 0.5 {
+	if table.BadTraces == 0 || table.BaselineTraces == 0 || share < 0.5 {
 		t.Errorf("%.0f%% of the lost time is put on the three bad nodes", 100*share)
 	}
 }
--- a/tracing/view/view.go
+++ b/tracing/view/view.go
@@ -67,17 +67,17 @@
 }
 
 func heaviest(t *record.Trace) string {
-	path := critical.Of(t)
+	path := critical.PathOf(t)
 	var most critical.Segment
 	for _, s := range path.Segments {
-		if s.Took() > most.Took() {
+		if s.Duration() > most.Duration() {
 			most = s
 		}
 	}
 	if most.Phase == "" {
 		return "-"
 	}
-	text := fmt.Sprintf("%s %s", most.Phase, ms(most.Took()))
+	text := fmt.Sprintf("%s %s", most.Phase, ms(most.Duration()))
 	if most.Attempt >= 0 {
 		a := &t.Attempts[most.Attempt]
 		text += fmt.Sprintf(" (%s, %s)", safe(a.Node), a.Reason)
@@ -96,7 +96,7 @@
 
 // Show writes one trace as a waterfall, with its critical path.
 func Show(w io.Writer, t *record.Trace) error {
-	path := critical.Of(t)
+	path := critical.PathOf(t)
 	on := map[int]bool{}
 	for _, s := range path.Segments {
 		on[s.Attempt] = true
@@ -148,7 +148,7 @@
 				what += " (" + safe(a.Addr) + ")"
 			}
 		}
-		rows = append(rows, []string{string(s.Phase), ms(s.From), ms(s.Took()), what})
+		rows = append(rows, []string{string(s.Phase), ms(s.From), ms(s.Duration()), what})
 	}
 	return table(w, rows)
 }
@@ -212,10 +212,10 @@
 }
 
 // Why writes a table of lost time.
-func Why(w io.Writer, t critical.Table, rows int) error {
-	fmt.Fprintf(w, "%d traces, %d of them bad, which stand for %.0f bad queries and %s lost\n", t.Traces, t.Bad, t.Queries, ms(t.Lost))
-	if t.Usual > 0 {
-		fmt.Fprintf(w, "lost is what goes beyond the good queries of the class, of which %d were kept\n", t.Usual)
+func Why(w io.Writer, t critical.LostTimeReport, rows int) error {
+	fmt.Fprintf(w, "%d traces, %d of them bad, which stand for %.0f bad queries and %s lost\n", t.Traces, t.BadTraces, t.Queries, ms(t.LostTime))
+	if t.BaselineTraces > 0 {
+		fmt.Fprintf(w, "lost is what goes beyond the good queries of the class, of which %d were kept\n", t.BaselineTraces)
 	} else {
 		fmt.Fprintln(w, "no good query was kept: all the time of the bad ones counts as lost")
 	}
@@ -237,9 +237,9 @@
 		{"PHASE", t.Phases, func(r critical.Row) string { return string(r.Phase) }},
 		{"NODE", t.Nodes, func(r critical.Row) string { return safe(r.Node) }},
 		{"CELL", t.Cells, func(r critical.Row) string { return r.Cell }},
-		{"ATTEMPT", t.Whys, func(r critical.Row) string { return r.Why }},
-		{"ALL TOGETHER", t.Top, func(r critical.Row) string {
-			return strings.TrimSpace(fmt.Sprintf("%s: %s %s %s", safe(r.Class), r.Phase, safe(r.Node), r.Why))
+		{"ATTEMPT", t.AttemptReasons, func(r critical.Row) string { return r.AttemptReason }},
+		{"ALL TOGETHER", t.Combined, func(r critical.Row) string {
+			return strings.TrimSpace(fmt.Sprintf("%s: %s %s %s", safe(r.Class), r.Phase, safe(r.Node), r.AttemptReason))
 		}},
 	} {
 		out := [][]string{{part.name, "LOST", "SHARE", "QUERIES", "KEPT"}}
@@ -252,7 +252,7 @@
 			if key == "" {
 				key = "-"
 			}
-			out = append(out, []string{key, ms(r.Lost), fmt.Sprintf("%.1f%%", 100*r.Share), fmt.Sprintf("%.1f", r.Queries), fmt.Sprint(r.Kept)})
+			out = append(out, []string{key, ms(r.LostTime), fmt.Sprintf("%.1f%%", 100*r.Share), fmt.Sprintf("%.1f", r.Queries), fmt.Sprint(r.KeptTraces)})
 		}
 		fmt.Fprintln(w)
 		if err := table(w, out); err != nil {
