--- a/cli/trace.go
+++ b/cli/trace.go
@@ -195,7 +195,7 @@
 				return err
 			}
 			if !s.asJSON {
-				return view.List(cmd.OutOrStdout(), traces)
+				return view.WriteList(cmd.OutOrStdout(), traces)
 			}
 			for _, t := range traces {
 				if err := printJSON(cmd.OutOrStdout(), t); err != nil {
@@ -232,7 +232,7 @@
 					if i > 0 {
 						fmt.Fprintln(cmd.OutOrStdout())
 					}
-					err = view.Show(cmd.OutOrStdout(), t)
+					err = view.WriteTrace(cmd.OutOrStdout(), t)
 				}
 				if err != nil {
 					return err
@@ -257,7 +257,7 @@
 			if s.asJSON {
 				return printJSON(cmd.OutOrStdout(), t)
 			}
-			return view.Why(cmd.OutOrStdout(), t, rows)
+			return view.WriteLostTime(cmd.OutOrStdout(), t, rows)
 		},
 	}, 5000)
 	cmd.Flags().IntVar(&rows, "rows", 8, "rows of each table")
@@ -278,7 +278,7 @@
 				if s.asJSON {
 					return printJSON(cmd.OutOrStdout(), t)
 				}
-				_, err := fmt.Fprintln(cmd.OutOrStdout(), strings.Join(view.Line(t), "  "))
+				_, err := fmt.Fprintln(cmd.OutOrStdout(), strings.Join(view.ListRow(t), "  "))
 				return err
 			})
 		},
--- a/daemon/proof_test.go
+++ b/daemon/proof_test.go
@@ -203,7 +203,7 @@
 	}
 	var text strings.Builder
 	for _, trace := range traces {
-		if err := view.Show(&text, trace); err != nil {
+		if err := view.WriteTrace(&text, trace); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -261,7 +261,7 @@
 	}
 	table := critical.AttributeLostTime(readDir(t, dir))
 	var out bytes.Buffer
-	if err := view.Why(&out, table, 6); err != nil {
+	if err := view.WriteLostTime(&out, table, 6); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("\n%s", out.String())
