--- a/tracing/critical/why.go
+++ b/tracing/critical/why.go
@@ -37,7 +37,7 @@
 	Queries   float64        `json:"queries"` // estimated number of bad queries
 	LostTime  time.Duration  `json:"lost"`
 	Reasons   map[string]int `json:"reasons"` // number of bad traces by reason; one may have several
-	// BaselineTraces is the number of good traces from which the usual time of
+	// BaselineTraces is the number of good traces from which the mean time of
 	// each phase is computed.
 	BaselineTraces int   `json:"usual"`
 	Phases         []Row `json:"phases"`
--- a/tracing/spool/open.go
+++ b/tracing/spool/open.go
@@ -124,8 +124,9 @@
 
 // OpenQueryTable creates and maps a table with the given number of slots in the
 // directory of a spool, which this process must have locked by Open. It returns
-// the queries that were open when an earlier process ended; the old file keeps
-// them until Commit. unreadable counts the slots that cannot be decoded.
+// the queries that were open, or ended but not yet written to a segment, when an
+// earlier process ended; the old file keeps them until Commit. unreadable counts
+// the slots that cannot be decoded.
 func OpenQueryTable(dir string, slots int) (table *QueryTable, recovered []*record.Trace, unreadable int, err error) {
 	path := filepath.Join(dir, tableName)
 	if old, err := os.ReadFile(path); err == nil {
@@ -207,8 +208,9 @@
 }
 
 // Add stores a query in a free slot and returns its index, -1 if none is free.
-// TraceState, Addr, FirstByte and RetryAfter are not stored, the times of attempts
-// are rounded down to microseconds, and long names are truncated.
+// TraceState, RetryAfter and, of attempts, Addr, FirstByte, Abandoned and the late
+// outcome are not stored. Times of attempts are rounded down to microseconds, and
+// long names are truncated.
 func (t *QueryTable) Add(tr *record.Trace) (slot int) {
 	if t.mapped == nil {
 		return -1
@@ -368,8 +370,8 @@
 }
 
 // ReadOpenQueries returns the queries in the table of a spool's directory: those
-// that a running broker has open, or that were open when it ended. unreadable
-// counts the slots that cannot be decoded.
+// that a running broker has open or has not yet written to a segment, or had when
+// it ended. unreadable counts the slots that cannot be decoded.
 func ReadOpenQueries(dir string) (open []*record.Trace, unreadable int, err error) {
 	data, err := os.ReadFile(filepath.Join(dir, tableName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -450,11 +452,14 @@
 func decodeAttempt(data []byte) (record.Attempt, error) {
 	le := binary.LittleEndian
 	a := record.Attempt{
-		ID: le.Uint64(data[offAttemptID:]), Shard: int(le.Uint32(data[offAttemptShard:])), Number: int(le.Uint16(data[offAttemptNumber:])), Reason: record.AttemptReason(data[offAttemptReason]),
+		ID: le.Uint64(data[offAttemptID:]), Shard: int(le.Uint32(data[offAttemptShard:])), Number: int(le.Uint16(data[offAttemptNumber:])),
+		Reason:  record.AttemptReason(data[offAttemptReason]),
 		Outcome: record.Outcome(data[offAttemptOutcome]), Cell: int(le.Uint16(data[offAttemptCell:])),
-		Opened: decodeOffset(le.Uint32(data[offAttemptOpened:])), DialStarted: decodeOffset(le.Uint32(data[offAttemptDialStarted:])), Connected: decodeOffset(le.Uint32(data[offAttemptConnected:])),
-		Sent: decodeOffset(le.Uint32(data[offAttemptSent:])), Ended: decodeOffset(le.Uint32(data[offAttemptEnded:])),
-		Suspected: data[offAttemptFlags]&flagSuspected != 0, EndedByBroker: data[offAttemptFlags]&flagEndedByBroker != 0, MayStillRun: data[offAttemptFlags]&flagMayStillRun != 0,
+		Opened: decodeOffset(le.Uint32(data[offAttemptOpened:])), DialStarted: decodeOffset(le.Uint32(data[offAttemptDialStarted:])),
+		Connected: decodeOffset(le.Uint32(data[offAttemptConnected:])),
+		Sent:      decodeOffset(le.Uint32(data[offAttemptSent:])), Ended: decodeOffset(le.Uint32(data[offAttemptEnded:])),
+		Suspected: data[offAttemptFlags]&flagSuspected != 0, EndedByBroker: data[offAttemptFlags]&flagEndedByBroker != 0,
+		MayStillRun: data[offAttemptFlags]&flagMayStillRun != 0,
 	}
 	if a.Outcome > record.OutcomePending || a.Reason > record.AttemptReason(broker.Trial) {
 		return a, fmt.Errorf("invalid attempt: outcome %d, reason %d", a.Outcome, a.Reason)
--- a/tracing/spool/plan.go
+++ b/tracing/spool/plan.go
@@ -7,7 +7,7 @@
 
 // Limits are the bounds of a spool.
 type Limits struct {
-	SegmentBytes int64         // maximum size of a segment; a larger one is rotated
+	SegmentBytes int64         // maximum size of a segment
 	TotalBytes   int64         // maximum size of all segments together
 	MinBackoff   time.Duration // backoff after the first failed write, doubled after each further one
 	MaxBackoff   time.Duration // upper bound of the backoff
--- a/tracing/spool/spool.go
+++ b/tracing/spool/spool.go
@@ -30,12 +30,13 @@
 
 // Options are the parameters of Open.
 type Options struct {
-	Dir    string
+	Dir    string // the directory of the spool
 	Limits Limits
 	Log    zerolog.Logger
 	// Now returns the time since a fixed point of the caller's choice.
 	Now func() time.Duration
-	// Write replaces the Write method of the file, for tests of a failing disk.
+	// Write replaces the Write method of the file, for tests of a failing disk;
+	// nil: the method of the file.
 	Write func(*os.File, []byte) (int, error)
 }
 
