--- a/cli/trace.go
+++ b/cli/trace.go
@@ -46,7 +46,7 @@
 	s.brokerClient.addAddrFlag(cmd)
 	flags := cmd.Flags()
 	flags.StringVar(&s.class, "class", "", "only queries of this class")
-	flags.StringVar(&s.reason, "reason", "", "only queries with one of these reasons, joined by + ("+strings.Join(record.AllReasons(), ", ")+")")
+	flags.StringVar(&s.reason, "reason", "", "only queries with one of these reasons, joined by + ("+strings.Join(record.ReasonNames(), ", ")+")")
 	flags.StringVar(&s.node, "node", "", "only queries with an attempt at this node")
 	flags.DurationVar(&s.minDuration, "longer", 0, "only queries that took at least this long")
 	flags.BoolVar(&s.onlyBad, "bad", false, "only bad queries: those with a reason besides asked and usual")
@@ -68,8 +68,8 @@
 
 // filter returns the filter that the flags give, with times relative to now.
 func (s *traceSource) filter(now time.Time) (record.Filter, error) {
-	filter := record.Filter{Class: s.class, Node: s.node, Longer: int64(s.minDuration), Bad: s.onlyBad, Limit: s.limit}
-	if err := filter.Reason.UnmarshalText([]byte(s.reason)); err != nil {
+	filter := record.Filter{Class: s.class, AttemptNode: s.node, MinDuration: int64(s.minDuration), BadOnly: s.onlyBad, Limit: s.limit}
+	if err := filter.Reasons.UnmarshalText([]byte(s.reason)); err != nil {
 		return filter, fmt.Errorf("--%w", err)
 	}
 	if s.since > 0 {
@@ -118,7 +118,7 @@
 	if !s.includeOpen {
 		return traces, nil
 	}
-	open, unreadable, err := spool.ReadOpen(s.spoolDir)
+	open, unreadable, err := spool.ReadOpenQueries(s.spoolDir)
 	if err != nil {
 		return nil, err
 	}
@@ -126,7 +126,7 @@
 		fmt.Fprintf(s.warnings, "%d open queries could not be decoded\n", unreadable)
 	}
 	for _, t := range open {
-		t.Interrupt()
+		t.CompleteInterrupted()
 		if filter.Match(t) {
 			traces = append(traces, t)
 		}
@@ -200,7 +200,7 @@
 				return err
 			}
 			if !source.asJSON {
-				return view.List(cmd.OutOrStdout(), traces)
+				return view.WriteList(cmd.OutOrStdout(), traces)
 			}
 			for _, t := range traces {
 				if err := printJSON(cmd.OutOrStdout(), t); err != nil {
@@ -232,12 +232,12 @@
 			}
 			for i, t := range traces {
 				if source.asJSON {
-					err = printJSON(cmd.OutOrStdout(), traceWithPath{t, critical.Of(t)})
+					err = printJSON(cmd.OutOrStdout(), traceWithPath{t, critical.PathOf(t)})
 				} else {
 					if i > 0 {
 						fmt.Fprintln(cmd.OutOrStdout())
 					}
-					err = view.Show(cmd.OutOrStdout(), t)
+					err = view.WriteTrace(cmd.OutOrStdout(), t)
 				}
 				if err != nil {
 					return err
@@ -258,11 +258,11 @@
 			if err != nil {
 				return err
 			}
-			losses := critical.Why(traces)
+			losses := critical.AttributeLostTime(traces)
 			if source.asJSON {
 				return printJSON(cmd.OutOrStdout(), losses)
 			}
-			return view.Why(cmd.OutOrStdout(), losses, rows)
+			return view.WriteLostTime(cmd.OutOrStdout(), losses, rows)
 		},
 	}, 5000)
 	cmd.Flags().IntVar(&rows, "rows", 8, "the number of rows in each table")
@@ -283,7 +283,7 @@
 				if source.asJSON {
 					return printJSON(cmd.OutOrStdout(), t)
 				}
-				_, err := fmt.Fprintln(cmd.OutOrStdout(), strings.Join(view.Line(t), "  "))
+				_, err := fmt.Fprintln(cmd.OutOrStdout(), strings.Join(view.ListRow(t), "  "))
 				return err
 			})
 		},
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -82,7 +82,7 @@
 				!same && (tr.Parent != record.SpanID{} || call.Tracestate != "") {
 				t.Errorf("%s: wrong trace context: trace %s, parent %s, state %q", name, tr.ID, tr.Parent, call.Tracestate)
 			}
-			if asked := tr.Reasons&record.Asked != 0; asked != (c.name == "asked") {
+			if asked := tr.Reasons&record.Requested != 0; asked != (c.name == "asked") {
 				t.Errorf("%s: got reasons %s, want asked only with the sampled flag", name, tr.Reasons)
 			}
 		}
@@ -187,8 +187,8 @@
 	if stdout, stderr, code := command("why"); code != 0 || !strings.Contains(stdout, "s-0") || !strings.Contains(stdout, "screen: node s-0 first") {
 		t.Errorf("why: %s%s", stdout, stderr)
 	}
-	var table critical.Table
-	if stdout, _, code := command("why", "--json"); code != 0 || json.Unmarshal([]byte(stdout), &table) != nil || table.Bad == 0 || table.Phases[0].Phase != critical.Node {
+	var table critical.LostTimeReport
+	if stdout, _, code := command("why", "--json"); code != 0 || json.Unmarshal([]byte(stdout), &table) != nil || table.BadTraces == 0 || table.Phases[0].Phase != critical.PhaseNode {
 		t.Errorf("why --json: %s", stdout)
 	}
 	for _, c := range []struct{ args, want string }{
@@ -263,9 +263,9 @@
 	if err := broker.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	table := critical.Why(readDir(t, dir))
+	table := critical.AttributeLostTime(readDir(t, dir))
 	var out bytes.Buffer
-	if err := view.Why(&out, table, 6); err != nil {
+	if err := view.WriteLostTime(&out, table, 6); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("\n%s", out.String())
@@ -275,7 +275,7 @@
 			share += r.Share
 		}
 	}
-	if table.Bad == 0 || table.Usual == 0 || share < 0.5 {
+	if table.BadTraces == 0 || table.BaselineTraces == 0 || share < 0.5 {
 		t.Errorf("%.0f%% of the lost time is attributed to the three stalling nodes, want at least half", 100*share)
 	}
 }
--- a/tracing/export/export_test.go
+++ b/tracing/export/export_test.go
@@ -27,8 +27,8 @@
 var shortLimits = Limits{MaxTraces: 8, MaxBytes: 1 << 20, MaxBatch: 4, MaxBatchDelay: 5 * time.Millisecond, InitialBackoff: 10 * time.Millisecond, MaxBackoff: 40 * time.Millisecond, MaxRetryAfter: time.Minute, MaxAttempts: 6}
 
 func newTrace(i int) *record.Trace {
-	return &record.Trace{ID: record.TraceID{1, byte(i)}, Span: record.SpanID{2, byte(i)}, Came: time.Unix(1_800_000_000, 0),
-		Taken: 1, Ended: 1000, Attempts: []record.Attempt{{ID: 1, Opened: 2, Ended: 900, Span: record.SpanID{3, byte(i)}}}}
+	return &record.Trace{ID: record.TraceID{1, byte(i)}, Span: record.SpanID{2, byte(i)}, Received: time.Unix(1_800_000_000, 0),
+		Accepted: 1, Ended: 1000, Attempts: []record.Attempt{{ID: 1, Opened: 2, Ended: 900, Span: record.SpanID{3, byte(i)}}}}
 }
 
 // A collector that hangs, answers 503, resets the connection during a batch, answers 429
--- a/tracing/export/exporter.go
+++ b/tracing/export/exporter.go
@@ -115,7 +115,7 @@
 // queue is full. It does not wait for the collector.
 func (e *Exporter) Enqueue(t *record.Trace) {
 	e.mu.Lock()
-	if e.scheduler.Enqueue(e.opts.Now(), t.Size()) {
+	if e.scheduler.Enqueue(e.opts.Now(), t.MemoryBytes()) {
 		e.queue = append(e.queue, t)
 	}
 	e.mu.Unlock()
--- a/tracing/export/otlp.go
+++ b/tracing/export/otlp.go
@@ -53,20 +53,20 @@
 
 // unixNano returns the wall-clock time of an offset from the query's arrival.
 func unixNano(t *record.Trace, offset time.Duration) uint64 {
-	return uint64(max(0, t.Came.Add(offset).UnixNano()))
+	return uint64(max(0, t.Received.Add(offset).UnixNano()))
 }
 
 // querySpan returns the server span of a query.
 func querySpan(t *record.Trace) *tracepb.Span {
 	span := &tracepb.Span{
-		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), t.Span[:]...), TraceState: t.State,
+		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), t.Span[:]...), TraceState: t.TraceState,
 		Name: t.Class, Kind: tracepb.Span_SPAN_KIND_SERVER,
-		StartTimeUnixNano: unixNano(t, 0), EndTimeUnixNano: unixNano(t, t.Took()),
+		StartTimeUnixNano: unixNano(t, 0), EndTimeUnixNano: unixNano(t, t.Elapsed()),
 		Attributes: []*commonpb.KeyValue{
 			stringAttribute("gannetchute.query", t.Query), stringAttribute("gannetchute.verdict", t.Verdict.String()),
-			stringAttribute("gannetchute.reasons", t.Reasons.String()), stringAttribute("gannetchute.kept", t.Kept.String()),
+			stringAttribute("gannetchute.reasons", t.Reasons.String()), stringAttribute("gannetchute.kept", t.KeepReason.String()),
 			doubleAttribute("gannetchute.probability", t.Probability), intAttribute("gannetchute.parts", int64(t.Parts)),
-			intAttribute("gannetchute.wanted_ms", t.Wanted.Milliseconds()), boolAttribute("gannetchute.whole", t.Whole),
+			intAttribute("gannetchute.wanted_ms", t.Objective.Milliseconds()), boolAttribute("gannetchute.whole", t.Complete),
 		},
 		Status: &tracepb.Status{},
 	}
@@ -80,8 +80,8 @@
 	default:
 		span.Status.Code, span.Status.Message = tracepb.Status_STATUS_CODE_ERROR, t.Verdict.String()
 	}
-	if t.Taken.Set() {
-		span.Events = append(span.Events, event(t, "taken", t.Taken))
+	if t.Accepted.IsSet() {
+		span.Events = append(span.Events, event(t, "taken", t.Accepted))
 	}
 	return span
 }
@@ -95,19 +95,19 @@
 // ends with its query.
 func attemptSpan(t *record.Trace, attempt *record.Attempt) *tracepb.Span {
 	end := attempt.Ended.Duration()
-	if !attempt.Ended.Set() {
-		end = max(t.Took(), attempt.Opened.Duration())
+	if !attempt.Ended.IsSet() {
+		end = max(t.Elapsed(), attempt.Opened.Duration())
 	}
 	span := &tracepb.Span{
 		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), attempt.Span[:]...),
-		ParentSpanId: append([]byte(nil), t.Span[:]...), TraceState: t.State,
-		Name: fmt.Sprintf("part %d, %s", attempt.Shard, attempt.Why), Kind: tracepb.Span_SPAN_KIND_CLIENT,
+		ParentSpanId: append([]byte(nil), t.Span[:]...), TraceState: t.TraceState,
+		Name: fmt.Sprintf("part %d, %s", attempt.Shard, attempt.Reason), Kind: tracepb.Span_SPAN_KIND_CLIENT,
 		StartTimeUnixNano: unixNano(t, attempt.Opened.Duration()), EndTimeUnixNano: unixNano(t, end),
 		Attributes: []*commonpb.KeyValue{
-			intAttribute("gannetchute.shard", int64(attempt.Shard)), intAttribute("gannetchute.attempt", int64(attempt.N)),
-			stringAttribute("gannetchute.why", attempt.Why.String()), stringAttribute("gannetchute.node", attempt.Node), intAttribute("gannetchute.cell", int64(attempt.Cell)),
+			intAttribute("gannetchute.shard", int64(attempt.Shard)), intAttribute("gannetchute.attempt", int64(attempt.Number)),
+			stringAttribute("gannetchute.why", attempt.Reason.String()), stringAttribute("gannetchute.node", attempt.Node), intAttribute("gannetchute.cell", int64(attempt.Cell)),
 			stringAttribute("server.address", attempt.Addr), stringAttribute("gannetchute.outcome", attempt.Outcome.String()),
-			boolAttribute("gannetchute.may_run", attempt.MayRun), boolAttribute("gannetchute.doubt", attempt.Doubt), boolAttribute("gannetchute.ours", attempt.Ours),
+			boolAttribute("gannetchute.may_run", attempt.MayStillRun), boolAttribute("gannetchute.doubt", attempt.Suspected), boolAttribute("gannetchute.ours", attempt.EndedByBroker),
 		},
 		Status: &tracepb.Status{},
 	}
@@ -121,12 +121,12 @@
 	for _, ev := range []struct {
 		name string
 		at   record.Offset
-	}{{"dialed", attempt.Dialed}, {"up", attempt.Up}, {"gone", attempt.Gone}, {"answer", attempt.Answer}, {"gave-up", attempt.GaveUp}} {
-		if ev.at.Set() {
+	}{{"dialed", attempt.DialStarted}, {"up", attempt.Connected}, {"gone", attempt.Sent}, {"answer", attempt.FirstByte}, {"gave-up", attempt.Abandoned}} {
+		if ev.at.IsSet() {
 			span.Events = append(span.Events, event(t, ev.name, ev.at))
 		}
 	}
-	if attempt.LateAt.Set() && attempt.LateOutcome != nil {
+	if attempt.LateAt.IsSet() && attempt.LateOutcome != nil {
 		ev := event(t, "late-outcome", attempt.LateAt)
 		ev.Attributes = []*commonpb.KeyValue{stringAttribute("gannetchute.outcome", attempt.LateOutcome.String())}
 		span.Events = append(span.Events, ev)
--- a/tracing/owed.go
+++ b/tracing/owed.go
@@ -9,7 +9,7 @@
 type spoolRecord struct {
 	kind    spool.Kind
 	payload []byte
-	cause   spool.Cause // why it has not been written yet
+	cause   spool.DropCause // why it has not been written yet
 }
 
 // writeQueue holds the records that have not yet been written to the spool's disk,
@@ -40,21 +40,21 @@
 }
 
 // isTransient reports whether a record that failed to be written may be written later.
-func isTransient(cause spool.Cause) bool {
+func isTransient(cause spool.DropCause) bool {
 	return cause == spool.DropPaused || cause == spool.DropFailed
 }
 
 // writeToSpool writes traces and notes to the spool, after the records still queued
 // from an earlier disk failure.
-func (t *Tracer) writeToSpool(traces []*record.Trace, notes []record.Note) {
+func (t *Tracer) writeToSpool(traces []*record.Trace, notes []record.LateOutcome) {
 	for _, tr := range traces {
 		if data, err := record.Encode(tr); err == nil {
 			t.queueWrite(spoolRecord{kind: spool.KindTrace, payload: data})
 		}
 	}
 	for _, note := range notes {
-		if data, err := spool.EncodeNote(note); err == nil {
-			t.queueWrite(spoolRecord{kind: spool.KindNote, payload: data})
+		if data, err := spool.EncodeLateOutcome(note); err == nil {
+			t.queueWrite(spoolRecord{kind: spool.KindLateOutcome, payload: data})
 		}
 	}
 	t.flushQueue()
@@ -64,7 +64,7 @@
 func (t *Tracer) queueWrite(r spoolRecord) {
 	r.cause = spool.DropPaused
 	for _, evicted := range t.spoolQueue.push(r) {
-		t.spool.GiveUp(evicted.cause)
+		t.spool.CountDropped(evicted.cause)
 	}
 }
 
@@ -72,7 +72,7 @@
 func (t *Tracer) flushQueue() {
 	for len(t.spoolQueue.records) > 0 {
 		oldest := &t.spoolQueue.records[0]
-		cause := t.spool.Offer(oldest.kind, oldest.payload)
+		cause := t.spool.TryAppend(oldest.kind, oldest.payload)
 		if isTransient(cause) {
 			if cause == spool.DropFailed || oldest.cause != spool.DropFailed {
 				oldest.cause = cause
@@ -81,7 +81,7 @@
 		}
 		t.spoolQueue.popOldest()
 		if cause != spool.DropNone {
-			t.spool.GiveUp(cause)
+			t.spool.CountDropped(cause)
 		}
 	}
 }
--- a/tracing/process_test.go
+++ b/tracing/process_test.go
@@ -134,7 +134,7 @@
 	}
 	process = launchBroker(t, "", nodes, discovery, tracingConfig)
 	process.kill()
-	traces, unreadable, err := tracing.ReadDir(dir, record.Filter{Reason: record.Interrupted})
+	traces, unreadable, err := tracing.ReadDir(dir, record.Filter{Reasons: record.Interrupted})
 	if err != nil || len(unreadable) > 0 {
 		t.Fatal(err, unreadable)
 	}
@@ -145,7 +145,7 @@
 			t.Errorf("%s: got trace %+v, want class order with two parts and attempts", tr.Query, tr)
 		}
 		for _, a := range tr.Attempts {
-			if a.Outcome != record.Out || !a.MayRun || a.Node == "" || !a.Gone.Set() {
+			if a.Outcome != record.OutcomePending || !a.MayStillRun || a.Node == "" || !a.Sent.IsSet() {
 				t.Errorf("%s: got attempt %+v, want it sent, unanswered and possibly still running", tr.Query, a)
 			}
 		}
--- a/tracing/proof_test.go
+++ b/tracing/proof_test.go
@@ -116,17 +116,17 @@
 	kept, byReason := map[string]*record.Trace{}, map[record.Reasons]int{}
 	for _, tr := range readDir(t, dir) {
 		kept[tr.Query] = tr
-		byReason[tr.Kept]++
+		byReason[tr.KeepReason]++
 	}
 	missed, keptGood := 0, 0
 	for id, why := range bad {
-		if tr := kept[id]; tr == nil || tr.Reasons&^(record.Usual|record.Asked) == 0 {
+		if tr := kept[id]; tr == nil || tr.Reasons&^(record.Baseline|record.Requested) == 0 {
 			missed++
 			t.Errorf("no trace of bad query %s: %s", id, why)
 		}
 	}
 	for id := range good {
-		if tr := kept[id]; tr != nil && tr.Reasons == record.Usual {
+		if tr := kept[id]; tr != nil && tr.Reasons == record.Baseline {
 			keptGood++
 		}
 	}
--- a/tracing/read.go
+++ b/tracing/read.go
@@ -21,17 +21,17 @@
 
 func (r *recentTraces) add(t *record.Trace) {
 	r.traces = append(r.traces, t)
-	r.bytes += t.Size()
+	r.bytes += t.MemoryBytes()
 	evicted := 0
 	for r.bytes > r.maxBytes {
-		r.bytes -= r.traces[evicted].Size()
+		r.bytes -= r.traces[evicted].MemoryBytes()
 		r.traces[evicted] = nil // so that the backing array does not retain the trace
 		evicted++
 	}
 	r.traces = r.traces[evicted:]
 }
 
-func (r *recentTraces) applyNote(note record.Note) {
+func (r *recentTraces) applyNote(note record.LateOutcome) {
 	for i, t := range r.traces {
 		if t.ID == note.ID && t.Span == note.Span {
 			updated := *t
@@ -64,8 +64,8 @@
 			traces = append(traces, tr)
 		}
 	}
-	slices.SortStableFunc(traces, func(a, b *record.Trace) int { return cmp.Compare(a.Came.UnixNano(), b.Came.UnixNano()) })
-	return filter.Last(traces), unreadable, nil
+	slices.SortStableFunc(traces, func(a, b *record.Trace) int { return cmp.Compare(a.Received.UnixNano(), b.Received.UnixNano()) })
+	return filter.Latest(traces), unreadable, nil
 }
 
 // Follow calls deliver with each matching trace that is kept from now on, until ctx
@@ -138,12 +138,12 @@
 		Open: t.openQueries.count, Held: len(t.held), Recent: len(t.recent.traces), Bytes: t.recent.bytes + t.queuedBytes,
 		Sampled: t.sampler.Counts(), Untracked: t.untracked, LateOutcomes: t.lateOutcomes, Followers: len(t.followers), FollowerDrops: t.followerDrops,
 	}
-	t.openQueries.forEach(func(l *liveQuery) { c.Bytes += l.Size() })
+	t.openQueries.forEach(func(l *liveQuery) { c.Bytes += l.MemoryBytes() })
 	for _, l := range t.held {
-		c.Bytes += l.Size()
+		c.Bytes += l.MemoryBytes()
 	}
 	if t.table != nil {
-		c.NoSlot = t.table.Full()
+		c.NoSlot = t.table.Overflows()
 	}
 	if t.spool != nil {
 		s := t.lastSpoolCounts
--- a/tracing/sample/sample.go
+++ b/tracing/sample/sample.go
@@ -193,7 +193,7 @@
 	if query.Requested {
 		if s.requested < s.cfg.MaxRequested {
 			s.requested++
-			reasons |= record.Asked
+			reasons |= record.Requested
 		} else {
 			s.counts.AskedOver++
 		}
@@ -202,7 +202,7 @@
 		if s.rng.Float64() >= s.cfg.GoodRate {
 			return false, nil
 		}
-		reasons = record.Usual
+		reasons = record.Baseline
 	}
 	if query.Size > s.cfg.MaxBytes || s.cfg.MaxTraces < 1 {
 		s.oversized++
@@ -217,7 +217,7 @@
 		res := s.fullestReservoir()
 		removed := heap.Pop(res).(heldTrace)
 		s.addHeld(res, -1, -removed.size)
-		if res.reason != record.Usual && res.reason != record.Asked {
+		if res.reason != record.Baseline && res.reason != record.Requested {
 			s.shedByReason[reasonIndex(res.reason)]++
 		}
 		if removed.key == query.Key {
@@ -234,12 +234,12 @@
 // be lost among those of common ones.
 func (s *Sampler) rarestReason(reasons record.Reasons) record.Reasons {
 	var rarest record.Reasons
-	reasons.Each(func(reason record.Reasons) {
+	reasons.ForEach(func(reason record.Reasons) {
 		if rarest == 0 || s.reasonFrequency[reasonIndex(reason)] < s.reasonFrequency[reasonIndex(rarest)] {
 			rarest = reason
 		}
 	})
-	reasons.Each(func(reason record.Reasons) { s.reasonFrequency[reasonIndex(reason)]++ })
+	reasons.ForEach(func(reason record.Reasons) { s.reasonFrequency[reasonIndex(reason)]++ })
 	return rarest
 }
 
@@ -366,7 +366,7 @@
 			for _, res := range class.byNode {
 				for _, held := range res.held {
 					selection := Selection{Key: held.key, Reasons: held.reasons, Reason: res.reason, Probability: float64(len(res.held)) / float64(res.seen)}
-					if res.reason == record.Usual {
+					if res.reason == record.Baseline {
 						selection.Probability *= s.cfg.GoodRate
 					}
 					selected = append(selected, selection)
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -103,10 +103,10 @@
 	lastKey         uint64
 	freeQueries     []*liveQuery
 	sampler         *sample.Sampler
-	table           *spool.Table // of open queries; nil without one
+	table           *spool.QueryTable // of open queries; nil without one
 	lateAttempts    map[broker.AttemptID]lateAttempt
-	lateQueue       []broker.AttemptID // keys of lateAttempts by expiry, including removed ones
-	unwrittenNotes  []record.Note      // late outcomes not yet written to the spool
+	lateQueue       []broker.AttemptID   // keys of lateAttempts by expiry, including removed ones
+	unwrittenNotes  []record.LateOutcome // late outcomes not yet written to the spool
 	recent          recentTraces
 	untracked       int64 // queries not traced because too many were open
 	lateOutcomes    int64 // outcomes known only after their query's end
@@ -166,14 +166,14 @@
 	cfg, log := t.opts.Config, t.opts.Log
 	opened, err := spool.Open(spool.Options{
 		Dir: cfg.Dir, Log: log, Now: t.now, Write: t.opts.Write,
-		Limits: spool.Limits{Segment: int64(cfg.SegmentKB) << 10, Total: int64(cfg.SpoolMB) << 20, Back: initialBackoff, Most: maxBackoff},
+		Limits: spool.Limits{SegmentBytes: int64(cfg.SegmentKB) << 10, TotalBytes: int64(cfg.SpoolMB) << 20, MinBackoff: initialBackoff, MaxBackoff: maxBackoff},
 	})
 	if err != nil {
 		log.Warn().Str("event", "trace-spool").Str("dir", cfg.Dir).Err(err).Msg("the spool cannot be opened; traces are kept in memory only")
 		return
 	}
 	t.spool = opened
-	table, interrupted, unreadable, err := spool.OpenTable(cfg.Dir, cfg.OpenQueries)
+	table, interrupted, unreadable, err := spool.OpenQueryTable(cfg.Dir, cfg.OpenQueries)
 	if err != nil {
 		log.Warn().Str("event", "trace-spool").Str("dir", cfg.Dir).Err(err).
 			Msg("the table of open queries cannot be opened; queries that are open when the broker is killed will not be reported")
@@ -181,17 +181,17 @@
 	carried := 0
 	for _, trace := range interrupted {
 		trace.Broker = t.opts.Broker
-		trace.Interrupt()
+		trace.CompleteInterrupted()
 		if t.writeTrace(trace) {
 			continue
 		}
 		carried++ // not written to the spool: the new table keeps it for the next start
 		if table != nil {
-			table.Carry(trace)
+			table.CarryOver(trace)
 		}
 	}
 	if table != nil {
-		if err := table.Reset(); err != nil {
+		if err := table.Commit(); err != nil {
 			log.Warn().Str("event", "trace-spool").Err(err).Msg("the table of open queries cannot be reset; queries that are open when the broker is killed may not be reported")
 		}
 		t.table = table
@@ -292,7 +292,7 @@
 	for _, selection := range selections {
 		query := t.held[selection.Key]
 		delete(t.held, selection.Key)
-		query.Reasons, query.Kept, query.Probability = selection.Reasons, selection.Reason, selection.Probability
+		query.Reasons, query.KeepReason, query.Probability = selection.Reasons, selection.Reason, selection.Probability
 		t.expectLateOutcomes(query, now)
 		t.recent.add(&query.Trace)
 		traces, tableSlots = append(traces, &query.Trace), append(tableSlots, query.tableSlot)
@@ -310,9 +310,9 @@
 	}
 	notes := t.unwrittenNotes
 	t.unwrittenNotes = nil
-	if t.table != nil && t.table.Lost() != nil && !t.tableLossLogged {
+	if t.table != nil && t.table.Fault() != nil && !t.tableLossLogged {
 		t.tableLossLogged = true
-		t.opts.Log.Warn().Str("event", "trace-spool").Err(t.table.Lost()).
+		t.opts.Log.Warn().Str("event", "trace-spool").Err(t.table.Fault()).
 			Msg("the table of open queries failed; queries that are open when the broker is killed will not be reported")
 	}
 	t.mu.Unlock()
@@ -351,7 +351,7 @@
 			continue
 		}
 		t.attempts.remove(attempt.ID)
-		if attempt.MayRun && !attempt.LateAt.Set() && len(t.lateQueue) < maxLateAttempts {
+		if attempt.MayStillRun && !attempt.LateAt.IsSet() && len(t.lateQueue) < maxLateAttempts {
 			t.lateAttempts[id] = lateAttempt{query.ID, query.Span, query.arrived, now.Add(lateOutcomeTimeout)}
 			t.lateQueue = append(t.lateQueue, id)
 		}
@@ -370,7 +370,7 @@
 		query = &liveQuery{Trace: record.Trace{Attempts: make([]record.Attempt, 0, len(q.Parts)+1)}}
 	}
 	query.arrived, query.tableSlot, query.class = q.ArrivedAt, -1, q.Class
-	query.ID, query.Parent, query.Sampled, query.State = q.Trace.TraceID, q.Trace.ParentID, q.Trace.Sampled, q.Trace.TraceState
+	query.ID, query.Parent, query.Sampled, query.TraceState = q.Trace.TraceID, q.Trace.ParentID, q.Trace.Sampled, q.Trace.TraceState
 	if query.ID == (record.TraceID{}) {
 		binary.LittleEndian.PutUint64(query.ID[:], t.rng.Uint64())
 		binary.LittleEndian.PutUint64(query.ID[8:], t.rng.Uint64()|1) // an all-zero ID is invalid
@@ -379,18 +379,18 @@
 	query.Broker, query.Query, query.Retry, query.Parts, query.Budget = t.opts.Broker, q.RequestID, q.Retry, len(q.Parts), q.Budget
 	// The wall clock is read only when the tracer starts, so that a step of the
 	// clock does not shift traces.
-	query.Came = t.start.Add(q.ArrivedAt.Sub(t.start)).Round(0)
-	query.Taken = record.After(at.Sub(q.ArrivedAt))
-	query.Verdict = record.Verdict(record.Open)
+	query.Received = t.start.Add(q.ArrivedAt.Sub(t.start)).Round(0)
+	query.Accepted = record.OffsetOf(at.Sub(q.ArrivedAt))
+	query.Verdict = record.Verdict(record.VerdictOpen)
 	if q.Class >= 0 && q.Class < len(t.opts.Classes) {
 		class := &t.opts.Classes[q.Class]
-		query.Class, query.Wanted = class.Name, class.Objective
+		query.Class, query.Objective = class.Name, class.Objective
 		if class.WorkFactor > 0 {
 			work := 0.0
 			for i := range q.Parts {
 				work += q.Parts[i].WorkMs
 			}
-			query.Wanted = min(query.Wanted+time.Duration(class.WorkFactor*work*float64(time.Millisecond)), class.MaxObjective)
+			query.Objective = min(query.Objective+time.Duration(class.WorkFactor*work*float64(time.Millisecond)), class.MaxObjective)
 		}
 	}
 	return query
@@ -407,7 +407,7 @@
 	query := t.newLiveQuery(q, at)
 	t.openQueries.put(uint64(id), query)
 	if t.table != nil {
-		query.tableSlot = t.table.Begin(&query.Trace)
+		query.tableSlot = t.table.Add(&query.Trace)
 	}
 }
 
@@ -429,13 +429,13 @@
 		return
 	}
 	query.Attempts = append(query.Attempts, record.Attempt{
-		ID: uint64(opening.ID), Span: record.AttemptSpan(query.Span, uint64(opening.ID)), Shard: opening.Shard, N: opening.Index, Node: opening.Node, Cell: opening.Cell,
-		Why: record.Why(opening.Reason), Doubt: opening.Suspected, Opened: record.After(opening.OpenedAt.Sub(query.arrived)), Outcome: record.Out,
+		ID: uint64(opening.ID), Span: record.AttemptSpan(query.Span, uint64(opening.ID)), Shard: opening.Shard, Number: opening.Index, Node: opening.Node, Cell: opening.Cell,
+		Reason: record.AttemptReason(opening.Reason), Suspected: opening.Suspected, Opened: record.OffsetOf(opening.OpenedAt.Sub(query.arrived)), Outcome: record.OutcomePending,
 	})
 	index := len(query.Attempts) - 1
 	t.attempts.put(uint64(opening.ID), attemptRef{query, index})
 	if query.tableSlot >= 0 {
-		t.table.Attempt(query.tableSlot, index, &query.Attempts[index])
+		t.table.PutAttempt(query.tableSlot, index, &query.Attempts[index])
 	}
 }
 
@@ -444,7 +444,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ref, ok := t.attempts.get(uint64(id)); ok {
-		ref.query.Attempts[ref.index].GaveUp = record.After(at.Sub(ref.query.arrived))
+		ref.query.Attempts[ref.index].Abandoned = record.OffsetOf(at.Sub(ref.query.arrived))
 	}
 }
 
@@ -458,11 +458,11 @@
 	}
 	attempt := &ref.query.Attempts[ref.index]
 	if !answerStart.IsZero() {
-		attempt.Answer = record.After(answerStart.Sub(ref.query.arrived))
+		attempt.FirstByte = record.OffsetOf(answerStart.Sub(ref.query.arrived))
 	}
-	attempt.End(outcome, cause != broker.EndedByNode, record.After(at.Sub(ref.query.arrived)))
+	attempt.End(outcome, cause != broker.EndedByNode, record.OffsetOf(at.Sub(ref.query.arrived)))
 	if ref.query.tableSlot >= 0 {
-		t.table.Ended(ref.query.tableSlot, ref.index, attempt)
+		t.table.PutOutcome(ref.query.tableSlot, ref.index, attempt)
 	}
 }
 
@@ -475,8 +475,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.attempts.forEach(func(ref attemptRef) {
-		if attempt := &ref.query.Attempts[ref.index]; attempt.Node == node && !attempt.Ended.Set() {
-			attempt.Doubt = true
+		if attempt := &ref.query.Attempts[ref.index]; attempt.Node == node && !attempt.Ended.IsSet() {
+			attempt.Suspected = true
 		}
 	})
 }
@@ -495,24 +495,24 @@
 // The caller holds t.mu.
 func (t *Tracer) endQuery(query *liveQuery, reply *broker.Reply, at time.Time) {
 	query.ended = true
-	query.Ended = record.After(at.Sub(query.arrived))
-	query.Verdict, query.Whole, query.RetryAfter = record.Verdict(reply.Verdict), reply.Whole, reply.RetryAfter
+	query.Ended = record.OffsetOf(at.Sub(query.arrived))
+	query.Verdict, query.Complete, query.RetryAfter = record.Verdict(reply.Verdict), reply.Whole, reply.RetryAfter
 	for i := range query.Attempts {
-		if attempt := &query.Attempts[i]; !attempt.Ended.Set() {
+		if attempt := &query.Attempts[i]; !attempt.Ended.IsSet() {
 			// No answer came: the core has cancelled it, but the node may still
 			// execute it.
 			attempt.End(decide.Cancelled, true, query.Ended)
 		}
 	}
-	query.Reasons = query.Judge()
+	query.Reasons = query.DeriveReasons()
 	t.lastKey++
 	key, node := t.lastKey, ""
 	if query.Reasons != 0 {
-		node = query.Culprit()
+		node = query.WorstNode()
 	}
 	hold, dropped := t.sampler.Offer(sample.Query{
 		Key: key, EndedAt: at.Sub(t.start), Class: query.class, Node: node, Latency: query.Ended.Duration(),
-		Served: reply.Verdict == broker.Served, Reasons: query.Reasons, Requested: query.Sampled, Size: query.Size(),
+		Served: reply.Verdict == broker.Served, Reasons: query.Reasons, Requested: query.Sampled, Size: query.MemoryBytes(),
 	})
 	for _, droppedKey := range dropped {
 		if droppedQuery := t.held[droppedKey]; droppedQuery != nil {
@@ -528,7 +528,7 @@
 		t.wakeWriter()
 	}
 	if query.tableSlot >= 0 {
-		t.table.End(query.tableSlot, &query.Trace)
+		t.table.EndQuery(query.tableSlot, &query.Trace)
 	}
 }
 
@@ -554,22 +554,22 @@
 	if !ok || ref.query.ended {
 		return
 	}
-	attempt, offset := &ref.query.Attempts[ref.index], record.After(at.Sub(ref.query.arrived))
+	attempt, offset := &ref.query.Attempts[ref.index], record.OffsetOf(at.Sub(ref.query.arrived))
 	attempt.Addr = addr
 	switch phase {
 	case broker.WireConnecting:
-		attempt.Dialed = offset
+		attempt.DialStarted = offset
 	case broker.WireConnected:
-		attempt.Up = offset
+		attempt.Connected = offset
 	case broker.WireSent:
-		attempt.Gone = offset
+		attempt.Sent = offset
 		if ref.query.tableSlot >= 0 {
-			t.table.Gone(ref.query.tableSlot, ref.index, offset)
+			t.table.PutSent(ref.query.tableSlot, ref.index, offset)
 		}
 		return
 	}
 	if ref.query.tableSlot >= 0 {
-		t.table.Attempt(ref.query.tableSlot, ref.index, attempt)
+		t.table.PutAttempt(ref.query.tableSlot, ref.index, attempt)
 	}
 }
 
@@ -580,13 +580,13 @@
 	defer t.mu.Unlock()
 	if ref, ok := t.attempts.get(uint64(id)); ok {
 		attempt, outcome := &ref.query.Attempts[ref.index], record.Outcome(lateOutcome)
-		attempt.LateAt, attempt.LateOutcome = record.After(at.Sub(ref.query.arrived)), &outcome
+		attempt.LateAt, attempt.LateOutcome = record.OffsetOf(at.Sub(ref.query.arrived)), &outcome
 		t.lateOutcomes++
 		return
 	}
 	if ref, ok := t.lateAttempts[id]; ok {
 		delete(t.lateAttempts, id) // its entry in lateQueue is removed on expiry
-		note := record.Note{ID: ref.traceID, Span: ref.querySpan, Attempt: uint64(id), At: record.After(at.Sub(ref.arrived)), Outcome: record.Outcome(lateOutcome)}
+		note := record.LateOutcome{ID: ref.traceID, Span: ref.querySpan, Attempt: uint64(id), At: record.OffsetOf(at.Sub(ref.arrived)), Outcome: record.Outcome(lateOutcome)}
 		t.recent.applyNote(note)
 		t.lateOutcomes++
 		if t.spool != nil && len(t.unwrittenNotes) < maxLateAttempts {
@@ -605,5 +605,5 @@
 	if !ok {
 		return "", ""
 	}
-	return tracecontext.FormatTraceparent(ref.query.ID, ref.query.Attempts[ref.index].Span, ref.query.Sampled), ref.query.State
+	return tracecontext.FormatTraceparent(ref.query.ID, ref.query.Attempts[ref.index].Span, ref.query.Sampled), ref.query.TraceState
 }
--- a/tracing/tracer_test.go
+++ b/tracing/tracer_test.go
@@ -89,11 +89,11 @@
 		}
 		for i, o := range []decide.Outcome{decide.OK, decide.Failed} {
 			a, b := traces[i].Attempts[0], traces[i].Attempts[1]
-			if a.Outcome != record.Outcome(decide.Cancelled) || !a.MayRun || !a.Ours || !a.GaveUp.Set() || a.Addr == "" ||
+			if a.Outcome != record.Outcome(decide.Cancelled) || !a.MayStillRun || !a.EndedByBroker || !a.Abandoned.IsSet() || a.Addr == "" ||
 				a.LateOutcome == nil || *a.LateOutcome != record.Outcome(o) || a.LateAt.Duration() != time.Duration(1600+100*i)*time.Millisecond {
 				t.Errorf("query %d: attempt with a late outcome: got %+v", i+1, a)
 			}
-			if b.MayRun || b.Ended.Duration() != 1500*time.Millisecond { // its request was never sent
+			if b.MayStillRun || b.Ended.Duration() != 1500*time.Millisecond { // its request was never sent
 				t.Errorf("query %d: unsent attempt: got %+v", i+1, b)
 			}
 		}
@@ -166,8 +166,8 @@
 		t.Fatalf("got %d traces, want 3", len(traces))
 	}
 	for i, trace := range traces {
-		if want := tr.start.Add(now.Sub(tr.start) + time.Duration(i+1)*time.Millisecond); trace.Came.UnixNano() != want.UnixNano() || trace.Took() != time.Microsecond {
-			t.Errorf("arrived at %v, want %v; took %v, want 1µs", trace.Came, want, trace.Took())
+		if want := tr.start.Add(now.Sub(tr.start) + time.Duration(i+1)*time.Millisecond); trace.Received.UnixNano() != want.UnixNano() || trace.Elapsed() != time.Microsecond {
+			t.Errorf("arrived at %v, want %v; took %v, want 1µs", trace.Received, want, trace.Elapsed())
 		}
 	}
 	tr.Close(context.Background())
@@ -335,11 +335,11 @@
 		if len(got) != 2 || got["open"] == nil || got["over"] == nil {
 			t.Fatalf("got traces %v, want those of the open and the ended query", got)
 		}
-		if trace := got["open"]; trace.Reasons != record.Interrupted || len(trace.Attempts) != 2 || !trace.Attempts[0].MayRun || trace.Attempts[1].MayRun ||
-			trace.Attempts[0].Outcome != record.Out || trace.Attempts[0].Node != "a" {
+		if trace := got["open"]; trace.Reasons != record.Interrupted || len(trace.Attempts) != 2 || !trace.Attempts[0].MayStillRun || trace.Attempts[1].MayStillRun ||
+			trace.Attempts[0].Outcome != record.OutcomePending || trace.Attempts[0].Node != "a" {
 			t.Errorf("open query: got %+v", trace)
 		}
-		if trace := got["over"]; trace.Reasons != record.Expired || trace.Took() != time.Second {
+		if trace := got["over"]; trace.Reasons != record.Expired || trace.Elapsed() != time.Second {
 			t.Errorf("ended query: got %+v", trace)
 		}
 	}
@@ -369,7 +369,7 @@
 		t.Errorf("got traceparent %q and tracestate %q, want %q and \"a=1\"", parent, state, want)
 	}
 	tr.QueryEnded(1, &broker.Reply{Whole: true}, tr.start)
-	if traces := readKept(t, tr, record.Filter{}); len(traces) != 1 || traces[0].Parent != (record.SpanID{1}) || traces[0].Kept != record.Asked {
+	if traces := readKept(t, tr, record.Filter{}); len(traces) != 1 || traces[0].Parent != (record.SpanID{1}) || traces[0].KeepReason != record.Requested {
 		t.Errorf("got traces %+v, want one with the caller's parent, kept as asked for", traces)
 	}
 	tr.Close(context.Background())
