--- a/cli/ci_test.go
+++ b/cli/ci_test.go
@@ -34,7 +34,7 @@
 		{"an empty line", "\n" + good, "", want},
 		{"no such test", line("TestNobodyHas"), "", "no test has the name TestNobodyHas"},
 	} {
-		cmd := exec.Command("../.ci/known-red", testkit.WriteFile(t, []byte(c.list)))
+		cmd := exec.Command("../.ci/known-red", testkit.WriteTempFile(t, []byte(c.list)))
 		var out, errs strings.Builder
 		cmd.Stdout, cmd.Stderr = &out, &errs
 		err := cmd.Run()
