--- a/tracing/spool/spool.go
+++ b/tracing/spool/spool.go
@@ -237,7 +237,7 @@
 			if !s.failureLogged {
 				s.failureLogged = true
 				s.opts.Log.Warn().Str("event", "trace-spool").Str("dir", s.opts.Dir).Err(err).
-					Msg("traces cannot be written to the spool; dropping them while queries are still served")
+					Msg("traces cannot be written; they are dropped, and serving goes on")
 			}
 			return DropFailed
 		}
