--- a/decide/api.go
+++ b/decide/api.go
@@ -1,7 +1,14 @@
-// Package decide is the decision module of a root, the aggregator that serves
-// queries from many shards. It chooses the replica for each part of a query,
-// copies parts that straggle, retries parts that fail, decides when a query is
-// answered, and sheds queries that are not expected to meet their objective.
+// Package decide is the decision module of an aggregator that serves queries
+// from many shards, such as a broker. It chooses the replica for each part of
+// a query, copies parts that straggle, retries parts that fail, decides when a
+// query is answered, and sheds queries that are not expected to meet their
+// objective.
+//
+// A query has one step or two. A step has parts, each for one shard, and a part
+// is sent to replicas that hold its shard, in one or more attempts. A copy is a
+// further attempt while an earlier one is still open; a retry is one after all
+// earlier ones have ended. A query forks when so few of its parts are open that
+// each of them gets a copy.
 //
 // The package does no input or output and reads no clock. A caller creates one
 // Root per aggregator with New, passes it the events of each turn with
@@ -10,7 +17,8 @@
 // This file holds the types of the interface; the decisions are in decide.go.
 package decide
 
-// Addr identifies a replica. It is opaque: it is only compared and returned unchanged.
+// Addr identifies a replica. It is opaque: it is only compared and returned unchanged. In an
+// Action, 0 means none.
 type Addr uint64
 
 // Effect says under which conditions a part may be repeated.
@@ -18,43 +26,48 @@
 
 // The effects of a class of query.
 const (
-	Safe   Effect = iota // may be repeated and refused at any time
-	Keyed                // replicas drop repeats for DedupWindowMs after the first attempt
-	Unsafe               // repeated or refused only if no attempt can have run
+	Safe   Effect = iota // may be repeated, copied and refused at any time
+	Keyed                // may be repeated within DedupWindowMs, in which replicas drop repeats, but not copied
+	Unsafe               // may be repeated or refused only if no attempt can have run
 )
 
 // Class describes one class of query.
 type Class struct {
 	ObjectiveMs         float64 // latency target: an answer within this time earns the full worth
-	ObjectiveWorkFactor float64 // the objective is extended by this multiple of the query's own work
-	DeadlineMs          float64 // the client gives up after this time, over all its tries
+	ObjectiveWorkFactor float64 // the objective is extended by this multiple of the query's estimated work
+	DeadlineMs          float64 // the client gives up after this time, over all its tries; limits the objective
 	LateWorthShare      float64 // share of the worth that an answer between objective and deadline earns
-	Worth               float64
+	Worth               float64 // what a complete answer within the objective earns; see Settings.WorthIsPerWork
 	Effect              Effect
-	DedupWindowMs       float64 // for Keyed
-	Stream              bool
+	DedupWindowMs       float64 // for Keyed: how long after the first attempt replicas drop repeats
+	Stream              bool    // answers are streams; no decision uses it
 	CompleteShare       float64 // share of the first step's weight that makes a complete answer
 	MinShare            float64 // least share of the weight that an answer may be built from
-	PartialWorth        float64 // a partial answer earns this times share / CompleteShare
+	PartialWorth        float64 // a partial answer earns this share of the worth, times its weight / CompleteShare
 	SecondStepParts     int     // parts of the second step; 0 for queries of one step
 }
 
 // Tenant describes one tenant.
 type Tenant struct {
-	QueriesPerSecond float64 // the allowance within the tenant's share, over all roots
-	Share            float64
+	QueriesPerSecond float64 // the allowance within the tenant's share, over all roots; 0: unlimited
+	Share            float64 // the tenant's share; no decision uses it
 }
 
 // Settings is the configuration of a root at its start. Times are in milliseconds.
+//
+// Some settings are not read by the decisions. Shards, MaxOpen, AllowProbes and DrainGraceMs are
+// for the caller to apply. Index, CallOverheadMs, ReplicasCacheKeys, AllowPeerMessages,
+// LoadReportFields, LoadReportInline, AnswerGraceMs, ProbePenalty and WastePenalty only describe
+// the deployment.
 type Settings struct {
-	Index, Roots   int // number of this root, and how many roots there are
-	Zone           int
+	Index, Roots   int     // number of this root, and how many roots there are, at least 1
+	Zone           int     // of this root
 	TickMs         float64 // shortest time between two turns
 	MustSubscribe  bool    // list changes are sent to subscribers only
 	Classes        []Class
 	Tenants        []Tenant
 	OverShareWorth float64 // factor on the worth of a query beyond its tenant's allowance
-	WorthIsPerWork bool    // Class.Worth is per unit of work, not per query
+	WorthIsPerWork bool    // Class.Worth is per unit of work rather than per query
 
 	Cells, CellsPerShard int     // shard s is held by cells s to s+CellsPerShard-1, modulo Cells
 	Shards               int     // number of shards
@@ -62,26 +75,26 @@
 	CallOverheadMs       float64 // work of a call in addition to that of its parts
 	ReplicasCacheKeys    bool    // a key that a replica has served recently takes it less work
 
-	MaxAttempts       int // most attempts of one part; 0: unlimited
-	MaxOpen           int // most queries and parts held at once; 0: unlimited
-	MaxRetryAfterMs   float64
-	SendRetryAfter    bool // refusals carry a hint when to retry
-	AllowCopies       bool // a part may have two attempts open at once
-	AllowCancel       bool
-	AllowProbes       bool
-	AllowPeerMessages bool
+	MaxAttempts       int     // most attempts of one part; 0: unlimited
+	MaxOpen           int     // most queries and parts held at once; 0: unlimited
+	MaxRetryAfterMs   float64 // longest hint when to retry; 0: no hints
+	SendRetryAfter    bool    // refusals carry a hint when to retry
+	AllowCopies       bool    // a part of a Safe class may have two attempts open at once
+	AllowCancel       bool    // open attempts may be cancelled
+	AllowProbes       bool    // replicas answer probes
+	AllowPeerMessages bool    // roots may send each other messages
 
 	LoadReportFields []string // names of the values of a load report, as in Load*
 	LoadReportInline bool     // load reports come with every outcome, not only with probes
 
 	AnswerGraceMs          float64 // a final answer still counts this long after the deadline
-	MaxSubscribeIntervalMs float64 // with MustSubscribe: longest time between two requests for the list
+	MaxSubscribeIntervalMs float64 // with MustSubscribe: longest time between two tries to subscribe
 	DrainGraceMs           float64 // attempts at a draining replica must end within this time
 	ColdCapacityShare      float64 // share of its capacity that a replica starts with
 	WarmUpMs               float64 // time from its start until a replica is warm
 	ColdOverloadFactor     float64 // a cold replica fails if sent more than this times its capacity ...
 	ColdOverloadMs         float64 // ... for this long
-	HasRetryBudget         bool    // further attempts, retries and copies alike, are limited by the next three
+	HasRetryBudget         bool    // the next three limit further attempts, retries and copies alike; false: defaults do
 	RetryBudgetFloor       float64 // further attempts in the window that are always allowed
 	RetryBudgetRatio       float64 // further attempts allowed for each query or part that arrives
 	RetryBudgetWindowMs    float64 // window over which both are counted
@@ -95,7 +108,7 @@
 // Names of the values in a load report.
 const (
 	LoadInFlight    = "held"    // requests in progress
-	LoadQueued      = "waiting" // requests that wait
+	LoadQueued      = "waiting" // requests that wait to be served
 	LoadUtilization = "busy"    // share of the processors in use
 	LoadServiceTime = "time"    // recent service time in milliseconds
 	LoadRequestRate = "rate"    // requests per second
@@ -107,23 +120,24 @@
 
 // The states of a replica.
 const (
-	Ready State = iota
-	Draining
-	Removed
+	Ready    State = iota // may get parts
+	Draining              // finishes the parts that it has and gets no others
+	Removed               // no longer in the list
 )
 
-// Member is one entry of the list of replicas.
+// Member is one entry of the list of replicas. If its start is unknown, a replica of the first
+// list counts as warm, and one that a later list adds counts as just started.
 type Member struct {
 	Addr    Addr
 	Zone    int
-	Kind    int
-	Cell    int
+	Kind    int // kind of machine
+	Cell    int // determines the shards that it holds; see Settings.Cells
 	State   State
-	Size    float64 // relative capacity
-	ReadyAt float64 // time of its last start in milliseconds; 0: long ago
+	Size    float64 // relative capacity; no decision uses it
+	ReadyAt float64 // time of its last start, in milliseconds by the clock of Root.Step; 0: unknown
 }
 
-// ListKind says how the members of a list update relate to the list that is known.
+// ListKind says what the members of a list update are.
 type ListKind uint8
 
 // The kinds of list update.
@@ -131,7 +145,7 @@
 	ListCached ListKind = iota // the complete list, perhaps outdated
 	ListFull                   // the complete list
 	ListDelta                  // changed entries only
-	ListFailed                 // the request for the list failed; the known list stays in use
+	ListFailed                 // no members: the request for the list failed, and the known list stays in use
 )
 
 // Outcome says how an attempt ended.
@@ -155,14 +169,14 @@
 // The kinds of event, each with the fields that it sets.
 const (
 	QueryArrived       EventKind = iota // ID Class Tenant Key TimeLeftMs EstimatedWorkMs Number Parts HasEstimate Retry Write
-	PartArrived                         // as QueryArrived, with Shard and Weight
+	PartArrived                         // as QueryArrived, with Shard and Weight instead of Parts
 	AttemptDone                         // ID Attempt Addr Outcome ElapsedMs Load
 	StreamStarted                       // ID Attempt Addr ElapsedMs; no decision uses it
 	ClientDisconnected                  // ID
-	TimerFired                          // Token
+	TimerFired                          // Token; only causes a turn
 	ListUpdate                          // List Members
-	ProbeDone                           // Addr Outcome ElapsedMs Load
-	PeerMessage                         // Peer Text
+	ProbeDone                           // Addr Outcome ElapsedMs Load; no decision uses it
+	PeerMessage                         // Peer Text; no decision uses it
 )
 
 // Event is one input of a turn. Its Kind says which fields are set.
@@ -170,7 +184,7 @@
 	Kind            EventKind
 	ID              uint64 // of the query or part
 	Addr            Addr
-	Class           int     // index in Settings.Classes
+	Class           int     // index in Settings.Classes, to which Root.Reconfigure may add
 	Tenant          int     // index in Settings.Tenants
 	Key             uint64  // 0: none
 	TimeLeftMs      float64 // how much longer the client waits for this try
@@ -184,7 +198,7 @@
 	Write           bool
 	Attempt         int // number of the attempt of its part, from 0
 	Outcome         Outcome
-	ElapsedMs       float64
+	ElapsedMs       float64   // time since the attempt or probe was sent
 	Load            []float64 // values of the Settings.LoadReportFields; empty: no report
 	Token           uint64
 	List            ListKind
@@ -196,14 +210,15 @@
 // ActionKind says which fields of an Action are set.
 type ActionKind uint8
 
-// The kinds of action, each with the fields that it sets.
+// The kinds of action, each with the fields that it sets. A Root returns no Probe, MessagePeer,
+// FetchList or CloseIdle.
 const (
 	Send        ActionKind = iota // ID Addr Ms (timeout; 0: until the client gives up) Unhealthy (the replica is)
 	Cancel                        // ID Attempt
-	Timer                         // Ms Token
-	Answer                        // ID Complete
-	Refuse                        // ID Ms (when to retry; 0: no hint)
-	Abort                         // ID
+	Timer                         // Ms (time until it fires) Token
+	Answer                        // ID Complete; answers the current step, and ends the query if there is no other
+	Refuse                        // ID Ms (when to retry; 0: no hint); ends the query, and a retry is safe
+	Abort                         // ID; ends the query as failed, as an attempt of an Unsafe query may have run
 	Probe                         // Addr
 	MessagePeer                   // Peer (AllPeers: every other root) Text
 	Log                           // Text Addr (0: none) Unhealthy (the replica at Addr is from now on)
@@ -220,9 +235,9 @@
 	Kind      ActionKind
 	ID        uint64 // of the query or part
 	Addr      Addr
-	Attempt   int // number of the attempt of its part, from 0
-	Ms        float64
-	Token     uint64
+	Attempt   int     // number of the attempt of its part, from 0
+	Ms        float64 // milliseconds
+	Token     uint64  // returned in TimerFired
 	Complete  bool
 	Unhealthy bool
 	Peer      int
--- a/decide/deadline.go
+++ b/decide/deadline.go
@@ -5,18 +5,19 @@
 // does not see an answer that arrives later, so a root that runs out of time gives a query up
 // some time before the deadline.
 const (
-	maxReserveMs = 50   // as much as the protocol extends each time limit on sockets
-	reserveShare = 0.02 // share of the time that a query has, for short deadlines
+	maxReserveMs = 50   // the tolerance of the protocol on each time limit at sockets
+	reserveShare = 0.02 // share of the time that a query has; less than maxReserveMs for short deadlines
 )
 
 // reserveMs returns how long before its deadline a query with the given time is given up, in
-// milliseconds. It is at least minReserveTicks turns.
+// milliseconds. It is at least minReserveTicks ticks.
 func (s *Settings) reserveMs(timeLeftMs float64) float64 {
 	return max(minReserveTicks*s.TickMs, min(maxReserveMs, reserveShare*timeLeftMs))
 }
 
-// GiveUpAfterMs returns how long after its arrival a query with the given time is given up,
-// in milliseconds.
+// GiveUpAfterMs returns how long after its arrival a query is given up whose client waits for
+// the given time, both in milliseconds. The result is negative if the time is shorter than the
+// reserve.
 func (s *Settings) GiveUpAfterMs(timeLeftMs float64) float64 {
 	return timeLeftMs - s.reserveMs(timeLeftMs)
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,7 +1,6 @@
 package decide
 
-// The decisions, in the order in which a turn takes them after the constants and types. The types of the
-// interface are in api.go.
+// This file holds the decisions; Step runs one turn of them. The types of the interface are in api.go.
 
 import (
 	"cmp"
@@ -13,61 +12,64 @@
 )
 
 // Tuning constants. Apart from those that the design prescribes, they are ratios wherever possible, so that
-// they follow the latencies and rates of a deployment.
+// they follow the latencies and rates of a deployment. A name that ends in Latencies, Objectives, Sends or Ticks
+// gives a time as a multiple of a latency, of the shortest objective of all classes, of the interval between two
+// sends to one replica or of Settings.TickMs.
 const (
-	maxCopyFraction        = 0.1  // bound of the design on p, the fraction of parts that is copied; used until there are samples
-	maxExtraWork           = 0.1  // fraction of the work without copies: the design's bound in its rule (19)
+	maxCopyFraction        = 0.1  // the design's bound on p, the fraction of parts that is copied; p starts with it
+	maxExtraWork           = 0.1  // share by which copies may increase the work: the design's bound in its rule (19)
 	copyFractionSteps      = 5    // number of candidates for p above zero; a finer grid gains nothing over the noise
-	maxLatencySamples      = 200  // first-send times kept per class: some tens of seconds at usual rates
+	maxLatencySamples      = 200  // latencies of first attempts kept per class: some tens of seconds at usual rates
 	bootstrapRounds        = 60   // number of rounds: enough to rank six candidates, and cheap
 	copyFractionIntervalMs = 3000 // between two choices of p; the design asks for a few seconds
 
 	// Measurements of a replica lose weight with a time constant of decayLatencies mean latencies. At one root
-	// among many it is decaySends intervals between sends to a replica, if that is longer, up to
+	// among many it is decaySends intervals between sends to a replica, if that is longer, but no more than
 	// maxDecayObjectives shortest objectives.
-	smoothingFactor    = 0.12 // weight of one answer: parts differ in work, so some eight answers make a change
+	smoothingFactor    = 0.12 // weight of one outcome: parts differ in work, so it takes some eight to make a change
 	decayLatencies     = 30   // mean latencies
 	decaySends         = 8    // intervals between sends to one replica
 	maxDecayObjectives = 40   // shortest objectives
-	maxSparseSmoothing = 0.4  // weight of one answer if they are sparse: the first of eight would be outdated
-	sparseThreshold    = 1    // time constants (decayLatencies) between two sends from which answers are fully sparse
+	maxSparseSmoothing = 0.4  // weight of one answer if they are sparse: the first of eight would be outdated by the last
+	sparseThreshold    = 1    // answers are fully sparse if this many times decayLatencies pass between two sends
 
-	penaltyWeight          = 20   // share added to a latency for each unit of a zone or connection penalty
+	penaltyWeight          = 20   // share added to a replica's score for each unit of a zone or connection penalty
 	silenceLatencies       = 5.0  // expected latencies without an answer that make a replica suspected or slow
 	overdueLatencies       = 1.5  // expected latencies after which a part at an unhealthy replica is sent elsewhere
 	failureWeight          = 0.35 // weight of one failure in a replica's suspicion
 	suspectThreshold       = 0.5  // suspicion from 0 to 1: two failures in quick succession exceed it, one does not
-	groupFailureThreshold  = 0.7  // share of attempts without answer above which all of a zone and kind is unhealthy
-	trustThreshold         = 0.2  // suspicion from 0 to 1: two or three successive answers restore trust
-	minSurvivals           = 1.5  // lost connections followed by an answer: above this count, and
-	survivalsPerDeath      = 4.0  // above this count per loss followed by a refused connection, no query is blamed
-	cautionObjectives      = 20   // shortest objectives for which the cause of a replica's crash may recur
-	idleDecayObjectives    = 5    // shortest objectives without any answer: the time constant back to the baseline
-	partsPerTrial          = 10   // parts of a query: one in this many, and one more, may be a trial
-	trialIntervalLatencies = 8.0  // median latencies between two trials of a suspected replica,
-	trialIntervalSends     = 4.0  // or this many intervals between sends to one replica, at one root among many
-	fullBackoffLatencies   = 4.0  // median latencies, with a jitter of half, for which a full replica gets no parts
-	sparseFailureWeight    = 0.7  // weight of one failure if outcomes are sparse: there will hardly be further evidence
-	maxFlakyFailureRate    = 0.95 // share of failed attempts up to which a replica that fails fast may be tried first
+	groupFailureThreshold  = 0.7  // share of failed attempts above which all replicas of a zone and kind are unhealthy
+	trustThreshold         = 0.2  // suspicion from 0 to 1: three or four successive answers restore trust
+	minHarmlessLosses      = 1.5  // no query is blamed for lost connections while more replicas than this number, and
+	harmlessLossesPerCrash = 4.0  // than this multiple of those that crashed, have lately answered after a loss
+
+	cautionObjectives          = 20   // shortest objectives for which the cause of a replica's crash may recur
+	idleDecayObjectives        = 5    // shortest objectives without any answer: the time constant back to the baseline
+	partsPerProbation          = 10   // a query may have one probation attempt, and one more for each of this many parts
+	probationIntervalLatencies = 8.0  // median latencies between two probation attempts at a suspected replica,
+	probationIntervalSends     = 4.0  // or this many intervals between sends to one replica, at one root among many
+	fullBackoffLatencies       = 4.0  // median latencies, with a jitter of half, for which a full replica gets no parts
+	sparseFailureWeight        = 0.7  // weight of one failure if outcomes are sparse: there will hardly be further evidence
+	maxFlakyFailureRate        = 0.95 // share of failed attempts up to which a replica that fails fast may be tried first
 
 	usualAdmissionShare    = 0.8  // share of its objective that a query of mean worth must be predicted within under load
 	minAdmissionShare      = 0.5  // the same share for a query of little worth, which is shed first
-	maxTimeoutSamples      = 20   // latest client timeouts kept, to tell a usual timeout from the rest of a deadline
+	maxTimeoutSamples      = 20   // latest client timeouts kept per class, to tell a usual one from the rest of a deadline
 	fullCorrectionLateRate = 0.15 // share of late queries from which predictions are corrected in full
 	maxOverrun             = 3    // highest ratio of actual to predicted time that one query counts with
 	worthSamples           = 50   // number of queries over which the mean worth per work is smoothed
 
 	copyBudgetShare           = 0.5   // share of the retry budget open to copies; the rest is for retries after failures
 	defaultRetryRatio         = 0.15  // further attempts per arriving query or part if no budget is configured: modest
-	defaultRetryFloor         = 10    // further attempts that are allowed in any case then
-	defaultRetryWindowMs      = 10000 // window of both
+	defaultRetryFloor         = 10    // number of further attempts that are always allowed if no budget is configured
+	defaultRetryWindowMs      = 10000 // window over which both are counted
 	coldBudgetShare           = 0.75  // share of the configured overload budget: other roots may carry more traffic
 	coldBurstShare            = 0.25  // share of ColdOverloadMs over which unused budget accumulates
-	rateDecayMs               = 5000  // time constant of send rates: long compared with the gaps between sends
-	initialSubscribeBackoffMs = 100   // doubles with each request for the list, with jitter
+	rateDecayMs               = 5000  // time constant of a decayingCounter: long compared with the gaps between sends
+	initialSubscribeBackoffMs = 100   // doubles with each try to subscribe, with jitter
 	baselineRise              = 0.05  // share by which the baseline latency may rise at each choice of p
 	sweepIntervalTicks        = 4     // ticks between two checks of the open queries
-	minReserveTicks           = 2     // least number of ticks between a final answer and the time when it is worthless
+	minReserveTicks           = 2     // ticks, at least, between a final answer and the time when it is worthless
 	secondStepReserve         = 2     // mean times of a second step, or median latencies, that are reserved for it
 )
 
@@ -79,8 +81,8 @@
 	loadAtSend           float64 // parts in flight at the replica, this one included
 	turn                 uint64  // attempts sent to one replica in the same turn share a call
 	busyUntil            float64 // until when the replica may work on an attempt that ended without an answer
-	open, cancelled      bool    // open: its outcome is not known yet
-	neverRan, failedFast bool    // failedFast: it found no connection, or failed almost at once
+	open, cancelled      bool    // open: its outcome is not known yet, even if it is cancelled
+	neverRan, failedFast bool    // failedFast: it found no connection, was not sent, or failed almost at once
 }
 
 // part is one part of a query, for one shard.
@@ -88,9 +90,9 @@
 	id                 uint64
 	query              *query
 	shard              int
-	weight, answeredAt float64
+	weight, answeredAt float64 // answeredAt: 0: not answered
 	attempts           []*attempt
-	firstReplica       *replica // chosen for the first attempt
+	firstReplica       *replica // chosen for the first attempt; nil: none is available
 	answered, dropped  bool     // dropped: its query has ended or moved to the second step
 	atRisk             bool     // required, and no holder was healthy and had room when it was placed
 }
@@ -103,7 +105,7 @@
 	giveUpAt                                       float64 // when the root gives up for lack of time
 	classIndex, answeredParts, forkParts           int     // forkParts: unanswered parts at the fork; 0: no fork
 	parts                                          []*part
-	trials, lostParts                              int  // parts first sent to unhealthy replicas; under which a replica died
+	probations, presumedCrashes                    int  // probation attempts; attempts that seem to have crashed a replica
 	overQuota, retried, forked, cautious           bool // cautious: one part is sent ahead of the others
 	secondStep, betweenSteps, firstComplete, ended bool // firstComplete: the first step's answer was complete
 }
@@ -112,36 +114,36 @@
 type replica struct {
 	Member
 	group                  *group
-	startedAt, listedAt    float64 // its start as the root assumes it, -Inf: long ago; when the root heard of that
+	startedAt, listedAt    float64 // its assumed start, -Inf: long ago; when the root learned of it
 	hasAnswered, suspected bool
-	latency, latencyLoad   float64 // smoothed latency, and the parts in flight at the sends it was measured at
+	latency, latencyLoad   float64 // smoothed latency, and smoothed number of parts in flight when those were sent
 	silentMs               float64 // how long it has not answered while parts were in flight
 
 	// The latency with old measurements decayed, for comparisons; the same decayed as fast as queues drain, for
-	// predictions; and decayedLatency or silentMs, whichever is longer, for the choice of replicas.
+	// predictions; and the longer of decayedLatency and silentMs, for the choice of replicas.
 	decayedLatency, queueLatency, rankLatency float64
 
 	inFlight                  []*attempt
 	lastAnswerAt              float64
-	fullUntil                 float64   // after a rejection: earlier attempts would be rejected as well
+	fullUntil                 float64   // set by a rejection: earlier attempts would probably be rejected as well
 	coldTokens, tokensAt      float64   // parts that may be sent while it is cold, and when that was computed
 	suspicion                 float64   // evidence of failure, from 0 to 1
-	avoidedUntil              []float64 // by class: set when it lost a part of the class while it answered others
+	avoidedUntil              []float64 // by class: set when a part of the class seems lost there while others are answered
 	silent, refusedConnection bool      // suspected for silence, which any answer ends; refused the last connection
-	connectionLostAt          float64   // until the next answer or refusal shows whether it crashed
+	connectionLostAt          float64   // 0 once an answer or a refused connection has shown whether it crashed
 	failureRate, failureMs    float64   // smoothed share of failed attempts, and time until they fail
-	nextTrialAt               float64   // when it may get its next trial, if suspected
+	nextProbationAt           float64   // when it may get its next probation attempt, if unhealthy
 }
 
 // class is a Class with what the root has learned about its queries.
 type class struct {
 	Class
-	firstSendMs                  []float64 // latest latencies of first sends
+	firstAttemptMs               []float64 // latest latencies of first attempts
 	timeoutsMs                   []float64 // latest timeouts of clients
-	overrun, lateRate, overrunAt float64   // smoothed ratio of actual to predicted time; share of late queries
+	overrun, lateRate, overrunAt float64   // smoothed ratio of actual to predicted time; share of late queries; last update
 
 	// The smoothed number of parts; p, the fraction of them that is copied, and when it was chosen; until when
-	// queries send one part ahead, as one has crashed replicas.
+	// queries of the class send one part ahead, since one of them seems to have crashed replicas.
 	meanParts, copyFraction, fractionChosenAt, cautiousUntil float64
 
 	meanPartMs, secondStepMs float64 // smoothed time of a part and of a second step
@@ -149,16 +151,19 @@
 
 // group is the replicas of one zone and kind: a slow link or a slow kind of machine affects all of them.
 type group struct {
-	latency, decayedLatency  float64 // smoothed latency; the same in this turn, raised by what open attempts prove
-	failureRate, nextTrialAt float64 // smoothed share of attempts without an answer; when it may get its next trial
+	latency, decayedLatency      float64 // smoothed latency; the same decayed, and raised by the ages of open attempts
+	failureRate, nextProbationAt float64 // smoothed share of failed attempts; when it may get its next probation attempt
 }
 
 // decayingCounter is a count that decays with the time constant rateDecayMs.
 type decayingCounter struct{ count, updatedAt float64 }
 
+// value returns the count at the given time, in milliseconds.
 func (c *decayingCounter) value(now float64) float64 {
 	return c.count * math.Exp(-(now-c.updatedAt)/rateDecayMs)
 }
+
+// add adds 1 at the given time, in milliseconds.
 func (c *decayingCounter) add(now float64) { c.count, c.updatedAt = c.value(now)+1, now }
 
 // Root makes the decisions of one aggregator. It is not safe for concurrent use.
@@ -179,30 +184,31 @@
 	openQueries, newQueries   []*query // newQueries: to be sent in this turn
 	classes                   []class
 
-	tenantUsage             []decayingCounter // queries of each tenant within its allowance at this root
-	meanWorth, worthCount   float64           // smoothed worth per work of arriving queries; how many it is based on
-	extraAttempts, arrivals []float64         // times of further attempts, and of arriving queries and parts
-	sends, calls, crashes   decayingCounter   // attempts sent, the calls they were in, and those that a replica died under
+	tenantUsage                   []decayingCounter // by tenant: its queries that were within its allowance at this root
+	meanWorth, worthCount         float64           // smoothed worth per work of arriving queries; how many it is based on
+	extraAttempts, arrivals       []float64         // times of further attempts, and of arriving queries and parts
+	sends, calls, presumedCrashes decayingCounter   // attempts sent; their calls; those that seem to have crashed a replica
 
-	// Answers, and the warm replicas integrated over time, both decaying with WarmUpMs; when that was updated.
+	// Answered parts, and the time of ready replicas weighted by their share of a warm one's capacity, in
+	// milliseconds, both decaying with WarmUpMs; when they were updated.
 	servedParts, warmReplicaMs, assessedAt float64
 
-	survivals, deaths          decayingCounter // replicas that answered, or refused a connection, after they lost one
-	meanLatency, medianLatency float64         // over replicas
+	harmlessLosses, confirmedCrashes decayingCounter // losses of connections after which the replica answered; or refused one
+	meanLatency, medianLatency       float64         // over the replicas that have answered
 
 	// The shortest objective of a class; the latest answer; until when every query sends one part ahead.
 	shortestObjectiveMs, lastAnswerAt, cautiousUntil float64
 
-	// The first turn; the time between two sends to one replica; the time constant of measurements.
+	// Time of the first turn; mean time between two sends to one replica; time constant of measurements.
 	firstStepAt, sendIntervalMs, decayMs float64
 
-	fleetLatency, baselineLatency float64 // mean over the groups' replicas; the usual latency while queues are short
+	fleetLatency, baselineLatency float64 // mean over replicas of their groups' latencies; the latency while queues are short
 
 	nextSweepAt, nextSubscribeAt, subscribeBackoffMs float64
 	subscribed, hasList                              bool
 }
 
-// New returns a root that has just started. The seed determines its random choices.
+// New returns a root that has just started and has no list of replicas. The seed determines its random choices.
 func New(s Settings, seed uint64) *Root {
 	s.Cells, s.MaxPartsPerCall = max(1, s.Cells), max(1, s.MaxPartsPerCall)
 	r := &Root{
@@ -223,13 +229,15 @@
 	return r
 }
 
+// addClass adds a class without measurements.
 func (r *Root) addClass(c Class) {
 	r.shortestObjectiveMs = min(cmp.Or(r.shortestObjectiveMs, c.ObjectiveMs), max(1, c.ObjectiveMs))
 	r.classes = append(r.classes, class{Class: c, copyFraction: maxCopyFraction, overrun: 1})
 }
 
-// Step runs one turn at the time now, in milliseconds. It applies all events before it decides, so that answers
-// that arrive together are all taken into account, and appends the resulting actions to out.
+// Step runs one turn at the time now, in milliseconds, which must not be earlier than in the turn before. It
+// applies all events before it decides, so that answers that arrive together are all taken into account. It appends
+// the resulting actions to out, which may be nil, and returns the extended slice.
 func (r *Root) Step(now float64, events []Event, out []Action) []Action {
 	r.actions, r.turn, r.now, r.stalledMs, r.firstStepAt = out, r.turn+1, now, 0, cmp.Or(r.firstStepAt, now)
 	if lateBy := now - r.nextSweepAt; len(r.openQueries) > 0 && lateBy > sweepIntervalTicks*r.settings.TickMs {
@@ -264,12 +272,14 @@
 	return r.actions
 }
 
+// emit adds an action to those of this turn.
 func (r *Root) emit(a Action) { r.actions = append(r.actions, a) }
 
-// activeTime is the current time without the periods in which this root itself stood still: no replica is to
-// blame for what waited in them.
+// activeTime returns the current time less the periods in which this root itself stood still, in milliseconds: no
+// replica is to blame for what waited in them.
 func (r *Root) activeTime() float64 { return r.now - r.totalStalledMs }
 
+// apply applies one event. Events that it does not know, or that refer to what has ended, have no effect.
 func (r *Root) apply(e *Event) {
 	switch e.Kind {
 	case QueryArrived:
@@ -313,8 +323,9 @@
 	}
 }
 
-// objective returns for how long an answer earns the full worth, in milliseconds. A client's last try has only
-// the rest of its deadline; it is recognized by a timeout that no other recent query has.
+// objective returns for how long an answer earns the full worth, in milliseconds from now. A client's last try has
+// only the rest of its deadline, and so only the rest of the objective, which may be negative. Such a try is
+// recognized by a timeout that no other recent query has.
 func (c *class) objective(e *Event, tickMs float64) float64 {
 	objectiveMs := min(c.ObjectiveMs+c.ObjectiveWorkFactor*e.EstimatedWorkMs, c.DeadlineMs)
 	isKnown := func(ms float64) bool { return math.Abs(e.TimeLeftMs-ms) < tickMs }
@@ -325,7 +336,7 @@
 	return objectiveMs
 }
 
-// attemptEnded records the outcome of one attempt.
+// attemptEnded records the outcome of one attempt of p.
 func (r *Root) attemptEnded(p *part, e *Event) {
 	a := p.attempts[e.Attempt]
 	a.open, a.neverRan = false, e.Outcome == Rejected || e.Outcome == Unreachable || e.Outcome == NotSent
@@ -343,13 +354,13 @@
 		r.recordSuccess(rep)
 		if rep.connectionLostAt > 0 && a.sentAt > rep.connectionLostAt {
 			rep.connectionLostAt = 0
-			if r.survivals.add(r.now); r.connectionLossIsHarmless() {
+			if r.harmlessLosses.add(r.now); r.connectionLossIsHarmless() {
 				r.cautiousUntil = 0
 			}
 		}
 		rep.failureRate, rep.avoidedUntil[p.query.classIndex] = (1-smoothingFactor)*rep.failureRate, 0
 		if e.Attempt == 0 && !a.cancelled && r.stalledMs == 0 {
-			c.recordFirstSend(age)
+			c.recordFirstAttempt(age)
 		}
 		if !p.answered && !p.dropped {
 			p.answered, p.answeredAt = true, r.now
@@ -362,8 +373,8 @@
 		rep.group.failureRate += smoothingFactor * (1 - rep.group.failureRate)
 	case ConnectionLost:
 		if !r.connectionLossIsHarmless() {
-			p.query.lostParts++
-			if r.crashes.add(r.now); r.crashes.count > 1.5 { // more than one recently
+			p.query.presumedCrashes++
+			if r.presumedCrashes.add(r.now); r.presumedCrashes.count > 1.5 { // more than one recently
 				r.cautiousUntil = r.now + cautionObjectives*r.shortestObjectiveMs
 			}
 			r.recordFailure(rep)
@@ -377,7 +388,7 @@
 		r.recordFailure(rep)
 	case Unreachable:
 		if rep.connectionLostAt > 0 {
-			r.deaths.add(r.now)
+			r.confirmedCrashes.add(r.now)
 		}
 		rep.connectionLostAt, rep.refusedConnection = 0, true
 		r.recordFailure(rep)
@@ -391,7 +402,8 @@
 	r.removeIfDone(p)
 }
 
-// recordLatency updates the latencies of a replica and its group with the time that an attempt took.
+// recordLatency updates the latencies of a replica and its group with the time that an attempt took, in
+// milliseconds.
 func (r *Root) recordLatency(a *attempt, elapsed float64) {
 	rep := a.replica
 	r.lastAnswerAt = r.activeTime()
@@ -406,34 +418,37 @@
 		rep.latencyLoad+weight*(a.loadAtSend-rep.latencyLoad)
 }
 
-// sparseness rises to 1 as measurements of a replica decay between two sends of this root to it; each outcome
-// must then have more weight.
+// sparseness returns from 0 to 1 how far the measurements of a replica decay between two sends of this root to it.
+// The sparser they are, the more weight each outcome needs.
 func (r *Root) sparseness() float64 {
 	return min(1, r.sendIntervalMs/(sparseThreshold*decayLatencies*r.meanLatency+1))
 }
 
-// addToGroupMean updates the mean of a group with one part. Weights are per query, not per part, as the slowest
-// parts of each query arrive last.
+// addToGroupMean updates the mean of a group with one part. All parts of a query together have about the weight
+// of one value, since the slowest parts of each query arrive last.
 func (r *Root) addToGroupMean(mean *float64, elapsed float64, a *attempt) {
 	*mean = smoothed(*mean, elapsed, 1/max(1, r.classes[a.part.query.classIndex].meanParts))
 }
 
-// smoothed returns the exponentially smoothed mean after one more value, which has the given weight. The first
-// value becomes the mean.
+// smoothed returns the exponentially smoothed mean after one more value, which has the given weight. A mean of 0
+// has no value yet, and the first one becomes the mean.
 func smoothed(mean, value, weight float64) float64 {
 	return cmp.Or(mean, value) + weight*(value-cmp.Or(mean, value))
 }
 
+// isCold reports whether a replica is in slow start.
 func (r *Root) isCold(rep *replica) bool { return r.now-rep.startedAt < r.settings.WarmUpMs }
 
-// capacityShare returns the share of its capacity that a replica has at least, which grows while it is cold.
+// capacityShare returns the share of its capacity that a replica has at least. It grows to 1 while the replica is
+// cold.
 func (r *Root) capacityShare(rep *replica) float64 {
 	return min(1, r.settings.ColdCapacityShare+
 		(1-r.settings.ColdCapacityShare)*max(0, r.now-rep.startedAt)/max(1, r.settings.WarmUpMs))
 }
 
-// recordAbandoned records an attempt that ended without an answer and that the replica may still work on. One
-// that was cancelled would have taken at least its age; a timeout says nothing about the latency.
+// recordAbandoned records an attempt that timed out or is cancelled and that the replica may still work on. One
+// that is cancelled because its part is not needed any more would have taken at least its age, which counts as a
+// latency if it is above the replica's; a timeout says nothing about the latency.
 func (r *Root) recordAbandoned(a *attempt) {
 	if age := r.activeTime() - a.sentActive; age > a.replica.latency && a.cancelled &&
 		(a.part.answered || a.part.dropped) {
@@ -442,23 +457,26 @@
 	a.busyUntil = r.now + a.replica.latency
 }
 
-func (c *class) recordFirstSend(ms float64) {
-	c.firstSendMs = append(c.firstSendMs[max(0, len(c.firstSendMs)-maxLatencySamples+1):], ms)
-	c.meanPartMs += max(smoothingFactor, 1/float64(len(c.firstSendMs))) * (ms - c.meanPartMs)
+// recordFirstAttempt records the latency of a part's first attempt, in milliseconds.
+func (c *class) recordFirstAttempt(ms float64) {
+	c.firstAttemptMs = append(c.firstAttemptMs[max(0, len(c.firstAttemptMs)-maxLatencySamples+1):], ms)
+	c.meanPartMs += max(smoothingFactor, 1/float64(len(c.firstAttemptMs))) * (ms - c.meanPartMs)
 }
 
-// connectionLossIsHarmless reports whether replicas have recently survived the loss of connections: one that
-// has crashed refuses the next connection.
+// connectionLossIsHarmless reports whether replicas that lost connections have recently gone on to answer: one that
+// has crashed refuses the next connection instead.
 func (r *Root) connectionLossIsHarmless() bool {
-	return r.survivals.value(r.now) > max(minSurvivals, survivalsPerDeath*r.deaths.value(r.now))
+	return r.harmlessLosses.value(r.now) > max(minHarmlessLosses, harmlessLossesPerCrash*r.confirmedCrashes.value(r.now))
 }
 
+// removeIfDone forgets a part that is dropped and has no open attempt.
 func (r *Root) removeIfDone(p *part) {
 	if open, _ := p.openAttempts(); p.dropped && open == 0 {
 		delete(r.parts, p.id)
 	}
 }
 
+// recordSuccess lowers the suspicion of a replica that has answered.
 func (r *Root) recordSuccess(rep *replica) {
 	rep.lastAnswerAt = r.activeTime()
 	rep.suspicion *= 1 - max(failureWeight, sparseFailureWeight*r.sparseness())
@@ -478,14 +496,14 @@
 		rep.suspected = true
 		r.emit(Action{Kind: Log, Addr: rep.Addr, Unhealthy: true, Text: fmt.Sprintf("replica %x suspected", rep.Addr)})
 	}
-	rep.nextTrialAt = r.now + r.trialInterval()
+	rep.nextProbationAt = r.now + r.probationIntervalMs()
 }
 
-// trialInterval returns the time between two trials of a suspected replica: the more roots there are to try
-// it, the longer each of them waits.
-func (r *Root) trialInterval() float64 {
-	return max(trialIntervalLatencies*r.medianLatency,
-		min(trialIntervalSends*r.sendIntervalMs, cautionObjectives*r.shortestObjectiveMs))
+// probationIntervalMs returns the time between two probation attempts at a suspected replica: the more roots there
+// are to send them, the longer each of them waits.
+func (r *Root) probationIntervalMs() float64 {
+	return max(probationIntervalLatencies*r.medianLatency,
+		min(probationIntervalSends*r.sendIntervalMs, cautionObjectives*r.shortestObjectiveMs))
 }
 
 // assessReplicas updates the latencies of all listed replicas for this turn and suspects those that have been
@@ -518,8 +536,8 @@
 			}
 		}
 	}
-	// A root among many rarely hears from each replica: it then keeps the measurements of several sends, however
-	// old they are.
+	// A root among many rarely hears from each replica: it then keeps the measurements of several sends,
+	// although they are old.
 	windowMs := rateDecayMs * (1 - math.Exp(-(r.now-r.firstStepAt+1)/rateDecayMs))
 	r.sendIntervalMs = windowMs * float64(len(r.listedReplicas)) / max(1, r.sends.value(r.now))
 	r.decayMs = max(decayLatencies*r.meanLatency+1,
@@ -552,8 +570,9 @@
 	}
 }
 
-// decayToBaseline lets a mean decay to the baseline while no answers arrive: otherwise a root that refuses all
-// queries would never admit one again. The decay is quick enough that clients need few retries.
+// decayToBaseline returns a mean latency, decayed to the baseline by the time since the last answer: otherwise a
+// root that refuses all queries would never admit one again. The decay is quick enough that clients need few
+// retries.
 func (r *Root) decayToBaseline(mean float64) float64 {
 	baseline := min(r.baselineLatency, mean)
 	return baseline + (mean-baseline)*
@@ -566,8 +585,9 @@
 	return r.medianLatency * max(1, rep.group.decayedLatency/max(1, r.fleetLatency))
 }
 
-// silence returns for how long a replica has not answered, in milliseconds. Parts of a query that has no answer
-// yet do not count, unless it has one part only: the query may just be expensive.
+// silence returns for how long a replica with open attempts has not answered, in milliseconds, or 0 without any.
+// Parts of a query that has no answer yet do not count, unless it has one part only: the query may just be
+// expensive.
 func (r *Root) silence(rep *replica) float64 {
 	for _, a := range rep.inFlight {
 		if q := a.part.query; a.open && !a.cancelled && (q.answeredParts > 0 || len(q.parts) < 2) {
@@ -593,15 +613,17 @@
 }
 
 // predictLatency estimates the latency of one more part, in proportion to the parts in flight. It uses
-// queueLatency, which decays as fast as queues drain, as a root that refuses queries gets no new measurements.
+// queueLatency, which decays as fast as queues drain, since a root that refuses queries gets no new measurements.
 func (r *Root) predictLatency(rep *replica) float64 {
 	return max(rep.silentMs, rep.queueLatency*float64(len(rep.inFlight)+1)/max(1, rep.latencyLoad))
 }
 
-// pickReplica chooses the holder with the least latency times (own calls in flight + 1), or nil. Replicas with an
-// open attempt of p are excluded. Unhealthy ones and those where p has failed come last, but an unhealthy one
-// that is due for a trial comes first: a trial is a real part.
-func (r *Root) pickReplica(p *part, first bool) *replica {
+// pickReplica chooses the holder with the least score for an attempt of p, or returns nil if there is none. Replicas
+// with an open attempt of p, or without budget in slow start, are excluded. Replicas that the class avoids, that are
+// unhealthy, where p has been tried, that are full or that are down come last, in this order. Before all others
+// comes an unhealthy one that is due for a probation attempt, which is a real part, but only the first attempt of a
+// part can be one.
+func (r *Root) pickReplica(p *part, firstAttempt bool) *replica {
 	var best *replica
 	bestRank, bestScore := math.MaxInt, 0.0
 	for _, rep := range r.holders(p) {
@@ -618,7 +640,7 @@
 			rank = 5
 		case tried:
 			rank = 4
-		case r.unhealthy(rep) && first && r.dueForTrial(rep, p.query) && r.mayCopy(p):
+		case r.unhealthy(rep) && firstAttempt && r.dueForProbation(rep, p.query) && r.mayCopy(p):
 			rank = 0
 		case r.unhealthy(rep):
 			rank = 3
@@ -636,8 +658,8 @@
 	return best
 }
 
-// score returns the cost of one more call to a replica, by which holders are compared: its latency times the
-// calls in flight, increased by the configured penalties.
+// score returns the cost of one more part at a replica, by which holders are compared: its latency times this
+// root's calls in flight there, with that of the part, increased by the configured penalties.
 func (r *Root) score(rep *replica) float64 {
 	score := max(rep.rankLatency, 1e-3) * r.callsWith(rep) * (1 + 1e-6*r.rng.Float64()) // breaks ties at random
 	if rep.Zone != r.settings.Zone {
@@ -649,8 +671,8 @@
 	return score
 }
 
-// pickFlaky returns, in place of best, a suspected replica that fails parts fast, if the expected time is then
-// shorter with the retry after a failure included.
+// pickFlaky returns a suspected replica that fails parts fast, if the expected time there is shorter than at best,
+// with the retry after a failure included, or else best.
 func (r *Root) pickFlaky(p *part, best *replica, bestScore float64) *replica {
 	leastScore := bestScore
 	for _, rep := range r.holders(p) {
@@ -672,26 +694,26 @@
 	return rep.suspected || rep.group.failureRate > groupFailureThreshold
 }
 
-// isDown reports whether a replica refused the last connection and is not due for a trial yet. It must be
-// suspected as well, as a refused connection may be a single mishap.
+// isDown reports whether a replica refused the last connection and is not due for a probation attempt yet. It must
+// be suspected as well, since a single refused connection may be an exception.
 func (r *Root) isDown(rep *replica) bool {
-	return rep.refusedConnection && rep.suspected && r.now < rep.nextTrialAt
+	return rep.refusedConnection && rep.suspected && r.now < rep.nextProbationAt
 }
 
-// dueForTrial reports whether an unhealthy replica is due for a real part as a trial. Few parts of a query may
-// be trials, and only one at a time goes to a group that is unhealthy as a whole.
-func (r *Root) dueForTrial(rep *replica, q *query) bool {
-	few := q.trials <= len(q.parts)/partsPerTrial &&
-		(rep.group.failureRate <= groupFailureThreshold || r.now >= rep.group.nextTrialAt)
-	return few && r.now >= rep.nextTrialAt && len(rep.inFlight) == 0
+// dueForProbation reports whether an unhealthy replica may be sent a part of q as a probation attempt. Few parts of
+// a query may be used for that, and only one at a time goes to a group that is unhealthy as a whole.
+func (r *Root) dueForProbation(rep *replica, q *query) bool {
+	few := q.probations <= len(q.parts)/partsPerProbation &&
+		(rep.group.failureRate <= groupFailureThreshold || r.now >= rep.group.nextProbationAt)
+	return few && r.now >= rep.nextProbationAt && len(rep.inFlight) == 0
 }
 
-// holders returns the ready replicas that hold the part's shard.
+// holders returns the ready replicas that hold the part's shard, healthy or not.
 func (r *Root) holders(p *part) []*replica {
 	return r.holdersByCell[uint(p.shard)%uint(len(r.holdersByCell))]
 }
 
-// joinsCall reports whether a part sent to the replica now joins a call of this turn that has room for it.
+// joinsCall reports whether a part sent to the replica now would join a call of this turn that has room for it.
 func (r *Root) joinsCall(rep *replica) bool {
 	partsThisTurn := 0
 	for i := len(rep.inFlight) - 1; i >= 0 && rep.inFlight[i].turn == r.turn; i-- {
@@ -700,10 +722,10 @@
 	return partsThisTurn%r.settings.MaxPartsPerCall != 0
 }
 
-// hasColdBudget reports whether a replica may be sent one more part without the risk of overload while it is
-// cold. It is a token bucket: the rate is this process's part of the configured overload budget, based on what
-// warm replicas have served, and it starts with a random share of a call used up, so that the roots do not all
-// send at once. Parts that join a call are always allowed and are charged afterwards.
+// hasColdBudget reports whether a replica may be sent one more part without the risk of overload while it is cold; a
+// warm one always may. The budget is a token bucket. Its rate is this process's part of the configured overload
+// budget, based on what warm replicas have served. It starts with a random share of a call used up, so that the roots
+// do not all send at once. Parts that join a call are always allowed and are charged afterwards.
 func (r *Root) hasColdBudget(rep *replica) bool {
 	if r.joinsCall(rep) || !r.isCold(rep) {
 		return true
@@ -730,31 +752,32 @@
 	}
 	p.attempts, rep.inFlight, a.loadAtSend =
 		append(p.attempts, a), append(rep.inFlight, a), float64(len(rep.inFlight)+1)
-	rep.nextTrialAt, rep.coldTokens = r.now+r.trialInterval(), rep.coldTokens-1 // tokens matter while it is cold
+	rep.nextProbationAt, rep.coldTokens = r.now+r.probationIntervalMs(), rep.coldTokens-1 // tokens matter while it is cold
 	r.sends.add(r.now)
 	timeoutMs := max(r.settings.TickMs, p.query.giveUpAt-r.now)
 	r.emit(Action{Kind: Send, ID: p.id, Addr: rep.Addr, Ms: timeoutMs, Unhealthy: r.unhealthy(rep)})
 }
 
-// nextAttemptIsFree reports whether the next attempt of p does not count as a further one, as the last caused no
-// work. A configured budget counts all of them.
+// nextAttemptIsFree reports whether the next attempt of p, which has had one, does not use up retry budget, since
+// the last attempt caused hardly any work. A configured budget counts all of them.
 func (r *Root) nextAttemptIsFree(p *part) bool {
 	return !r.settings.HasRetryBudget && p.attempts[len(p.attempts)-1].failedFast
 }
 
-// cancelAttempts cancels the open attempts of a part. A first send is recorded with its age, as Algorithm 1 of the
-// design also does.
+// cancelAttempts cancels the open attempts of a part, if cancelling is allowed.
 func (r *Root) cancelAttempts(p *part) {
 	for i := range p.attempts {
 		r.cancelAttempt(p, i)
 	}
 }
 
+// cancelAttempt cancels one attempt of a part, if it is open and cancelling is allowed. An open first attempt is
+// recorded with its age in either case, as Algorithm 1 of the design also does.
 func (r *Root) cancelAttempt(p *part, index int) {
 	a := p.attempts[index]
 	active := a.open && !a.cancelled
 	if active && index == 0 {
-		r.classes[p.query.classIndex].recordFirstSend(r.activeTime() - a.sentActive)
+		r.classes[p.query.classIndex].recordFirstAttempt(r.activeTime() - a.sentActive)
 	}
 	if a.cancelled = a.cancelled || active && r.settings.AllowCancel; active && a.cancelled {
 		r.recordAbandoned(a)
@@ -762,7 +785,7 @@
 	}
 }
 
-// openAttempts returns the number of open attempts and the last of them.
+// openAttempts returns the number of open attempts and the last of them, nil if there is none.
 func (p *part) openAttempts() (n int, last *attempt) {
 	for _, a := range p.attempts {
 		if a.open {
@@ -772,7 +795,8 @@
 	return n, last
 }
 
-// mayRetry reports whether p may get a further attempt, by the limit of attempts and the effect of its class.
+// mayRetry reports whether p is still needed and may get a further attempt, by the limit of attempts and the effect
+// of its class. The retry budget is checked separately.
 func (r *Root) mayRetry(p *part) bool {
 	if r.settings.MaxAttempts > 0 && len(p.attempts) >= r.settings.MaxAttempts || p.answered || p.dropped {
 		return false
@@ -783,13 +807,16 @@
 		c.Effect == Keyed && r.now-p.attempts[first].sentAt < c.DedupWindowMs-r.settings.TickMs
 }
 
+// mayHaveRun reports whether the replica may have run the attempt, or may still run it.
 func (a *attempt) mayHaveRun() bool { return !a.neverRan }
 
+// mayCopy reports whether p may get a further attempt while another is open.
 func (r *Root) mayCopy(p *part) bool {
 	return r.settings.AllowCopies && r.mayRetry(p) && r.classes[p.query.classIndex].Effect == Safe
 }
 
-// retryParts sends the parts that have no open attempt: they failed, or no replica was available before.
+// retryParts sends the parts of q that have no open attempt: they failed, were held back, or found no replica
+// before. It refuses q if a required part has only holders that are down.
 func (r *Root) retryParts(q *query) {
 	underWay := func(p *part) bool {
 		n, a := p.openAttempts()
@@ -803,40 +830,41 @@
 		if n, _ = p.openAttempts(); p.answered || n > 0 || r.waitsForAtRiskSibling(p) ||
 			attempts > 0 && (!r.mayRetry(p) || !r.nextAttemptIsFree(p) && !r.withinRetryBudget(1)) ||
 			attempts > 0 && attempts == r.settings.MaxAttempts-1 &&
-				r.now < p.attempts[attempts-1].replica.fullUntil { // the last attempt waits
+				r.now < p.attempts[attempts-1].replica.fullUntil { // the last attempt that is allowed waits for a replica that was full
 			continue
 		}
 		switch rep := r.pickReplica(p, false); {
 		case rep == nil || r.now < rep.fullUntil: // all are cold or full for now: the part can wait
 		case r.isDown(rep) && r.isRequired(p): // and so are all other holders
-			r.refuse(q, max(r.medianLatency, rep.nextTrialAt-r.now))
+			r.refuse(q, max(r.medianLatency, rep.nextProbationAt-r.now))
 		default:
 			r.send(p, rep)
 		}
 	}
 }
 
-// mayCrashReplicas reports whether q, of which no part is answered, might crash the replicas that run it. Its
-// parts are then sent one by one.
+// mayCrashReplicas reports whether q, with no part answered yet, might crash the replicas that run it. Its parts are
+// then sent one by one.
 func (q *query) mayCrashReplicas() bool {
-	return (q.cautious || q.lostParts > 0) && q.answeredParts == 0 && !q.secondStep
+	return (q.cautious || q.presumedCrashes > 0) && q.answeredParts == 0 && !q.secondStep
 }
 
-// crashesReplicas reports whether replicas were lost under so many parts of q that it is ended: a retry of it
-// would crash more.
+// crashesReplicas reports whether so many replicas seem to have crashed during attempts of q that it must be ended:
+// further attempts would crash more.
 func (q *query) crashesReplicas() bool {
-	return q.mayCrashReplicas() && q.lostParts > 0 &&
-		(q.cautious || q.lostParts > 1 && 2*q.lostParts >= len(q.parts))
+	return q.mayCrashReplicas() && q.presumedCrashes > 0 &&
+		(q.cautious || q.presumedCrashes > 1 && 2*q.presumedCrashes >= len(q.parts))
 }
 
+// inactive reports whether q has no parts to send, as it has ended or its second step has not begun.
 func (q *query) inactive() bool { return q.ended || q.betweenSteps }
 
-// copyParts sends the copies of q's parts. At the fork, when all but q.forkParts parts have answered, each open part
-// gets the one copy of the design, if there is a replica where this root has nothing in flight and where the copy
-// should take less time than the original has taken so far. Parts do not wait for the fork if their replica is
-// silent, failing, slow or removed from the list, or if they seem lost while half of the parts have answered. If
-// both attempts of a part are stuck, the older is cancelled for a third. If all other holders are unhealthy, a
-// stuck part is sent to one with nothing in flight, as it may have recovered.
+// copyParts sends the copies of q's parts. At the fork, when all but q.forkParts parts are answered, each open part
+// gets the one copy of the design, if there is a healthy replica where this root has nothing in flight and where the
+// copy should take less time than the original has taken so far. A part does not wait for the fork if it is stuck,
+// because its replica is silent, failing, slow or removed from the list, or if it seems lost while half of the parts
+// are answered. If both attempts of a part are stuck, the older is cancelled for a third. If all other holders are
+// unhealthy, a stuck part is sent to one with nothing in flight, as that may have recovered.
 func (r *Root) copyParts(q *query) {
 	forksNow := !q.inactive() && !q.forked && q.forkParts > 0 && len(q.parts)-q.answeredParts <= q.forkParts
 	q.forked = q.forked || forksNow
@@ -871,7 +899,8 @@
 	}
 }
 
-// exceedsQuota reports whether a query exceeds its tenant's allowance at this root, and counts it if it does not.
+// exceedsQuota reports whether a query exceeds its tenant's allowance at this root, and counts it if it does not. An
+// unknown tenant, or one without an allowance, has no limit.
 func (r *Root) exceedsQuota(tenant int) bool {
 	if uint(tenant) >= uint(len(r.tenantUsage)) || r.settings.Tenants[tenant].QueriesPerSecond <= 0 {
 		return false
@@ -885,8 +914,8 @@
 	return false
 }
 
-// placeParts picks a replica for the first attempt of each part, with the other parts counted as its load, and
-// returns the predicted time until enough parts are answered.
+// placeParts picks a replica for the first attempt of each part of q, with the parts before it counted as load. It
+// returns the predicted time until enough parts are answered, in milliseconds, or infinity if too few have a replica.
 func (r *Root) placeParts(q *query) float64 {
 	c, predictions := &r.classes[q.classIndex], make([]float64, len(q.parts))
 	for i, p := range q.parts {
@@ -895,10 +924,10 @@
 		if rep := p.firstReplica; rep != nil {
 			if predictions[i] = r.predictLatency(rep) + max(0, rep.fullUntil-r.now); r.isDown(rep) {
 				predictions[i] = math.Inf(1) // and so are all other holders of the shard
-			} else if r.unhealthy(rep) { // a trial that is overdue is sent elsewhere
+			} else if r.unhealthy(rep) { // a probation attempt that is overdue is sent elsewhere
 				predictions[i] = min(predictions[i], (1+overdueLatencies)*r.medianLatency)
-				q.trials++
-				rep.group.nextTrialAt = r.now + max(trialIntervalLatencies*r.medianLatency,
+				q.probations++
+				rep.group.nextProbationAt = r.now + max(probationIntervalLatencies*r.medianLatency,
 					min(r.sendIntervalMs, cautionObjectives*r.shortestObjectiveMs))
 			}
 			rep.inFlight = append(rep.inFlight, &attempt{turn: r.turn, open: true})
@@ -922,7 +951,8 @@
 	return predictions[needed-1]
 }
 
-// admit sends all parts of a query, or refuses it at once if its answer is predicted too late.
+// admit sends the parts of a query's new step. At the first step, it refuses the query instead if its answer is
+// predicted too late, and sends one part only if the query may crash replicas; retryParts sends the others.
 func (r *Root) admit(q *query) {
 	c, parts := &r.classes[q.classIndex], float64(len(q.parts))
 	predicted := r.placeParts(q)
@@ -968,7 +998,7 @@
 	}
 }
 
-// isRequired reports whether the query of p cannot have even a partial answer without it. The margin allows for
+// isRequired reports whether the query of p cannot have even a partial answer without p. The margin allows for
 // weights that are rounded.
 func (r *Root) isRequired(p *part) bool {
 	return 1-p.weight < r.classes[p.query.classIndex].MinShare-5e-5
@@ -979,7 +1009,7 @@
 	return !r.unhealthy(rep) && r.now >= rep.fullUntil && r.hasColdBudget(rep)
 }
 
-// waitsForAtRiskSibling reports whether p is held back as a part at risk of the same query may still fail: the
+// waitsForAtRiskSibling reports whether p is held back because a part at risk of the same query may still fail: the
 // query would then be lost, and the work of p wasted.
 func (r *Root) waitsForAtRiskSibling(p *part) bool {
 	return !p.atRisk && slices.ContainsFunc(p.query.parts, func(sibling *part) bool {
@@ -989,8 +1019,10 @@
 	})
 }
 
-// endIfDue answers a query of which enough parts are answered. If time is up, or the missing parts cannot be
-// answered any more, it ends the query with a partial answer, if the class allows that, or a refusal.
+// endIfDue answers the step of a query if enough of its parts are answered. If time is up, the query seems to crash
+// replicas, or the missing parts cannot be answered any more, it ends the step with a partial answer, if the class
+// allows that, or the query with a refusal. Around the objective it also gives a partial answer that
+// earns more than a late complete one.
 func (r *Root) endIfDue(q *query) {
 	c := &r.classes[q.classIndex]
 	completeWeight, minWeight := c.CompleteShare-5e-5, c.MinShare-5e-5 // weights are rounded
@@ -1006,7 +1038,7 @@
 			reachable += p.weight
 		}
 	}
-	outOfTime := r.now >= q.giveUpAt || q.crashesReplicas()
+	mustEnd := r.now >= q.giveUpAt || q.crashesReplicas()
 	if q.crashesReplicas() {
 		c.cautiousUntil = r.now + cautionObjectives*r.shortestObjectiveMs
 	}
@@ -1018,13 +1050,13 @@
 	partialDue := r.now >= q.objectiveAt-(sweepIntervalTicks+minReserveTicks)*r.settings.TickMs-secondStepMs &&
 		c.PartialWorth*q.answeredWeight > c.LateWorthShare*c.CompleteShare
 	switch {
-	case q.ended, q.betweenSteps && !outOfTime:
+	case q.ended, q.betweenSteps && !mustEnd:
 	case q.betweenSteps:
 		r.refuse(q, 0)
 	case q.answeredParts > 0 && (q.answeredWeight >= completeWeight && (allAnswered || !q.secondStep) ||
 		allAnswered && q.answeredWeight >= minWeight):
 		r.answer(q, q.answeredWeight >= completeWeight && (!q.secondStep || q.firstComplete))
-	case !outOfTime && reachable >= minWeight && !(partialDue && sufficient):
+	case !mustEnd && reachable >= minWeight && !(partialDue && sufficient):
 	case sufficient:
 		r.answer(q, false)
 	default:
@@ -1032,7 +1064,8 @@
 	}
 }
 
-// refuse ends a query by a refusal, with a hint when to retry, if a retry is safe. Otherwise the query fails.
+// refuse ends a query by a refusal, if a retry is safe, with a hint when to retry unless the settings exclude hints.
+// Otherwise the query fails.
 func (r *Root) refuse(q *query, retryAfterMs float64) {
 	mayHaveRun := func(p *part) bool { return slices.ContainsFunc(p.attempts, (*attempt).mayHaveRun) }
 	if !r.settings.SendRetryAfter {
@@ -1057,7 +1090,7 @@
 	r.close(q)
 }
 
-// close removes a query and cancels its open attempts.
+// close ends a query without an action of its own and cancels its open attempts.
 func (r *Root) close(q *query) {
 	if took := q.healthyDuration(r.now); took > 0 && q.predictedMs > 0 {
 		r.classes[q.classIndex].recordEnd(q, r.now, took,
@@ -1070,8 +1103,9 @@
 	r.dropParts(q)
 }
 
-// healthyDuration returns how long the parts of q took that met no suspected replica. Later queries avoid such
-// replicas, so that only these parts say how long those will take.
+// healthyDuration returns how long the slowest part of q took, so far if it is open, of those sent to no replica that
+// is now suspected; 0 if there is none. Later queries avoid suspected replicas, so that only these parts say how long
+// later queries will take.
 func (q *query) healthyDuration(now float64) (took float64) {
 	for _, p := range q.parts {
 		if len(p.attempts) > 0 &&
@@ -1082,7 +1116,8 @@
 	return took
 }
 
-// recordEnd records how the time of an admitted query compares with the prediction.
+// recordEnd records how the time that an admitted query took compares with the prediction, and whether it was late.
+// Times are in milliseconds.
 func (c *class) recordEnd(q *query, now, took float64, late bool) {
 	if q.secondStep {
 		c.secondStepMs = smoothed(c.secondStepMs, now-q.startedAt, smoothingFactor)
@@ -1094,6 +1129,7 @@
 		smoothed(c.overrun, min(maxOverrun, took/max(1, q.predictedMs)), smoothingFactor), now
 }
 
+// dropParts cancels the parts of a query's current step. Those with open attempts are kept until their outcomes.
 func (r *Root) dropParts(q *query) {
 	for _, p := range q.parts {
 		p.dropped = true
@@ -1104,28 +1140,30 @@
 }
 
 // chooseCopyFraction sets p, the fraction of a query's parts that get a copy, to the candidate with the least
-// estimated latency of those that add at most maxExtraWork to the busy time without copies.
+// estimated latency of those that add at most maxExtraWork to the busy time without copies. It also updates the
+// baseline latency: the lower quartile of first attempts, which may only rise by baselineRise at a time. It does
+// nothing until there are enough samples and copyFractionIntervalMs have passed.
 func (r *Root) chooseCopyFraction(c *class) {
 	parts := int(c.meanParts + 0.5)
-	if len(c.firstSendMs) < 20 || parts < 1 || r.now-c.fractionChosenAt < copyFractionIntervalMs {
+	if len(c.firstAttemptMs) < 20 || parts < 1 || r.now-c.fractionChosenAt < copyFractionIntervalMs {
 		return
 	}
 	c.fractionChosenAt = r.now
-	samples := slices.Sorted(slices.Values(c.firstSendMs))
+	samples := slices.Sorted(slices.Values(c.firstAttemptMs))
 	r.baselineLatency = min(cmp.Or(r.baselineLatency*(1+baselineRise), samples[len(samples)/4]),
 		samples[len(samples)/4])
 	baseBusy, bestLatency, seed := 0.0, math.Inf(1), r.rng.Uint64()
 	for i := range copyFractionSteps + 1 {
 		fraction := maxCopyFraction * float64(i) / copyFractionSteps
-		latency, busy := estimateLatency(samples, parts, fraction, rand.New(rand.NewPCG(seed, 0))) // the same draws for all
+		latency, busy := estimateLatency(samples, parts, fraction, rand.New(rand.NewPCG(seed, 0))) // same draws for all
 		if baseBusy = cmp.Or(baseBusy, busy); busy <= (1+maxExtraWork)*baseBusy && latency < bestLatency {
 			bestLatency, c.copyFraction = latency, fraction
 		}
 	}
 }
 
-// estimateLatency is Algorithm 1 of the design, with the original kept and one copy. From sorted samples it
-// estimates the mean latency of a query and the busy time of its parts, of which the given fraction is copied.
+// estimateLatency is Algorithm 1 of the design, for one copy beside the original. From sorted samples it estimates
+// the mean latency of a query and the busy time of all its parts, of which the given fraction is copied.
 func estimateLatency(samples []float64, parts int, fraction float64, rng *rand.Rand) (latency, busy float64) {
 	draws := make([]float64, parts)
 	for range bootstrapRounds {
@@ -1161,13 +1199,14 @@
 		share*(r.settings.RetryBudgetFloor+r.settings.RetryBudgetRatio*float64(len(r.arrivals)))
 }
 
+// timesSince returns the times, which are in ascending order, that are not before from.
 func timesSince(times []float64, from float64) []float64 {
 	i, _ := slices.BinarySearch(times, from)
 	return times[i:]
 }
 
-// subscribe subscribes to list changes if the settings require it. After a failure it does so again, with
-// backoff and jitter, within the configured interval.
+// subscribe subscribes to list changes if the settings require it. It does so again, with backoff and jitter, within
+// the configured interval, until an update shows that the subscription works, and after each failure.
 func (r *Root) subscribe() {
 	if !r.settings.MustSubscribe || r.subscribed || r.now < r.nextSubscribeAt {
 		return
@@ -1179,7 +1218,8 @@
 	r.emit(Action{Kind: Timer, Ms: backoff})
 }
 
-// updateList applies an update of the list of replicas.
+// updateList applies an update of the list of replicas. A removed replica is forgotten at the first update that finds
+// nothing in flight there.
 func (r *Root) updateList(e *Event) {
 	if r.subscribed = r.subscribed && e.List != ListFailed; e.List == ListFailed {
 		return
@@ -1212,7 +1252,7 @@
 			rep.startedAt, rep.listedAt, rep.hasAnswered, rep.lastAnswerAt = r.now, r.now, false, r.activeTime()
 			rep.suspicion, rep.suspected, rep.refusedConnection = 0, false, false
 		}
-		rep.startedAt = cmp.Or(m.ReadyAt, rep.startedAt) // the list gives the start
+		rep.startedAt = cmp.Or(m.ReadyAt, rep.startedAt) // the start in the list, if any, takes precedence
 		rep.Member = m
 		key := [2]int{m.Zone, m.Kind}
 		rep.group = cmp.Or(r.groups[key], &group{})
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -238,7 +238,7 @@
 			c := &r.classes[0]
 			c.meanParts = 10
 			for range maxLatencySamples {
-				c.recordFirstSend(test.draw())
+				c.recordFirstAttempt(test.draw())
 			}
 			r.now = 1e6
 			r.chooseCopyFraction(c)
@@ -294,8 +294,8 @@
 
 func TestUnsafePartIsRetriedOnlyIfItNeverRan(t *testing.T) {
 	for _, c := range []struct {
-		o    Outcome
-		want int
+		outcome Outcome
+		want    int
 	}{{Rejected, 2}, {Unreachable, 2}, {Failed, 1}, {ConnectionLost, 1}, {TimedOut, 1}} {
 		s := testSettings()
 		s.Classes[0].Effect = Unsafe
@@ -303,10 +303,10 @@
 		_, parts := b.addQuery(0, 4)
 		b.advance(0)
 		b.advance(20)
-		b.endAttempt(parts[0], 0, c.o)
+		b.endAttempt(parts[0], 0, c.outcome)
 		b.advance(0)
 		if got := b.attemptCount[parts[0]]; got != c.want {
-			t.Errorf("after outcome %v: %d attempts, want %d", c.o, got, c.want)
+			t.Errorf("after outcome %v: %d attempts, want %d", c.outcome, got, c.want)
 		}
 	}
 }
@@ -350,20 +350,20 @@
 					b.endAttempt(p, a, OK)
 				}
 			}
-			if firstSends := len(b.sentTo[p]); firstSends > 1 && b.sentTo[p][1] == 1 {
+			if attempts := len(b.sentTo[p]); attempts > 1 && b.sentTo[p][1] == 1 {
 				t.Error("a failed part was sent to the same replica again")
 			}
 		}
 		b.advance(0)
 	}
-	firstSends := 0
+	firstAttempts := 0
 	for _, sentTo := range b.sentTo {
 		if len(sentTo) > 0 && sentTo[0] == 1 {
-			firstSends++
+			firstAttempts++
 		}
 	}
-	if firstSends > 16+30 { // a third of the warm-up's 48, some until it is known to fail nearly all, then few trials
-		t.Errorf("%d first attempts at a replica that always fails, want 46 at most", firstSends)
+	if firstAttempts > 16+30 { // a third of the warm-up's 48, some until it is known to fail nearly all, then few trials
+		t.Errorf("%d first attempts at a replica that always fails, want 46 at most", firstAttempts)
 	}
 }
 
@@ -606,9 +606,9 @@
 		b := newTestbed(t, s, 6, 100)
 		rng := rand.New(rand.NewPCG(5, 5))
 		type pending struct {
-			part uint64
-			a    int
-			at   float64
+			part    uint64
+			attempt int
+			at      float64
 		}
 		var open []pending
 		hash := uint64(14695981039346656037)
@@ -629,15 +629,15 @@
 					open = append(open, pending{a.ID, b.attemptCount[a.ID] - 1, b.now + 20 + 200*rng.Float64()})
 				}
 			}
-			open = slices.DeleteFunc(open, func(f pending) bool {
-				if f.at > b.now {
+			open = slices.DeleteFunc(open, func(p pending) bool {
+				if p.at > b.now {
 					return false
 				}
 				outcome := OK
 				if rng.IntN(10) == 0 {
 					outcome = Outcome(rng.IntN(8))
 				}
-				b.endAttempt(f.part, f.a, outcome)
+				b.endAttempt(p.part, p.attempt, outcome)
 				return true
 			})
 		}
@@ -1385,8 +1385,8 @@
 			t.Fatal("the failing replica is not suspected")
 		}
 		rep.failureRate = 0.85 // as if it served some parts
-		b.advance(3 * trialIntervalLatencies * 20)
-		rep.nextTrialAt = math.Inf(1) // no trial is due, so that parts are sent there for its speed only
+		b.advance(3 * probationIntervalLatencies * 20)
+		rep.nextProbationAt = math.Inf(1) // no trial is due, so that parts are sent there for its speed only
 		if loaded {
 			for range 8 {
 				b.addQuery(1, 1) // each is sent to replica 2
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -301,7 +301,7 @@
 	f.runLoad(3.5, 12, 4000)
 	from := f.now
 	f.respond = func(_ int, a Addr) (Outcome, float64) {
-		if in := int(f.now-from) % 400; cell(a) == 4 && in < 100 { // all four replicas, a quarter of the time
+		if phaseMs := int(f.now-from) % 400; cell(a) == 4 && phaseMs < 100 { // all four replicas, a quarter of the time
 			return Rejected, 1
 		}
 		return OK, 15 + 10*f.rng.Float64()
--- a/decide/operate.go
+++ b/decide/operate.go
@@ -7,9 +7,10 @@
 	return rep != nil && r.unhealthy(rep)
 }
 
-// Reconfigure adds classes and changes the limit of attempts per part. It must be called
-// between two steps. The given classes begin with those that the root has, in the same order
-// and unchanged. The limit also applies to parts that are already open; 0 means no limit.
+// Reconfigure adds classes and changes the limit of attempts per part. Like every method of
+// Root, it must not be called during a Step. The given classes begin with those that the root
+// has, in the same order and unchanged. The limit also applies to parts that are already open;
+// 0 means no limit.
 func (r *Root) Reconfigure(classes []Class, maxAttempts int) {
 	for _, c := range classes[min(len(r.classes), len(classes)):] {
 		r.addClass(c)
@@ -20,6 +21,7 @@
 	r.settings.MaxAttempts = maxAttempts
 }
 
-// SetProcesses sets how many processes of this root's broker run, this one included. Each of
-// them uses an equal part of what the broker may send to a replica in slow start.
+// SetProcesses sets how many processes of this root's broker run, this one included; less than
+// 1 counts as 1, as before the first call. Each process uses an equal part of what the broker
+// may send to a replica in slow start.
 func (r *Root) SetProcesses(processes int) { r.processes = max(1, processes) }
