--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// coldExcess returns by how much a cold replica got more parts than the settings allow in the
-// worst window that begins after from, and how many it got in total. With N parts allowed in
-// the window, based on the rate of a warm replica, the excess is in units of 2*sqrt(N)+2,
-// which chance accounts for.
+// coldExcess returns how many parts a cold replica got beyond those that the settings allow, in
+// the worst window of ColdOverloadMs since from, and how many it got in total since then. With N
+// parts allowed in the window, based on the rate of a warm replica, the excess is in units of
+// 2*sqrt(N)+2, which chance accounts for. All times are in milliseconds.
 func (f *fleet) coldExcess(cold Addr, startedAt, from, warmPartsPerMs float64) (worst float64, total int) {
 	s := &f.roots[0].settings
 	var times []float64
@@ -41,15 +41,15 @@
 	inColdCell := func(a Addr) bool { return int(a-1)%cells == 2 }
 	for _, roots := range []int{2, 20, 30, 350} {
 		seeds := 2
-		if roots == 2 { // one turn's burst has the most weight here: two seeds missed that 8 of 60 exceeded the budget
+		if roots == 2 { // one turn's burst has the most weight here: two seeds missed a fault at 8 seeds of 60
 			seeds = 16
 		}
 		for i := range 2 * seeds {
 			partsPerCall, seed := 1+3*(i%2), uint64(1+4*(i/2))
 			for _, c := range []struct {
 				name         string
-				othersFailMs float64 // when the others of the cell fail, since the start
-				restartHalf  bool
+				othersFailMs float64 // when the others of the cell fail, since the replica's start
+				restartHalf  bool    // half of the roots restart when they are notified
 				idleMs       float64 // time without queries before that
 			}{
 				{"notified late", notifiedMs, false, 0}, {"alone later", notifiedMs + 3000, false, 0},
@@ -95,7 +95,7 @@
 					runLoad(4000)
 					worst, total := f.coldExcess(cold, startedAt, startedAt+notifiedMs, warmPartsPerMs)
 					if worst > 1 || total < 40 {
-						t.Errorf("excess %.2f times what chance accounts for, %d parts in total", worst, total)
+						t.Errorf("excess %.2f times what chance accounts for, want 1 at most; %d parts in total, want at least 40", worst, total)
 					}
 				})
 			}
--- a/decide/deadline_test.go
+++ b/decide/deadline_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// The only part of an unsafe query gets no answer and must not be sent again, and its client
-// stops waiting at the deadline. With a reserve of only 10 ms the failure came too late: on a
-// busy machine the request had been read 10 ms after it was written, so that a client with a
-// deadline of 3 s disconnected 2,992 ms after the broker had read the request, without an
-// answer. TestProofAddresses lost a query this way.
+// The only part of an unsafe query gets no answer and must not be sent again. The failure must
+// reach the client before it stops waiting at the deadline. A reserve of 10 ms was too short: on
+// a busy machine a request was read 10 ms after it was written, and its client, with a deadline
+// of 3 s, disconnected 2,992 ms after the broker had read the request, without an answer.
+// TestProofAddresses of package daemon lost a query this way.
 func TestFailureIsSentBeforeClientGivesUp(t *testing.T) {
 	for _, c := range []struct{ deadline, reserve float64 }{
 		{4000, 50}, {3000, 50}, {2500, 50}, {1000, 20}, {480, 10}, {60, 10},
@@ -18,20 +18,20 @@
 		b.advance(0)
 		arrivedAt := b.now
 		if b.attemptCount[parts[0]] == 0 {
-			t.Fatalf("deadline %v: the part was not sent", c.deadline)
+			t.Fatalf("deadline %v ms: the part was not sent", c.deadline)
 		}
 		for ended := false; !ended && b.now < arrivedAt+c.deadline; _, ended = b.ends[query] {
 			b.advanceWithoutTurns(1)
 		}
 		if took := b.now - arrivedAt; b.ends[query] != Abort || took > c.deadline-c.reserve {
-			t.Errorf("deadline %v: ended by %v after %v ms, want a failure %v ms before the deadline",
+			t.Errorf("deadline %v ms: query ended by action kind %v after %v ms, want a failure %v ms before the deadline",
 				c.deadline, b.ends[query], took, c.reserve)
 		}
 	}
 }
 
 // A query of a class that earns nothing after its objective may be answered until two turns
-// before the objective: the longer reserve is for the deadline only.
+// before the objective: the longer reserve of 50 ms is for the deadline only.
 func TestReserveAppliesToDeadlineNotObjective(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateWorthShare = 0
@@ -44,6 +44,7 @@
 	}
 	b.advance(0)
 	if b.ends[query] != Answer {
-		t.Errorf("query answered 15 ms before its objective of 1,000 ms ended by %v", b.ends[query])
+		t.Errorf("query answered 15 ms before its objective of 1,000 ms: ended by action kind %v (0: not ended), want an answer",
+			b.ends[query])
 	}
 }
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -116,7 +116,7 @@
 	group                  *group
 	startedAt, listedAt    float64 // its assumed start, -Inf: long ago; when the root learned of it
 	hasAnswered, suspected bool
-	latency, latencyLoad   float64 // smoothed latency, and smoothed number of parts in flight when those were sent
+	latency, latencyLoad   float64 // smoothed latency, and number of parts in flight when the parts it is based on were sent
 	silentMs               float64 // how long it has not answered while parts were in flight
 
 	// The latency with old measurements decayed, for comparisons; the same decayed as fast as queues drain, for
@@ -124,7 +124,7 @@
 	decayedLatency, queueLatency, rankLatency float64
 
 	inFlight                  []*attempt
-	lastAnswerAt              float64
+	lastAnswerAt              float64   // by activeTime; without an answer, when it was listed
 	fullUntil                 float64   // set by a rejection: earlier attempts would probably be rejected as well
 	coldTokens, tokensAt      float64   // parts that may be sent while it is cold, and when that was computed
 	suspicion                 float64   // evidence of failure, from 0 to 1
@@ -166,7 +166,8 @@
 // add adds 1 at the given time, in milliseconds.
 func (c *decayingCounter) add(now float64) { c.count, c.updatedAt = c.value(now)+1, now }
 
-// Root makes the decisions of one aggregator. It is not safe for concurrent use.
+// Root makes the decisions of one aggregator. It is not safe for concurrent use. Its times and latencies are in
+// milliseconds, times by the clock of Step or by activeTime.
 type Root struct {
 	settings                  Settings
 	rng                       *rand.Rand
@@ -196,7 +197,7 @@
 	harmlessLosses, confirmedCrashes decayingCounter // losses of connections after which the replica answered; or refused one
 	meanLatency, medianLatency       float64         // over the replicas that have answered
 
-	// The shortest objective of a class; the latest answer; until when every query sends one part ahead.
+	// The shortest objective of a class; the latest answer, by activeTime; until when every query sends one part ahead.
 	shortestObjectiveMs, lastAnswerAt, cautiousUntil float64
 
 	// Time of the first turn; mean time between two sends to one replica; time constant of measurements.
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// testbed drives one root and checks on every turn what must hold on all turns.
+// testbed drives one root and checks on every turn that no action has a NaN, that parts are sent only to ready
+// replicas and only for open queries, and that no query ends twice.
 type testbed struct {
 	t            *testing.T
 	root         *Root
@@ -18,14 +19,14 @@
 	states       map[Addr]State
 	attemptCount map[uint64]int        // by part
 	sentTo       map[uint64][]Addr     // by part: the replica of each attempt
-	ends         map[uint64]ActionKind // by query: the action that ended it
+	ends         map[uint64]ActionKind // by query: the action that ended it; 0 in a message: none did
 	complete     map[uint64]bool       // by query: whether its answer was complete
 	queryOf      map[uint64]uint64     // by part
 	events       []Event               // for the next turn
-	actions      []Action              // of the last turn
+	actions      []Action              // of the turns of the last advance
 }
 
-// testSettings returns the settings of a single root with one safe class.
+// testSettings returns the settings of a single root with one Safe class and no partial answers.
 func testSettings() Settings {
 	return Settings{
 		Roots: 1, TickMs: 5, Cells: 1, CellsPerShard: 1, Shards: 4, MaxPartsPerCall: 1,
@@ -81,7 +82,8 @@
 	b.events = append(b.events, Event{Kind: ListUpdate, List: kind, Members: members})
 }
 
-// addQuery queues a query of the given class for the next turn and returns its ID and those of its parts.
+// addQuery queues a query of the given class for the next turn and returns its ID and those of its parts, which are
+// for shards 0 to partCount-1.
 func (b *testbed) addQuery(class, partCount int) (uint64, []uint64) {
 	b.lastNumber++
 	c := b.root.settings.Classes[class]
@@ -106,8 +108,8 @@
 		Addr: b.sentTo[part][attempt], Outcome: outcome})
 }
 
-// advance advances the clock, with the turns that the root's timers ask for in the meantime, and then runs a turn
-// with the queued events.
+// advance advances the clock, with the turns that the root's sweep timer asks for in the meantime, and then runs a
+// turn with the queued events.
 func (b *testbed) advance(ms float64) {
 	b.t.Helper()
 	b.actions = nil
@@ -136,7 +138,7 @@
 				b.t.Errorf("%v: part %d sent to replica %d, which is not ready", b.now, a.ID, a.Addr)
 			}
 			if end, ended := b.ends[b.queryOf[a.ID]]; ended {
-				b.t.Errorf("%v: part %d sent after its query's end (%v)", b.now, a.ID, end)
+				b.t.Errorf("%v: part %d sent after its query's end by action kind %v", b.now, a.ID, end)
 			}
 			b.attemptCount[a.ID]++
 			b.sentTo[a.ID] = append(b.sentTo[a.ID], a.Addr)
@@ -149,7 +151,7 @@
 	}
 }
 
-// sendCount returns the number of sends in the last turn.
+// sendCount returns the number of sends in the turns of the last advance.
 func (b *testbed) sendCount() (n int) {
 	for _, a := range b.actions {
 		if a.Kind == Send {
@@ -172,7 +174,7 @@
 	}
 	b.advance(0)
 	if b.ends[q] != Answer || !b.complete[q] {
-		t.Errorf("query ended by %v, complete %v, want a complete answer", b.ends[q], b.complete[q])
+		t.Errorf("query ended by action kind %v (0: not ended), complete %v, want a complete answer", b.ends[q], b.complete[q])
 	}
 	if n := b.sendCount(); n != 0 {
 		t.Errorf("%d copies sent for answers that arrived in one turn, want none", n)
@@ -208,7 +210,7 @@
 		}
 		b.advance(0)
 		if b.ends[q] != Answer {
-			t.Fatalf("query ended by %v, want an answer", b.ends[q])
+			t.Fatalf("query ended by action kind %v (0: not ended), want an answer", b.ends[q])
 		}
 	}
 	if forks < 8 || forks > 26 {
@@ -243,7 +245,7 @@
 			r.now = 1e6
 			r.chooseCopyFraction(c)
 			if !test.want(c.copyFraction) {
-				t.Errorf("copy fraction %v", c.copyFraction)
+				t.Errorf("chose copy fraction %v of at most 0.1, which does not fit the samples", c.copyFraction)
 			}
 		})
 	}
@@ -286,7 +288,7 @@
 				want = Abort // its parts may have run, so that a retry is not safe
 			}
 			if end, ended := b.ends[q]; !ended || end != want {
-				t.Errorf("just before its deadline the query had ended by %v (ended: %v), want %v", end, ended, want)
+				t.Errorf("just before its deadline: query ended by action kind %v (ended at all: %v), want %v", end, ended, want)
 			}
 		})
 	}
@@ -306,7 +308,7 @@
 		b.endAttempt(parts[0], 0, c.outcome)
 		b.advance(0)
 		if got := b.attemptCount[parts[0]]; got != c.want {
-			t.Errorf("after outcome %v: %d attempts, want %d", c.outcome, got, c.want)
+			t.Errorf("after outcome %v of the first attempt: %d attempts, want %d", c.outcome, got, c.want)
 		}
 	}
 }
@@ -362,7 +364,7 @@
 			firstAttempts++
 		}
 	}
-	if firstAttempts > 16+30 { // a third of the warm-up's 48, some until it is known to fail nearly all, then few trials
+	if firstAttempts > 16+30 { // a third of the 48 parts of the warm-up; some until it is suspected, then probation
 		t.Errorf("%d first attempts at a replica that always fails, want 46 at most", firstAttempts)
 	}
 }
@@ -393,7 +395,7 @@
 		}
 	}
 	if b.ends[q] != Answer {
-		t.Errorf("query ended by %v, want an answer from other replicas", b.ends[q])
+		t.Errorf("query ended by action kind %v (0: not ended), want an answer from other replicas", b.ends[q])
 	}
 }
 
@@ -476,7 +478,8 @@
 		}
 		b.advance(0)
 	}
-	// A warm replica can serve at least its third of the 160 parts that three replicas share in 2 s.
+	// A warm replica can serve at least its third of the 160 parts that three replicas share in 2 s; the limit is half
+	// of the overload budget that follows.
 	if limit := int(s.ColdCapacityShare * s.ColdOverloadFactor * 160 / 3 / 2); coldSends > limit {
 		t.Errorf("%d parts sent to a cold replica in its first %v ms, want %d at most", coldSends, s.ColdOverloadMs, limit)
 	}
@@ -557,7 +560,7 @@
 		b.advance(5)
 	}
 	if b.ends[q] != Answer || b.complete[q] {
-		t.Errorf("ended by %v, complete %v, want a partial answer", b.ends[q], b.complete[q])
+		t.Errorf("query ended by action kind %v (0: not ended), complete %v, want a partial answer", b.ends[q], b.complete[q])
 	}
 }
 
@@ -593,7 +596,7 @@
 	b.endAttempt(b.lastID-1, 0, OK)
 	b.advance(50)
 	if b.ends[q] != Answer || !b.complete[q] {
-		t.Errorf("ended by %v, complete %v, want a complete answer", b.ends[q], b.complete[q])
+		t.Errorf("query ended by action kind %v (0: not ended), complete %v, want a complete answer", b.ends[q], b.complete[q])
 	}
 }
 
@@ -659,7 +662,7 @@
 	}
 	for id, end := range b.ends {
 		if end != Answer && end != Refuse {
-			t.Errorf("safe query %d ended by %v", id, end)
+			t.Errorf("safe query %d ended by action kind %v, want an answer or a refusal", id, end)
 		}
 	}
 }
@@ -685,7 +688,8 @@
 			}
 		}
 		if (suspectedTurns > 0) != siblingAnswered {
-			t.Errorf("other part answered: %v, turns with a suspected replica: %d", siblingAnswered, suspectedTurns)
+			t.Errorf("other part answered: %v, turns with a suspected replica: %d; want some only if it is",
+				siblingAnswered, suspectedTurns)
 		}
 	}
 }
@@ -806,7 +810,7 @@
 	first, _ := b.addQuery(0, 4)
 	b.advance(5)
 	if b.ends[first] != Refuse {
-		t.Error("admitted although queries take three times the predicted 600 ms, of 1000 ms")
+		t.Error("admitted although queries take three times the predicted 600 ms, and the objective is 1000 ms")
 	}
 	for _, rep := range b.root.listedReplicas {
 		rep.latency, rep.lastAnswerAt = 600, b.now+20*decayLatencies*b.root.medianLatency
@@ -859,7 +863,7 @@
 		b := newTestbed(t, s, warmReplicas, 100)
 		b.root.rng.Float64()
 		for range i {
-			b.root.rng.Float64() // the effect of another seed
+			b.root.rng.Float64() // as if the root had another seed
 		}
 		b.updateList(ListDelta, Member{Addr: 100, State: Ready, ReadyAt: b.now})
 		b.advance(0)
@@ -887,7 +891,8 @@
 	usual := partsPerMs * s.ColdOverloadMs // what a warm replica is sent, which is less than its capacity
 	capacityShare := s.ColdCapacityShare + (1-s.ColdCapacityShare)*s.ColdOverloadMs/2/s.WarmUpMs
 	if limit := s.ColdOverloadFactor * capacityShare * usual; float64(coldSends) > limit || coldSends == 0 {
-		t.Errorf("%d parts sent to the cold replica, where %.0f are usual in the window, want 1 to %.0f", coldSends, usual, limit)
+		t.Errorf("%d parts sent to the cold replica, where %.0f are usual in the window, want 1 to %.0f",
+			coldSends, usual, limit)
 	}
 }
 
@@ -909,8 +914,8 @@
 }
 
 // Queries of clients that always use a short timeout have their full worth, but are admitted only if predicted
-// within that timeout rather than within the objective. A timeout that occurs once is not such a habit, but the
-// rest of a client's deadline.
+// within that timeout rather than within the objective. A timeout that occurs once is not a client's usual one, but
+// the rest of its deadline.
 func TestImpatientClientsAreAdmittedOnlyWithinTheirTimeout(t *testing.T) {
 	s := testSettings() // objective 1000 ms, deadline 3000 ms
 	c := &class{Class: s.Classes[0]}
@@ -937,8 +942,8 @@
 	}
 }
 
-// A root that has just started knows no mean worth. One of its first queries that is late for its objective, and
-// so worth nothing, must be refused without a NaN.
+// A root that has just started knows no mean worth. If one of its first queries is already late for its
+// objective, and so worth nothing, it must be refused without a NaN.
 func TestWorthlessQueryIsRefusedByNewRoot(t *testing.T) {
 	s := testSettings()
 	s.Classes[0].LateWorthShare = 0
@@ -1047,7 +1052,7 @@
 		b.advance(5)
 	}
 	if b.ends[q] != Answer || b.complete[q] {
-		t.Errorf("ended by %v, complete %v, want a partial answer", b.ends[q], b.complete[q])
+		t.Errorf("query ended by action kind %v (0: not ended), complete %v, want a partial answer", b.ends[q], b.complete[q])
 	}
 }
 
@@ -1065,7 +1070,8 @@
 		}
 		b.advance(880)
 		if _, ended := b.ends[q]; ended != (lateWorthShare < 0.9*0.75) {
-			t.Errorf("late worth share %v: ended at the objective: %v", lateWorthShare, ended)
+			t.Errorf("late worth share %v: ended at the objective: %v; want that only if a late answer earns less than a partial one",
+				lateWorthShare, ended)
 		}
 	}
 }
@@ -1084,7 +1090,7 @@
 	b.endAttempt(parts[1], 0, ConnectionLost)
 	b.advance(5)
 	if b.ends[q] != Refuse || b.sendCount() > 0 {
-		t.Errorf("two of four parts crashed replicas: ended by %v with %d sends, want a refusal and none",
+		t.Errorf("two of four parts crashed replicas: query ended by action kind %v (0: not ended) with %d sends, want a refusal and none",
 			b.ends[q], b.sendCount())
 	}
 	b = newTestbed(t, testSettings(), 6, 100)
@@ -1168,8 +1174,8 @@
 	}
 }
 
-// No replica of one zone answers. A root that has only one or two outcomes of each must not send it the parts of a
-// large query one by one, and only few trials to see whether the zone is back.
+// No replica of one zone answers. A root that has only one or two outcomes of each must not try all of them with the
+// parts of a large query. It may only send a few probation attempts to see whether the zone is back.
 func TestUnreachableZoneIsUnhealthyAsGroup(t *testing.T) {
 	s := testSettings()
 	s.Cells, s.CellsPerShard, s.Shards = 20, 2, 20
@@ -1212,7 +1218,7 @@
 	if first < 4 || slices.Max(later[1:]) > 1 {
 		t.Errorf("%d parts sent to the unreachable zone at first, then %v, want 1 at most at a time", first, later)
 	}
-	b.endAttempt(b.lastID, 0, OK) // has no effect
+	b.endAttempt(b.lastID, 0, OK) // for the next turn, of which there is none
 	if rep := b.root.replicas[2]; !b.root.unhealthy(rep) {
 		t.Error("a replica of the unreachable zone counts as healthy")
 	}
@@ -1353,8 +1359,8 @@
 }
 
 // A replica that fails most parts, but fast, must be tried first while the others are loaded: they would be
-// overloaded if it only served occasional trials. Unsafe parts must not be sent there, and a retry after a fast
-// failure must not use up the retry budget.
+// overloaded if it only got occasional probation attempts. Unsafe parts must not be sent there, and a retry after a
+// fast failure must not use up the retry budget.
 func TestFastFailingReplicaIsTriedFirstUnderLoad(t *testing.T) {
 	for _, loaded := range []bool{false, true} {
 		s := testSettings()
@@ -1386,7 +1392,7 @@
 		}
 		rep.failureRate = 0.85 // as if it served some parts
 		b.advance(3 * probationIntervalLatencies * 20)
-		rep.nextProbationAt = math.Inf(1) // no trial is due, so that parts are sent there for its speed only
+		rep.nextProbationAt = math.Inf(1) // no probation attempt is due: parts are sent there for its speed only
 		if loaded {
 			for range 8 {
 				b.addQuery(1, 1) // each is sent to replica 2
@@ -1397,10 +1403,10 @@
 		_, unsafe := b.addQuery(1, 1)
 		b.advance(0)
 		if want := map[bool]Addr{false: 2, true: 1}[loaded]; b.sentTo[safe[0]][0] != want {
-			t.Errorf("load %v: the safe part went to replica %d", loaded, b.sentTo[safe[0]][0])
+			t.Errorf("load %v: the safe part went to replica %d, want 1 under load and 2 without", loaded, b.sentTo[safe[0]][0])
 		}
 		if b.sentTo[unsafe[0]][0] != 2 {
-			t.Errorf("load %v: the unsafe part went to replica %d", loaded, b.sentTo[unsafe[0]][0])
+			t.Errorf("load %v: the unsafe part went to replica %d, want 2", loaded, b.sentTo[unsafe[0]][0])
 		}
 		if !loaded {
 			continue
@@ -1451,7 +1457,7 @@
 			}
 		}
 		if b.root.connectionLossIsHarmless() == crashes {
-			t.Fatalf("replicas crash %v: connection loss harmless %v", crashes, b.root.connectionLossIsHarmless())
+			t.Fatalf("replicas crash: %v, but connection loss counts as harmless: %v", crashes, b.root.connectionLossIsHarmless())
 		}
 		if crashes {
 			continue
@@ -1469,7 +1475,8 @@
 			t.Error("the lost connection counts against the replica")
 		}
 		if b.attemptCount[parts[0]] != 2 || b.ends[b.queryOf[parts[0]]] != 0 {
-			t.Errorf("the part has %d attempts, its query's end is %v", b.attemptCount[parts[0]], b.ends[b.queryOf[parts[0]]])
+			t.Errorf("the part has %d attempts, its query's end is action kind %v; want 2 attempts and 0, an open query",
+				b.attemptCount[parts[0]], b.ends[b.queryOf[parts[0]]])
 		}
 	}
 }
@@ -1497,6 +1504,7 @@
 	b.root.replicas[b.sentTo[stuck][0]].suspected = true
 	b.advance(0)
 	if _, ended := b.ends[b.queryOf[stuck]]; !ended || b.root.classes[0].overrun > overrun+smoothingFactor*2 {
-		t.Errorf("ended %v, overrun %v, %v before", ended, b.root.classes[0].overrun, overrun)
+		t.Errorf("query ended: %v, overrun %v, %v before; want it ended and the overrun hardly raised",
+			ended, b.root.classes[0].overrun, overrun)
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// fleet simulates many roots, each with its own seed and queries, that share their replicas. It shows the
-// sum of behaviour that is harmless at a single root.
+// fleet simulates many roots, each with its own seed and queries, that share their replicas. It shows faults that
+// are harmless at a single root and add up over many.
 type fleet struct {
 	t            *testing.T
-	now          float64
+	now          float64 // in milliseconds
 	roots        []*Root
 	queue        eventQueue
 	lastOrder    int
-	respond      func(root int, a Addr) (Outcome, float64) // outcome of an attempt sent now, and its time in ms
+	respond      func(root int, a Addr) (Outcome, float64) // outcome of an attempt sent now, and after how many milliseconds
 	sends        []sentAttempt
 	queryEnds    []queryEnd
 	openAttempts []map[uint64][]bool // by root and part: whether each attempt has no outcome yet
@@ -86,13 +86,14 @@
 	return f
 }
 
+// schedule queues an event for its time.
 func (f *fleet) schedule(e timedEvent) {
 	f.lastOrder++
 	e.order = f.lastOrder
 	heap.Push(&f.queue, e)
 }
 
-// runLoad simulates the given time with random queries at each root.
+// runLoad simulates the given time with random queries at each root, which arrive at the given rate per root.
 func (f *fleet) runLoad(queriesPerSecond float64, partCount int, ms float64) {
 	f.runLoadAt(f.allRoots(), queriesPerSecond, partCount, ms)
 }
@@ -118,7 +119,7 @@
 	f.run(f.now + ms)
 }
 
-// run simulates all events until the given time.
+// run simulates all events before the given time.
 func (f *fleet) run(end float64) {
 	for len(f.queue) > 0 && f.queue[0].at < end {
 		f.now = f.queue[0].at
@@ -146,7 +147,7 @@
 	f.now = end
 }
 
-// carryOut carries out one action of a root.
+// carryOut carries out one action of a root. The actions that it does not know have no effect.
 func (f *fleet) carryOut(root int, a Action) {
 	switch a.Kind {
 	case Send:
@@ -187,7 +188,7 @@
 	return n
 }
 
-// countEnds counts the queries that ended since the given time, answered or not.
+// countEnds counts the queries that ended since the given time: those answered, and those refused or failed.
 func (f *fleet) countEnds(since float64) (served, lost int) {
 	for _, e := range f.queryEnds {
 		switch {
@@ -242,7 +243,7 @@
 			t.Errorf("%d roots: share %.3f of the attempts went to slow replicas, 0.13 by chance", c.roots, share)
 		}
 		if late, all := f.countLate(since); late > all/20 {
-			t.Errorf("%d roots: %d of %d queries late", c.roots, late, all)
+			t.Errorf("%d roots: %d of %d queries late, want a twentieth at most", c.roots, late, all)
 		}
 	}
 }
@@ -271,7 +272,7 @@
 	}
 }
 
-// After a start, or a release of all replicas, no root has a measurement of any replica. If each root then
+// After a start, or a new release on all replicas, no root has a measurement of any replica. If each root then
 // chose the first in the list, one of the four replicas of each cell would get all of the cell's work.
 func TestUnmeasuredReplicasShareFirstQueries(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
@@ -310,7 +311,8 @@
 	f.run(f.now + 1500)
 	late, all := f.countLate(from)
 	if _, refused := f.countEnds(from); refused > all/25 || late > all/20 {
-		t.Errorf("%d of %d queries late, %d of them refused", late, all, refused)
+		t.Errorf("%d of %d queries late, %d refused; want at most a twentieth late and a twenty-fifth refused",
+			late, all, refused)
 	}
 }
 
@@ -336,7 +338,8 @@
 	served, lost := f.countEnds(from)
 	wasted := f.countSends(from, accepts) - 12*served
 	if served < 350 || lost < 500 || wasted > 2*lost {
-		t.Errorf("%d queries served, %d lost, with %d parts sent to other replicas for lost ones", served, lost, wasted)
+		t.Errorf("%d queries served, %d lost, with %d parts sent to other replicas for lost ones; want at least 350, at least 500, at most two each",
+			served, lost, wasted)
 	}
 }
 
@@ -356,7 +359,8 @@
 		f.runLoad(10, 9, 4000)
 		f.run(f.now + 1500)
 		if served, lost := f.countEnds(0); served < 30 || lost > served/10 {
-			t.Errorf("%d of 3 replicas listed: %d queries served, %d lost", listed, served, lost)
+			t.Errorf("%d of 3 replicas listed: %d queries served, %d lost; want at least 30 served, and at most a tenth as many lost",
+				listed, served, lost)
 		}
 	}
 }
@@ -377,13 +381,14 @@
 	answered, _ := f.countEnds(from)
 	late, all := f.countLate(from)
 	if inTime := all - late; answered < 1500 || answered-inTime > answered/5 {
-		t.Errorf("%d of %d queries answered, %d in time", answered, all, inTime)
+		t.Errorf("%d of %d queries answered, %d in time; want at least 1500, and four fifths of them in time",
+			answered, all, inTime)
 	}
 }
 
 // If every holder of a shard refuses connections, a query that needs the shard must be refused at once with a
 // hint when to retry, and none of its other parts may be sent once that is known. Few parts may go to the
-// holders, as trials that show when one is back.
+// holders, as probation attempts that show when one is back.
 func TestQueriesWithoutLiveReplicaAreRefusedAtOnce(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(80, 15), warmMembers(60, 15))
 	dead := func(a Addr) bool { return int(a-1)%15 == 4 }
@@ -410,7 +415,8 @@
 	}
 	tried, all := f.countSends(from, dead), f.countSends(from, func(Addr) bool { return true })
 	if refused < 500 || tried > 4*80*8/2 {
-		t.Errorf("%d queries refused, %d of %d parts sent to replicas that are down", refused, tried, all)
+		t.Errorf("%d queries refused, want at least 500; %d of %d parts sent to replicas that are down, want 1280 at most",
+			refused, tried, all)
 	}
 }
 
@@ -455,8 +461,8 @@
 	}
 }
 
-// A root that refuses most queries sends little. Its interval between trials must not grow with that, or it
-// would ignore replicas that are back for too long: it must try them within 20 objectives.
+// A root that refuses most queries sends little. Its interval between probation attempts must not grow with that,
+// or it would ignore replicas that are back for too long: it must try them within 20 objectives.
 func TestIdleRootTriesRecoveredReplicas(t *testing.T) {
 	f := newFleet(t, largeFleetSettings(2, 1), warmMembers(4, 1))
 	f.respond = func(int, Addr) (Outcome, float64) { return OK, 20 }
@@ -538,8 +544,8 @@
 		penalized, unpenalized, most)
 }
 
-// BenchmarkListChange measures one change of the list. A release changes it once per replica, so that the cost
-// of a change must not grow with replicas times cells.
+// BenchmarkListChange measures one change of the list. A new release changes it once per replica, so the cost of a
+// change must not grow with replicas times cells.
 func BenchmarkListChange(b *testing.B) {
 	for _, c := range []struct{ nodes, cells int }{{60, 15}, {1024, 256}} {
 		for _, kind := range []ListKind{ListDelta, ListFull} {
@@ -576,7 +582,7 @@
 	f.runLoad(1, 34, 4000)
 	f.run(f.now + 1500)
 	if served, lost := f.countEnds(from); lost > served/8 {
-		t.Errorf("%d queries served, %d lost", served, lost)
+		t.Errorf("%d queries served, %d lost; want at most an eighth as many lost as served", served, lost)
 	}
 }
 
@@ -596,7 +602,7 @@
 	f.runLoad(1, 12, 6000)
 	f.run(f.now + 1500)
 	if served, lost := f.countEnds(from); lost > served/20 {
-		t.Errorf("%d queries served, %d lost", served, lost)
+		t.Errorf("%d queries served, %d lost; want at most a twentieth as many lost as served", served, lost)
 	}
 }
 
@@ -622,7 +628,8 @@
 	late, all := f.countLate(from)
 	inTime := all - late
 	if answered-inTime > answered*2/5 {
-		t.Errorf("%d of %d queries answered, %d in time", answered, all, inTime)
+		t.Errorf("%d of %d queries answered, %d in time; want at least three fifths of the answers in time",
+			answered, all, inTime)
 	}
 }
 
@@ -674,6 +681,7 @@
 	f.run(f.now + 1500)
 	served, lost := f.countEnds(from)
 	if late, all := f.countLate(from); lost > served/10 || late > all/10 {
-		t.Errorf("%d queries served, %d lost, %d of %d late", served, lost, late, all)
+		t.Errorf("%d queries served, %d lost, %d of %d late; want at most a tenth as many lost as served, and a tenth late",
+			served, lost, late, all)
 	}
 }
--- a/decide/misuse_test.go
+++ b/decide/misuse_test.go
@@ -48,8 +48,8 @@
 		step(done, done, Event{Kind: AttemptDone, ID: 3, Attempt: -1, Outcome: OK})
 		now += 5000
 		step()
-		if n := len(r.parts) + len(r.openQueries); n > 1 { // an attempt without an outcome is kept
-			t.Errorf("cells %d: %d parts and queries held at the end", cells, n)
+		if n := len(r.parts) + len(r.openQueries); n > 1 { // only the part whose attempt has no outcome is kept
+			t.Errorf("cells %d: %d parts and queries held at the end, want 1 at most", cells, n)
 		}
 	}
 }
@@ -71,6 +71,6 @@
 	b.root.recordLatency(&attempt{part: &part{query: &query{}}, replica: b.root.replicas[1]}, 100)
 	b.advance(0)
 	if math.IsNaN(b.root.meanLatency) || math.IsNaN(b.root.replicas[1].rankLatency) {
-		t.Errorf("mean latency %v, rank latency of a replica %v", b.root.meanLatency, b.root.replicas[1].rankLatency)
+		t.Errorf("mean latency %v, rank latency of a replica %v, want numbers", b.root.meanLatency, b.root.replicas[1].rankLatency)
 	}
 }
--- a/decide/replaced_test.go
+++ b/decide/replaced_test.go
@@ -10,9 +10,9 @@
 )
 
 // A broker's process is replaced while a replica is in slow start. The old process computes the
-// replica's budget from what it has learned from all of the broker's traffic, of which it now
-// gets half, and the new one computes its own from the other half: together they would send
-// half as much again as one process. The budget is the broker's, for both processes together.
+// replica's budget from measurements of all of the broker's traffic, although it now gets half
+// of that, and the new one computes its own from the other half. Without a limit for both
+// together, they would send half as much again as one process.
 func TestColdReplicaIsNotOverloadedWhileProcessIsReplaced(t *testing.T) {
 	const cells, nodes, queriesPerSecond, parts, notifiedMs = 5, 20, 4500.0, 1, 1000.0
 	const overlapMs, remainderMs = 2500.0, 1500.0 // how long both run, and then the new one alone
@@ -72,7 +72,7 @@
 				}
 				worst, total := f.coldExcess(cold, startedAt, startedAt+notifiedMs, warmPartsPerMs)
 				if worst > 1 || total < 40 {
-					t.Errorf("excess %.2f times what chance accounts for, %d parts in total", worst, total)
+					t.Errorf("excess %.2f times what chance accounts for, want 1 at most; %d parts in total, want at least 40", worst, total)
 				}
 			})
 		}
