--- a/decide/api.go
+++ b/decide/api.go
@@ -166,13 +166,15 @@
 // EventKind says which fields of an Event are set.
 type EventKind uint8
 
-// The kinds of event, each with the fields that it sets.
+// The kinds of event, each with the fields that it sets. All parts of a step arrive in one turn, those
+// of the first step with their query. Each Send is followed by exactly one AttemptDone, even if the
+// attempt is cancelled or its query has ended.
 const (
 	QueryArrived       EventKind = iota // ID Class Tenant Key TimeLeftMs EstimatedWorkMs Number Parts HasEstimate Retry Write
 	PartArrived                         // as QueryArrived, with Shard and Weight instead of Parts
 	AttemptDone                         // ID Attempt Addr Outcome ElapsedMs Load
 	StreamStarted                       // ID Attempt Addr ElapsedMs; no decision uses it
-	ClientDisconnected                  // ID
+	ClientDisconnected                  // ID; ends the query without an action of its own
 	TimerFired                          // Token; only causes a turn
 	ListUpdate                          // List Members
 	ProbeDone                           // Addr Outcome ElapsedMs Load; no decision uses it
@@ -230,7 +232,8 @@
 // AllPeers addresses every other root in a MessagePeer action.
 const AllPeers = -1
 
-// Action is one output of a turn, for the caller to carry out. Its Kind says which fields are set.
+// Action is one output of a turn, for the caller to carry out. Its Kind says which fields are set. The
+// attempts of a part are numbered in the order of its Send actions.
 type Action struct {
 	Kind      ActionKind
 	ID        uint64 // of the query or part
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -458,7 +458,7 @@
 	a.busyUntil = r.now + a.replica.latency
 }
 
-// recordFirstAttempt records the latency of a part's first attempt, in milliseconds.
+// recordFirstAttempt records the latency of a part's first attempt, or its age if it is cancelled, in milliseconds.
 func (c *class) recordFirstAttempt(ms float64) {
 	c.firstAttemptMs = append(c.firstAttemptMs[max(0, len(c.firstAttemptMs)-maxLatencySamples+1):], ms)
 	c.meanPartMs += max(smoothingFactor, 1/float64(len(c.firstAttemptMs))) * (ms - c.meanPartMs)
@@ -477,7 +477,7 @@
 	}
 }
 
-// recordSuccess lowers the suspicion of a replica that has answered.
+// recordSuccess lowers the suspicion of a replica that has answered and the failure rate of its group.
 func (r *Root) recordSuccess(rep *replica) {
 	rep.lastAnswerAt = r.activeTime()
 	rep.suspicion *= 1 - max(failureWeight, sparseFailureWeight*r.sparseness())
@@ -489,7 +489,8 @@
 	}
 }
 
-// recordFailure raises the suspicion of a replica. The time until a failure never counts as a latency.
+// recordFailure raises the suspicion of a replica and the failure rate of its group, and postpones its next probation
+// attempt. The time until a failure never counts as a latency.
 func (r *Root) recordFailure(rep *replica) {
 	rep.suspicion += max(failureWeight, sparseFailureWeight*r.sparseness()) * (1 - rep.suspicion)
 	rep.group.failureRate += smoothingFactor * (1 - rep.group.failureRate)
@@ -508,7 +509,7 @@
 }
 
 // assessReplicas updates the latencies of all listed replicas for this turn and suspects those that have been
-// silent for too long, whatever the cause, compared with the median of the fleet.
+// silent, for whatever cause, for too long in comparison with the median latency.
 func (r *Root) assessReplicas() {
 	measured, sum, elapsed := 0, 0.0, r.now-cmp.Or(r.assessedAt, r.now)
 	remaining := math.Exp(-elapsed / max(1, r.settings.WarmUpMs))
@@ -622,8 +623,8 @@
 // pickReplica chooses the holder with the least score for an attempt of p, or returns nil if there is none. Replicas
 // with an open attempt of p, or without budget in slow start, are excluded. Replicas that the class avoids, that are
 // unhealthy, where p has been tried, that are full or that are down come last, in this order. Before all others
-// comes an unhealthy one that is due for a probation attempt, which is a real part, but only the first attempt of a
-// part can be one.
+// comes an unhealthy one that is due for a probation attempt, which is the first attempt of a real part that may be
+// copied. A replica that fails fast may take the place of the choice; see pickFlaky.
 func (r *Root) pickReplica(p *part, firstAttempt bool) *replica {
 	var best *replica
 	bestRank, bestScore := math.MaxInt, 0.0
@@ -811,7 +812,7 @@
 // mayHaveRun reports whether the replica may have run the attempt, or may still run it.
 func (a *attempt) mayHaveRun() bool { return !a.neverRan }
 
-// mayCopy reports whether p may get a further attempt while another is open.
+// mayCopy reports whether p may get a further attempt while another is open: only parts of Safe classes may.
 func (r *Root) mayCopy(p *part) bool {
 	return r.settings.AllowCopies && r.mayRetry(p) && r.classes[p.query.classIndex].Effect == Safe
 }
@@ -844,8 +845,8 @@
 	}
 }
 
-// mayCrashReplicas reports whether q, with no part answered yet, might crash the replicas that run it. Its parts are
-// then sent one by one.
+// mayCrashReplicas reports whether q, at its first step and with no part answered yet, might crash the replicas that
+// run it. Its parts are then sent one by one.
 func (q *query) mayCrashReplicas() bool {
 	return (q.cautious || q.presumedCrashes > 0) && q.answeredParts == 0 && !q.secondStep
 }
