--- a/broker/answers.go
+++ b/broker/answers.go
@@ -1,6 +1,7 @@
 package broker
 
-// Final replies: how a query ends, by decision of the module, by timeout or at shutdown.
+// Final replies: how a query ends, by an action of the module, at the answer deadline or when
+// the core is stopped.
 
 import (
 	"slices"
@@ -9,27 +10,28 @@
 	"onyxsail/decide"
 )
 
-// applyFinalAction ends a query with the module's Answer, Refuse or Abort action.
+// applyFinalAction ends a query with the module's Answer, Refuse or Abort action. An Answer
+// that falls short of the class's minimum share fails the query.
 func (c *Core) applyFinalAction(action *decide.Action, now time.Time) {
 	q := c.queriesByModuleID[action.ID]
 	if q == nil {
 		return // already ended in this turn, or the action names a part, which has no reply of its own
 	}
 	reply := Reply{Verdict: Failed}
-	need, floor := c.requiredShares(q)
+	completeShare, minShare := c.requiredShares(q)
 	switch action.Kind {
 	case decide.Answer:
-		if share := q.answeredShare(); share < floor || share == 0 { // never answer below the class's minimum share
+		if share := q.answeredShare(); share < minShare || share == 0 { // never answer below the class's minimum share
 			break
 		}
-		reply.Verdict, reply.Whole = Served, action.Complete
+		reply.Verdict, reply.Complete = Served, action.Complete
 		for _, p := range q.parts {
 			if p.answered {
 				reply.Values = append(reply.Values, Value{Shard: p.shard, Data: p.value})
 			}
 		}
-		// Never report an answer as whole if it lacks a share that a whole one requires.
-		reply.Whole = reply.Whole && q.answeredShare() >= need
+		// Never report an answer as complete if it lacks a share that a complete one requires.
+		reply.Complete = reply.Complete && q.answeredShare() >= completeShare
 	case decide.Refuse:
 		reply.Verdict, reply.RetryAfter = Refused, durationFromMs(action.Ms)
 	case decide.Abort:
@@ -41,20 +43,22 @@
 	c.sendReply(q, reply, now)
 }
 
-// budgetExhausted reports whether the query's time budget has run out, not counting the
-// reserve that the module holds back at its end.
+// budgetExhausted reports whether the query's time budget has run out, up to timerTolerance.
+// The reserve that the module holds back at the end of the budget does not count as part of
+// it.
 func (c *Core) budgetExhausted(q *queryState, now time.Time) bool {
 	budgetMs := float64(q.Budget.Microseconds()) / 1000
 	return now.Sub(q.ArrivedAt) >= durationFromMs(c.opts.Settings.GiveUpAfterMs(budgetMs))-timerTolerance
 }
 
-// shareTolerance is by how much a sum of shares may fall short (a fraction of the whole
-// answer), as each share is rounded.
+// shareTolerance is by how much a sum of shares may fall short of a required share, as each
+// share is rounded. It is a fraction of all parts.
 const shareTolerance = 1e-4
 
-// requiredShares returns the share that a whole answer of the query's class needs and the
-// minimum share (floor) that any answer needs.
-func (c *Core) requiredShares(q *queryState) (need, floor float64) {
+// requiredShares returns the share that a complete answer of the query's class needs and the
+// minimum share that any answer needs, each less shareTolerance. A class that the settings do
+// not have needs all parts.
+func (c *Core) requiredShares(q *queryState) (completeShare, minShare float64) {
 	if q.Class >= len(c.opts.Settings.Classes) {
 		return 1 - shareTolerance, 1 - shareTolerance
 	}
@@ -107,15 +111,16 @@
 	q.replier.Reply(q.id, reply)
 }
 
-// capBudget shortens the query's time budget to end no later than deadline, unless that is
-// zero.
+// capBudget shortens the query's time budget so that it ends no later than deadline. A zero
+// deadline has no effect.
 func (q *queryState) capBudget(deadline time.Time) {
 	if !deadline.IsZero() {
 		q.Budget = min(q.Budget, deadline.Sub(q.ArrivedAt))
 	}
 }
 
-// answerAllOpen answers every open query. The module is told that the client has left.
+// answerAllOpen replies to every open query at the answer deadline: refused or, in an unsafe
+// class, expired if a part may have run. The module is told that the clients have left.
 func (c *Core) answerAllOpen(now time.Time) {
 	for _, q := range c.queries {
 		reply := Reply{Verdict: Refused}
@@ -138,8 +143,8 @@
 	return false
 }
 
-// shutDown refuses the queries that are still queued and fails those that are open when the
-// core is stopped.
+// shutDown closes the queue, refuses the queries that are still in it and fails those that are
+// open.
 func (c *Core) shutDown() {
 	for _, in := range c.queue.close() {
 		if in.kind == inputQuery {
--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -15,16 +15,17 @@
 type attemptState struct {
 	id        AttemptID
 	part      *partState
-	index     int
+	index     int // number of earlier attempts of the part
 	addr      decide.Addr
 	nodeID    string
 	sentAt    time.Time
-	cancelled bool // its Cancelled outcome is queued for the module
-	// neverRan is set if the outcome proves that the attempt never ran.
+	cancelled bool // its Cancelled outcome is queued
+	// neverRan is set if the attempt has ended with an outcome that proves that it never ran.
 	neverRan bool
 }
 
-// endAttempt reports the single outcome of an attempt to the module.
+// endAttempt ends an attempt and reports its single outcome to the module and the observer.
+// A zero firstByteAt means that no byte of a response arrived.
 func (c *Core) endAttempt(attempt *attemptState, outcome decide.Outcome, cause EndCause, firstByteAt, now time.Time) {
 	delete(c.attempts, attempt.id)
 	attempt.neverRan = outcome == decide.Rejected || outcome == decide.Unreachable || outcome == decide.NotSent
@@ -37,11 +38,12 @@
 	})
 }
 
-// openAttempt opens an attempt. The core enforces the sending rules itself, whatever the
-// module asks for: nothing is sent for a query that has ended or whose client has left, after
-// the attempt's latest start, beyond MaxAttempts, to an unlisted node, or to a node whose
-// drain was announced too long ago. A forbidden attempt ends with an outcome that proves that
-// it never ran.
+// openAttempt opens an attempt and queues it for flushSendBatch. The core enforces the
+// sending rules itself, whatever the module asks for: nothing is sent for a query that has
+// ended or whose client has left, after the attempt's latest start, beyond MaxAttempts, to an
+// unlisted node, or to a node whose drain was announced too long ago. A forbidden attempt
+// ends with an outcome that proves that it never ran, in a later turn. An action for a part
+// of a query that has ended is ignored.
 func (c *Core) openAttempt(action *decide.Action, now time.Time) {
 	part := c.parts[action.ID]
 	if part == nil {
@@ -80,8 +82,7 @@
 }
 
 // clientGone reports whether the query's client has disconnected, even if the front has not
-// called Leave yet. In that case it queues the input itself, and the query ends in the next
-// turn.
+// called Leave yet. In that case it calls Leave itself, and the query ends in the next turn.
 func (c *Core) clientGone(q *queryState, now time.Time) bool {
 	if q.client == nil || now.Sub(q.clientSeenAt) <= clientPresenceTTL {
 		return false
@@ -96,8 +97,9 @@
 
 // latestStart returns the latest time at which an attempt may start running: within the
 // query's time budget and, if an earlier attempt of the part may have run or may still run,
-// within the time in which the class allows a repeat. The limit is needed because the wait
-// for a connection can take longer than that.
+// within the deduplication window of a keyed class, less one tick. In an unsafe class such an
+// attempt must not start at all, and the result is the zero time, which lies in the past. The
+// limit is needed because the wait for a connection can take longer than the window.
 func (c *Core) latestStart(attempt *attemptState, queryDeadline time.Time) time.Time {
 	q := attempt.part.query
 	if q.Class >= len(c.opts.Settings.Classes) {
@@ -120,7 +122,8 @@
 	return queryDeadline
 }
 
-// notifyAttemptOpened notifies the observer of an attempt that is being opened.
+// notifyAttemptOpened notifies the observer of an attempt that is being opened. node is nil
+// if it is not known any more.
 func (c *Core) notifyAttemptOpened(attempt *attemptState, node *nodeState, suspected bool, timeout time.Duration) {
 	info := AttemptInfo{
 		ID: attempt.id, QueryID: attempt.part.query.id, Shard: attempt.part.shard, Index: attempt.index, Suspected: suspected,
@@ -144,7 +147,7 @@
 }
 
 // flushSendBatch hands this turn's attempts to the node client, grouped by node into calls
-// of at most BundleMax parts.
+// of at most MaxPartsPerCall parts.
 func (c *Core) flushSendBatch() {
 	maxPerCall := max(1, c.opts.Settings.MaxPartsPerCall)
 	pending := slices.DeleteFunc(c.sendBatch, func(a Attempt) bool { // cancelled in the turn that opened it
@@ -155,21 +158,21 @@
 		if pending[i].ID == 0 {
 			continue
 		}
-		calls := []Attempt{pending[i]}
-		for j := i + 1; j < len(pending) && len(calls) < maxPerCall; j++ {
+		call := []Attempt{pending[i]}
+		for j := i + 1; j < len(pending) && len(call) < maxPerCall; j++ {
 			if pending[j].ID != 0 && pending[j].Node == pending[i].Node {
-				calls = append(calls, pending[j])
+				call = append(call, pending[j])
 				pending[j].ID = 0
 			}
 		}
-		c.opts.Nodes.Send(calls[0].Node, calls)
+		c.opts.Nodes.Send(call[0].Node, call)
 	}
 	clear(pending)
 	c.sendBatch = c.sendBatch[:0]
 }
 
-// cancelAttempt cancels an outstanding attempt. Like every outcome, its Cancelled outcome
-// reaches the module in a later turn.
+// cancelAttempt cancels an attempt, unless it has ended or is cancelled already. Its Cancelled
+// outcome is queued and reaches the module in a later turn.
 func (c *Core) cancelAttempt(attempt *attemptState, now time.Time) {
 	if c.attempts[attempt.id] != attempt || attempt.cancelled {
 		return
--- a/broker/broker.go
+++ b/broker/broker.go
@@ -12,9 +12,11 @@
 )
 
 // timerTolerance is how late a timer must fire for the core to conclude that the process
-// was stalled. settleDelay is how long it then waits for the socket goroutines to read what
-// arrived during the stall, so that the module receives buffered answers before it judges
-// parts whose answers have merely not been read yet.
+// was stalled. A query's time budget may also count as exhausted that much too early.
+//
+// settleDelay is how long the core waits after a stall for the socket goroutines to read what
+// arrived during it, so that the module receives buffered answers before it judges parts
+// whose answers have merely not been read yet.
 const (
 	timerTolerance = 10 * time.Millisecond
 	settleDelay    = time.Millisecond
@@ -23,7 +25,7 @@
 // Options configures a Core.
 type Options struct {
 	Settings decide.Settings
-	Seed     uint64
+	Seed     uint64 // of the module's random choices
 	Limits   Limits
 	Nodes    NodeClient
 	Lister   Lister   // nil: the list of nodes is pushed without being asked for
@@ -32,6 +34,9 @@
 }
 
 // Stats holds counts since the start, except for Open, the number of queries open now.
+// Queries counts those that the core has taken from its queue; those that Submit rejects are
+// in none of the counts. Served, Refused, Failed (with duplicates) and Expired count replies
+// by verdict, and Left counts queries whose clients disconnected first.
 type Stats struct {
 	Queries, Served, Refused, Failed, Expired, Left, Attempts, Turns int64
 	Open                                                             int64
@@ -46,7 +51,7 @@
 	start   time.Time // has the monotonic clock reading that all times are relative to
 	startMs float64   // start in Unix milliseconds
 
-	addrByNodeID       map[string]decide.Addr // by node ID
+	addrByNodeID       map[string]decide.Addr // the module's identifiers of nodes
 	lastAddr           decide.Addr            // last one assigned
 	nodes              map[decide.Addr]*nodeState
 	queries            map[QueryID]*queryState
@@ -59,11 +64,11 @@
 	answerDeadline     time.Time // every query must be answered by then; zero: no common deadline
 	lastModuleID       uint64
 	lastAttemptID      AttemptID
-	lastNumber         float64
-	heldCount          int // open queries and their parts
-	events             []decide.Event
-	actions            []decide.Action
-	sendBatch          []Attempt
+	lastQueryNumber    float64                          // Number of the last query in the module's events
+	heldCount          int                              // open queries and their parts
+	events             []decide.Event                   // of the current turn
+	actions            []decide.Action                  // of the current turn
+	sendBatch          []Attempt                        // opened in the current turn, not yet handed to the node client
 	classCounters      atomic.Pointer[[]*classCounters] // by class index
 	lastRosterCounts   atomic.Pointer[RosterCounts]     // last result of RosterCounts
 	stats              struct {
@@ -84,7 +89,7 @@
 
 // partState is one part of an open query.
 type partState struct {
-	id       uint64
+	id       uint64 // its ID in the module's events
 	query    *queryState
 	shard    int
 	attempts []*attemptState
@@ -92,7 +97,7 @@
 	answered bool
 }
 
-// New returns a core, which is started with Run.
+// New returns a core. It takes inputs at once, but processes them only while Run runs.
 func New(opts Options) *Core {
 	if opts.Limits.QueueLimit <= 0 {
 		opts.Limits.QueueLimit = 4096
@@ -111,7 +116,8 @@
 
 // Submit hands a query to the core. If it returns false, the queue is full or closed and the
 // front must refuse the query itself; otherwise replier gets exactly one Reply, unless Leave
-// is called first.
+// is called first. Submit, Leave and the methods that deliver other inputs may be called from
+// any goroutine.
 func (c *Core) Submit(q *Query, replier Replier) (QueryID, bool) {
 	id, ok := c.queue.offer(input{kind: inputQuery, query: q, replier: replier})
 	if !ok {
@@ -123,8 +129,8 @@
 	return id, ok
 }
 
-// Leave tells the core that the client of a query has disconnected. No Reply follows unless
-// one is already under way.
+// Leave tells the core that the client of a query has disconnected. No Reply follows, unless
+// the core has ended the query before it processes this input.
 func (c *Core) Leave(id QueryID) { c.queue.put(input{kind: inputClientLeft, queryID: id}) }
 
 // AttemptOutcome implements ResultSink.
@@ -137,7 +143,8 @@
 	c.queue.put(input{kind: inputProbeOutcome, nodeID: node, outcome: outcome, took: took})
 }
 
-// UpdateRoster hands an update of the list of nodes to the core.
+// UpdateRoster hands an update of the list of nodes to the core, which applies it in its next
+// turn.
 func (c *Core) UpdateRoster(roster Roster) { c.queue.put(input{kind: inputRoster, roster: roster}) }
 
 // SetAnswerDeadline sets the time by which every open query and every later one must have
@@ -146,10 +153,10 @@
 	c.queue.put(input{kind: inputAnswerDeadline, deadline: deadline})
 }
 
-// Reconfigure adds classes and changes the limit of attempts per part. Both apply to queries
-// that are submitted after it returns; the limit applies to open queries too. Classes keep
-// their indexes: classes must begin with those that the core has, unchanged. Calls must not
-// be concurrent.
+// Reconfigure adds classes and changes the limit of attempts per part (0: unlimited). Both
+// apply to queries that are submitted after it returns; the limit applies to open queries
+// too. Classes keep their indexes: classes must begin with those that the core has,
+// unchanged. Calls must not be concurrent.
 func (c *Core) Reconfigure(classes []decide.Class, maxAttempts int) {
 	c.growCounters(len(classes))
 	c.queue.put(input{kind: inputReconfigure, classes: classes, maxAttempts: maxAttempts})
@@ -168,9 +175,9 @@
 	}
 }
 
-// Run is the core's event loop. Each turn it collects the waiting inputs, passes them to the
-// module in one Step and executes the returned actions. When ctx ends, every query that is
-// still open gets its final reply and Run returns.
+// Run is the core's event loop. In each turn it collects the waiting inputs, passes them to
+// the module in one Step and executes the returned actions. When ctx ends, it replies to
+// every query that is still queued or open and returns.
 func (c *Core) Run(ctx context.Context) {
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
@@ -194,7 +201,8 @@
 	}
 }
 
-// runTurn processes the waiting inputs and the timers that are due.
+// runTurn processes the waiting inputs and the timers that are due. If they have no event for
+// the module, the module is not called.
 func (c *Core) runTurn() {
 	now := time.Now()
 	c.events = c.events[:0]
@@ -279,8 +287,9 @@
 	}
 }
 
-// admitQuery turns a query into events for the module. Queries over the MaxOpen limit are
-// refused before they reach the module, as the settings demand.
+// admitQuery turns a query into events for the module. Some queries get their reply before
+// they reach the module: those with the request ID of an open query, those over the MaxOpen
+// limit, which the settings prescribe, and those without any time left.
 func (c *Core) admitQuery(in input, now time.Time) {
 	c.stats.queries.Add(1)
 	q := &queryState{Query: *in.query, id: in.queryID, replier: in.replier, clientSeenAt: in.query.ArrivedAt}
@@ -311,17 +320,17 @@
 	c.heldCount += 1 + len(q.Parts)
 	c.stats.open.Add(1)
 	c.queries[q.id], c.queriesByRequestID[q.RequestID] = q, q
-	c.lastNumber++
+	c.lastQueryNumber++
 	c.lastModuleID++
 	q.moduleID = c.lastModuleID
 	c.queriesByModuleID[q.moduleID] = q
 	event := decide.Event{
-		Kind: decide.QueryArrived, ID: q.moduleID, Class: q.Class, Number: c.lastNumber, Retry: q.Retry,
+		Kind: decide.QueryArrived, ID: q.moduleID, Class: q.Class, Number: c.lastQueryNumber, Retry: q.Retry,
 		TimeLeftMs: float64(remaining.Microseconds()) / 1000, Parts: len(q.Parts), HasEstimate: true,
 	}
 	for _, p := range q.Parts {
-		event.EstimatedWorkMs += p.WorkMs
-		event.HasEstimate = event.HasEstimate && p.Hinted
+		event.EstimatedWorkMs += p.EstimatedWorkMs
+		event.HasEstimate = event.HasEstimate && p.HasEstimate
 	}
 	if !event.HasEstimate {
 		event.EstimatedWorkMs = 0
@@ -333,12 +342,13 @@
 		c.parts[part.id] = part
 		q.parts = append(q.parts, part)
 		event.Kind, event.ID, event.Parts, event.Shard, event.Weight, event.Key = decide.PartArrived, part.id, 0, p.Shard, p.Share, p.Route
-		event.EstimatedWorkMs, event.HasEstimate = p.WorkMs, p.Hinted
+		event.EstimatedWorkMs, event.HasEstimate = p.EstimatedWorkMs, p.HasEstimate
 		c.events = append(c.events, event)
 	}
 }
 
-// executeAction executes one action of the module.
+// executeAction executes one action of the module. The module of a broker returns no
+// MessagePeer.
 func (c *Core) executeAction(action *decide.Action, now time.Time) {
 	switch action.Kind {
 	case decide.Send:
@@ -375,4 +385,5 @@
 	}
 }
 
+// durationFromMs converts milliseconds, the module's unit of time, to a duration.
 func durationFromMs(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/broker/broker_test.go
+++ b/broker/broker_test.go
@@ -21,9 +21,9 @@
 	sendCalls chan struct{} // one value for each call of Send
 }
 
-func (f *fakeNodes) Send(_ string, calls []Attempt) {
+func (f *fakeNodes) Send(_ string, attempts []Attempt) {
 	f.mu.Lock()
-	f.sent = append(f.sent, calls...)
+	f.sent = append(f.sent, attempts...)
 	f.mu.Unlock()
 	f.sendCalls <- struct{}{}
 }
@@ -42,8 +42,8 @@
 
 func (r replyChan) Reply(_ QueryID, reply Reply) { r <- reply }
 
-// newTestCore returns a core with one class and two nodes, a and b, whose Run is not started.
-// Its first turn takes in the nodes.
+// newTestCore returns a core with one class, whose Run is not started. Its first turn takes in
+// two nodes, a and b, as Addr 1 and 2.
 func newTestCore(maxAttempts int) (*Core, *fakeNodes) {
 	nodes := &fakeNodes{sendCalls: make(chan struct{}, 100)}
 	c := New(Options{Nodes: nodes, Log: zerolog.New(io.Discard), Settings: decide.Settings{
@@ -65,7 +65,7 @@
 	q := newInputQueue(2)
 	for i := range 3 {
 		if _, ok := q.offer(input{kind: inputQuery}); ok != (i < 2) {
-			t.Errorf("offer %d: %v", i, ok)
+			t.Errorf("offer %d: accepted %v, want only the first two accepted", i, ok)
 		}
 	}
 	q.put(input{kind: inputAttemptOutcome})
@@ -73,11 +73,11 @@
 		t.Errorf("%d inputs, want 3", n)
 	}
 	if _, ok := q.offer(input{kind: inputQuery}); !ok {
-		t.Error("refused although there is room again")
+		t.Error("query refused although the queue has room again")
 	}
 	q.close()
 	if _, ok := q.offer(input{kind: inputQuery}); ok {
-		t.Error("accepted after close")
+		t.Error("query accepted after close")
 	}
 }
 
@@ -103,8 +103,8 @@
 	c.AttemptOutcome(first.ID, decide.OK, Response{Value: []byte("other")}) // and a third
 	c.AttemptOutcome(second.ID, decide.OK, Response{Value: []byte("2")})
 	r := <-got
-	if r.Verdict != Served || !r.Whole || len(r.Values) != 2 || string(r.Values[0].Data) != "1" {
-		t.Errorf("got %+v", r)
+	if r.Verdict != Served || !r.Complete || len(r.Values) != 2 || string(r.Values[0].Data) != "1" {
+		t.Errorf("got %+v, want both parts served, each with its first outcome", r)
 	}
 	c.AttemptOutcome(second.ID, decide.OK, Response{Value: []byte("2")})
 	c.Leave(id)
@@ -127,13 +127,13 @@
 	cancel()
 	<-ended
 	if r := <-got; r.Verdict == Served {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want a verdict other than Served", r)
 	}
 }
 
 // The core enforces the sending rules whatever the module asks for: no attempt at a draining
 // or unlisted node and none beyond MaxAttempts. Each rejected attempt ends with an outcome
-// that proves that it never ran. An answer that lacks a part is not reported as whole.
+// that proves that it never ran. An answer that lacks a part is not reported as complete.
 func TestActionsThatBreakCoreRulesAreNotExecuted(t *testing.T) {
 	c, _ := newTestCore(1)
 	c.runTurn()
@@ -149,28 +149,28 @@
 	c.nodes[1].markUnavailable(decide.Draining, now.Add(-maxDrainSendWindow-time.Millisecond))
 	send := decide.Action{Kind: decide.Send, ID: part.id, Addr: 1}
 	if c.openAttempt(&send, now); len(c.sendBatch) != 0 || outcome() != decide.Unreachable {
-		t.Error("sent to a node whose drain was announced")
+		t.Error("sent to a node whose drain was announced too long ago, or the outcome is not Unreachable")
 	}
 	part.attempts = nil
 	send.Addr = 9
 	if c.openAttempt(&send, now); len(c.sendBatch) != 0 || outcome() != decide.Unreachable {
-		t.Error("sent to a node that is not listed")
+		t.Error("sent to a node that is not listed, or the outcome is not Unreachable")
 	}
 	part.attempts = nil
 	send.Addr = 2
 	if c.openAttempt(&send, now); len(c.sendBatch) != 1 || c.sendBatch[0].Node != "b" {
-		t.Errorf("not sent: %+v", c.sendBatch)
+		t.Errorf("got %+v, want one attempt at b", c.sendBatch)
 	}
 	if c.openAttempt(&send, now); len(c.sendBatch) != 1 || outcome() != decide.NotSent {
-		t.Error("sent more attempts than allowed")
+		t.Error("sent more than MaxAttempts attempts, or the outcome is not NotSent")
 	}
 	replyCh := make(replyChan, 1)
 	c.queries[1].replier = replyCh
 	part.answered, part.value = true, []byte("1")
-	c.opts.Settings.Classes[0].MinShare = 0.5 // an answer of one part is allowed, but not as a whole one
+	c.opts.Settings.Classes[0].MinShare = 0.5 // an answer of one part is allowed, but not as a complete one
 	c.applyFinalAction(&decide.Action{Kind: decide.Answer, ID: c.queries[1].moduleID, Complete: true}, now)
-	if r := <-replyCh; r.Whole || len(r.Values) != 1 {
-		t.Errorf("an answer that lacks a part is reported as whole: %+v", r)
+	if r := <-replyCh; r.Complete || len(r.Values) != 1 {
+		t.Errorf("got %+v, want one value and an incomplete answer", r)
 	}
 }
 
@@ -181,7 +181,7 @@
 	got := make(replyChan, 1)
 	c.SetLimits(Limits{QueueLimit: 100, MaxOpen: 2})
 	if c.opts.Limits.MaxOpen != 0 {
-		t.Fatal("applied outside a turn")
+		t.Fatal("the new limits were applied outside a turn")
 	}
 	c.Submit(newQuery(), got)
 	c.runTurn()
@@ -190,7 +190,8 @@
 	}
 }
 
-// Nodes that left long ago must be removed, and their Addr must not be reused for new ones.
+// Nodes that left the list long ago must be forgotten, and their Addr must not be reused for
+// new ones.
 func TestGoneNodesAreRemovedAndAddrsNotReused(t *testing.T) {
 	c, _ := newTestCore(3)
 	c.runTurn()
@@ -202,7 +203,7 @@
 	}
 	c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "c", Addr: "z"}}}, now.Add(nodeRetention+time.Second))
 	if _, ok := c.addrByNodeID["a"]; ok || len(c.nodes) != 2 || c.addrByNodeID["c"] != 3 {
-		t.Errorf("addrs by node ID: %v", c.addrByNodeID)
+		t.Errorf("addrs by node ID: %v, want a forgotten and c at a new one, 3", c.addrByNodeID)
 	}
 }
 
@@ -230,7 +231,7 @@
 	for _, a := range nodes.sent {
 		c.AttemptOutcome(a.ID, decide.OK, Response{Value: []byte("v")})
 	}
-	if r := <-first; r.Verdict != Served || !r.Whole || len(r.Values) != 2 {
+	if r := <-first; r.Verdict != Served || !r.Complete || len(r.Values) != 2 {
 		t.Errorf("the open query got %+v", r)
 	}
 	submit(second) // its request ID is free again
@@ -273,8 +274,9 @@
 }
 
 // As an attempt may wait long for a connection, it carries its latest start: the end of the
-// query's time or, if an earlier attempt may have run, the end of the class's idempotency
-// window counted from that attempt. In an unsafe class such a retry is not sent at all.
+// query's time or, if an earlier attempt may have run, the end of the class's deduplication
+// (idempotency) window counted from that attempt, less one tick. In an unsafe class such a
+// retry is not sent at all.
 func TestRetriesDoNotStartAfterIdempotencyWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	for _, tc := range []struct {
@@ -308,7 +310,7 @@
 		core.openAttempt(&send, firstSentAt.Add(window/2))
 		if tc.neverSent {
 			if in := core.queue.takeAll(); len(core.sendBatch) != 0 || len(in) != 1 || in[0].outcome != decide.NotSent {
-				t.Errorf("%+v: sent, want NotSent", tc)
+				t.Errorf("%+v: the retry was sent, or its outcome is not NotSent", tc)
 			}
 			continue
 		}
@@ -317,12 +319,12 @@
 			want = firstSentAt.Add(q.Budget)
 		}
 		if len(core.sendBatch) != 1 || !core.sendBatch[0].LatestStart.Equal(want) {
-			t.Errorf("%+v: %+v, want until %v", tc, core.sendBatch, want)
+			t.Errorf("%+v: sent %+v, want one attempt with the latest start %v", tc, core.sendBatch, want)
 		}
 		core.sendBatch = core.sendBatch[:0]
 		core.endAttempt(part.attempts[1], decide.Unreachable, EndedByNode, time.Time{}, firstSentAt)
 		if core.openAttempt(&send, firstSentAt.Add(window)); (len(core.sendBatch) == 0) != (tc.wantLatest != 0) {
-			t.Errorf("%+v: sent after the window: %+v", tc, core.sendBatch)
+			t.Errorf("%+v: sent at the end of the window: %+v, want none only if the window limits the start", tc, core.sendBatch)
 		}
 	}
 }
@@ -347,13 +349,13 @@
 		c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y", State: decide.Draining}}}, now.Add(time.Second))
 		for _, n := range recorder.list {
 			if want := now.Add(window); n.ID == "a" && !n.Latest.IsZero() || n.ID == "b" && !n.Latest.Equal(want) {
-				t.Errorf("grace %v ms: %+v, announced at %v", grace, n, now)
+				t.Errorf("grace %v ms: got %+v for a drain announced at %v", grace, n, now)
 			}
 		}
 		c.applyRoster(Roster{Kind: decide.ListDelta, Nodes: []Node{{ID: "b", Addr: "y"}}}, now.Add(2*time.Second))
 		for _, n := range recorder.list {
 			if !n.Latest.IsZero() {
-				t.Errorf("grace %v ms, back in service: %+v", grace, n)
+				t.Errorf("grace %v ms: got %+v after the drain has ended, want no latest start", grace, n)
 			}
 		}
 	}
@@ -372,7 +374,7 @@
 		c.runTurn()
 		sentBefore := len(nodes.sent)
 		if sentBefore != 2 {
-			t.Fatalf("%d attempts", sentBefore)
+			t.Fatalf("%d attempts sent for the query, want 2", sentBefore)
 		}
 		if leavesFirst {
 			c.Leave(id)
@@ -392,7 +394,7 @@
 		c.runTurn()
 		c.runTurn()
 		if len(nodes.sent) != sentBefore || len(c.queries)+len(c.attempts)+c.heldCount != 0 {
-			t.Errorf("left first %v: %d more attempts or leaked state", leavesFirst, len(nodes.sent)-sentBefore)
+			t.Errorf("left first %v: %d more attempts sent, want 0, or leaked state", leavesFirst, len(nodes.sent)-sentBefore)
 		}
 	}
 }
@@ -422,7 +424,7 @@
 	c.runTurn()
 	sentBefore := len(nodes.sent)
 	if sentBefore != 2 {
-		t.Fatalf("%d attempts", sentBefore)
+		t.Fatalf("%d attempts sent for the query, want 2", sentBefore)
 	}
 	later := time.Now().Add(time.Second)
 	waiting := nodes.sent[0]
@@ -441,10 +443,10 @@
 	c.runTurn()
 	c.runTurn()
 	if len(nodes.sent) != sentBefore {
-		t.Errorf("%d more attempts", len(nodes.sent)-sentBefore)
+		t.Errorf("%d more attempts sent for the disconnected client, want 0", len(nodes.sent)-sentBefore)
 	}
 	if len(c.queries)+len(c.attempts)+c.heldCount != 0 {
-		t.Error("leaked state")
+		t.Error("the query of the disconnected client leaves state behind")
 	}
 }
 
--- a/broker/counts.go
+++ b/broker/counts.go
@@ -10,8 +10,9 @@
 
 // ClassCounts counts the final replies to queries of one class since the start.
 type ClassCounts struct {
-	// Fulfilled counts answers, Throttled refusals, and Faulted all other ends except for
-	// disconnected clients, which are not counted.
+	// Fulfilled counts served queries, Throttled refused ones, including those that Submit
+	// rejects, and Faulted those that got another reply. A query whose client disconnected
+	// first is in none of them.
 	Fulfilled, Throttled, Faulted int64
 }
 
@@ -30,12 +31,12 @@
 	}
 }
 
-// countersOf returns the counters of a class, given its index in the settings. It may be
-// called from any goroutine.
+// countersOf returns the counters of a class, given its index in the settings. For an index
+// without a class, the result is discarded counters. It may be called from any goroutine.
 func (c *Core) countersOf(class int) *classCounters {
 	counters := *c.classCounters.Load()
 	if uint(class) >= uint(len(counters)) {
-		return &classCounters{} // no such class: counts are discarded
+		return &classCounters{}
 	}
 	return counters[class]
 }
@@ -65,16 +66,17 @@
 
 // RosterCounts summarizes the core's view of the list of nodes.
 type RosterCounts struct {
-	Listed        int // nodes on the list that are not gone
-	OutOfRotation int // of these, draining ones and suspected ones that got no attempts lately
+	Listed        int // ready and draining nodes
+	OutOfRotation int // of these, the draining ones and the suspected ones that got no attempts lately
 }
 
 // outOfRotationAfter is how long a suspected node must have been sent nothing to count as
-// out of rotation: one that gets probation attempts does not count.
+// out of rotation. One that gets probation attempts does not count.
 const outOfRotationAfter = 500 * time.Millisecond
 
 // RosterCounts asks the core's goroutine for the counts. If the core has not answered when
-// ctx ends, it returns the last counts received.
+// ctx ends, it returns the last counts received, or zeros if there are none. It may be called
+// from any goroutine.
 func (c *Core) RosterCounts(ctx context.Context) RosterCounts {
 	result := make(chan RosterCounts, 1)
 	c.queue.put(input{kind: inputRosterCounts, rosterCounts: result})
@@ -104,6 +106,6 @@
 	return counts
 }
 
-// RosterCountsTimeout is how long a caller should let RosterCounts wait. A turn of the core
-// takes milliseconds.
+// RosterCountsTimeout is how long a caller should let RosterCounts wait for the core. A turn
+// of the core takes only milliseconds.
 const RosterCountsTimeout = 300 * time.Millisecond
--- a/broker/counts_test.go
+++ b/broker/counts_test.go
@@ -37,11 +37,11 @@
 	expired, cancel := context.WithCancel(context.Background())
 	cancel()
 	if got := c.RosterCounts(expired); got != (RosterCounts{}) {
-		t.Errorf("before any result: %+v", got)
+		t.Errorf("before any result: got %+v, want zeros", got)
 	}
 	c.lastRosterCounts.Store(&RosterCounts{Listed: 3, OutOfRotation: 1})
 	if got := c.RosterCounts(expired); got != (RosterCounts{3, 1}) {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want the last result", got)
 	}
 }
 
--- a/broker/observe.go
+++ b/broker/observe.go
@@ -10,7 +10,7 @@
 // (https://www.w3.org/TR/trace-context/). The zero value means that none was sent.
 type TraceContext struct {
 	TraceID    [16]byte // zero: none was sent
-	ParentID   [8]byte  // the caller's span
+	ParentID   [8]byte  // ID of the caller's span
 	Sampled    bool     // the caller asks for the trace to be recorded
 	TraceState string   // the tracestate header, propagated unchanged
 }
@@ -32,7 +32,7 @@
 	QueryID   QueryID
 	Shard     int
 	Index     int    // number of earlier attempts of the part
-	Node      string // "": the node is no longer listed
+	Node      string // ID of the node; "": the core does not know it any more
 	Cell      int    // the node's cell
 	Reason    AttemptReason
 	Suspected bool          // the module suspects the node
@@ -46,7 +46,7 @@
 // The causes of an attempt's end.
 const (
 	EndedByNode    EndCause = iota // the node answered or the connection ended
-	EndedByTimeout                 // its timeout expired in the core
+	EndedByTimeout                 // its timeout, which the core keeps, expired
 	EndedByCore                    // it was cancelled, or a sending rule forbade it
 )
 
@@ -55,14 +55,17 @@
 // block; nor may it retain what is passed by pointer. Without an observer there is no
 // overhead.
 type Observer interface {
-	// QueryReceived starts a query. QueryEnded follows exactly once.
+	// QueryReceived reports that the core has taken a query from its queue. QueryEnded follows
+	// exactly once.
 	QueryReceived(id QueryID, q *Query, at time.Time)
 	// QueryTurnedAway reports a query that was refused because the core's queue is full.
-	// No other call follows for it. It is called from the front's goroutine.
+	// No other method is called for it. The call comes from the front's goroutine.
 	QueryTurnedAway(q *Query, at time.Time)
-	// AttemptOpened starts an attempt.
+	// AttemptOpened reports that an attempt is opened. AttemptEnded follows exactly once, unless
+	// the core is stopped first.
 	AttemptOpened(info AttemptInfo)
-	// AttemptCancelled reports that an outstanding attempt is cancelled.
+	// AttemptCancelled reports that an outstanding attempt is cancelled. AttemptEnded still
+	// follows.
 	AttemptCancelled(id AttemptID, at time.Time)
 	// AttemptEnded reports the attempt's single outcome; firstByteAt is when the first byte
 	// of the response arrived, zero if none did. For an attempt that was outstanding when
@@ -70,18 +73,19 @@
 	AttemptEnded(id AttemptID, outcome decide.Outcome, cause EndCause, firstByteAt, at time.Time)
 	// NodeSuspected reports that the module suspects a node from now on, or no longer does.
 	NodeSuspected(node string, suspected bool, at time.Time)
-	// QueryEnded ends a query. The verdict is ClientLeft if the client disconnected first.
+	// QueryEnded reports the end of a query. The verdict is ClientLeft if the client
+	// disconnected first.
 	QueryEnded(id QueryID, reply *Reply, at time.Time)
 }
 
-// WirePhase is a phase of an attempt that only the node client can observe.
+// WirePhase is a phase of an attempt that only its node client can observe.
 type WirePhase uint8
 
 // The phases of an attempt on the wire.
 const (
-	WireConnecting WirePhase = iota // it waits for a connection; the time is when dialing began, which may precede the attempt
+	WireConnecting WirePhase = iota // it waits for a connection; reported with the time at which dialing began, perhaps before the attempt
 	WireConnected                   // the connection is established
-	WireSent                        // the last byte was written: the node may run it from here on
+	WireSent                        // its last byte was written: the node may run it from here on
 )
 
 // WireObserver is notified by node clients of what only they can observe. Its methods may be
@@ -92,7 +96,7 @@
 	PhaseReached(id AttemptID, phase WirePhase, addr string, at time.Time)
 	// LateOutcome reports the outcome of an attempt that had already been cancelled.
 	LateOutcome(id AttemptID, outcome decide.Outcome, at time.Time)
-	// TraceHeaders returns the headers that propagate the attempt's trace to the next hop;
-	// empty if there is none.
+	// TraceHeaders returns the values of the headers that propagate the attempt's trace to the
+	// node; empty if there is none.
 	TraceHeaders(id AttemptID) (traceparent, tracestate string)
 }
--- a/broker/observe_test.go
+++ b/broker/observe_test.go
@@ -14,10 +14,10 @@
 type recordingObserver struct {
 	mu     sync.Mutex
 	events []string
-	newest chan string // signals new events
+	newest chan string // receives new events, as far as its buffer has room
 }
 
-func (o *recordingObserver) note(format string, args ...any) {
+func (o *recordingObserver) record(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.events = append(o.events, fmt.Sprintf(format, args...))
@@ -27,23 +27,23 @@
 	}
 }
 func (o *recordingObserver) QueryReceived(id QueryID, q *Query, _ time.Time) {
-	o.note("received %d %s", id, q.RequestID)
+	o.record("received %d %s", id, q.RequestID)
 }
 func (o *recordingObserver) QueryTurnedAway(q *Query, _ time.Time) {
-	o.note("turned away %s", q.RequestID)
+	o.record("turned away %s", q.RequestID)
 }
 func (o *recordingObserver) AttemptOpened(info AttemptInfo) {
-	o.note("opened %d shard %d index %d reason %d", info.ID, info.Shard, info.Index, info.Reason)
+	o.record("opened %d shard %d index %d reason %d", info.ID, info.Shard, info.Index, info.Reason)
 }
-func (o *recordingObserver) AttemptCancelled(id AttemptID, _ time.Time) { o.note("cancelled %d", id) }
+func (o *recordingObserver) AttemptCancelled(id AttemptID, _ time.Time) { o.record("cancelled %d", id) }
 func (o *recordingObserver) NodeSuspected(node string, suspected bool, _ time.Time) {
-	o.note("suspected %s %v", node, suspected)
+	o.record("suspected %s %v", node, suspected)
 }
 func (o *recordingObserver) QueryEnded(id QueryID, r *Reply, _ time.Time) {
-	o.note("query-ended %d %d", id, r.Verdict)
+	o.record("query-ended %d %d", id, r.Verdict)
 }
 func (o *recordingObserver) AttemptEnded(id AttemptID, outcome decide.Outcome, cause EndCause, _, _ time.Time) {
-	o.note("ended %d %d by %d", id, outcome, cause)
+	o.record("ended %d %d by %d", id, outcome, cause)
 }
 
 func (o *recordingObserver) has(text string) bool {
@@ -103,14 +103,14 @@
 	o.wait(t, fmt.Sprintf("cancelled %d", second))
 	o.wait(t, fmt.Sprintf("ended %d %d by %d", second, decide.Cancelled, EndedByCore))
 	o.wait(t, fmt.Sprintf("ended %d %d by %d", third, decide.Cancelled, EndedByCore))
-	c.AttemptOutcome(third, decide.OK, Response{Value: []byte("late")}) // has no effect any more
+	c.AttemptOutcome(third, decide.OK, Response{Value: []byte("late")}) // too late: has no effect
 
 	c.queue.setLimit(1)
 	c.queue.mu.Lock()
 	c.queue.limit = 0
 	c.queue.mu.Unlock()
 	if _, ok := c.Submit(secondQuery, got); ok || !o.has("turned away r") {
-		t.Errorf("a query with the queue full: accepted %v, %q", ok, o.events)
+		t.Errorf("a query with the queue full: accepted %v, observed %q, want it reported as turned away", ok, o.events)
 	}
 	cancel()
 	<-ended
--- a/broker/queue.go
+++ b/broker/queue.go
@@ -33,7 +33,7 @@
 	fromCore     bool // with inputAttemptOutcome: produced by the core, not by a node client
 	response     Response
 	nodeID       string
-	took         time.Duration
+	took         time.Duration // with inputProbeOutcome
 	roster       Roster
 	limits       Limits
 	deadline     time.Time           // with inputAnswerDeadline
@@ -55,9 +55,10 @@
 	limit       int
 	lastQueryID QueryID
 	closed      bool
-	ready       chan struct{} // signals that inputs are waiting
+	ready       chan struct{} // capacity 1; signals that inputs are waiting
 }
 
+// newInputQueue returns an empty queue that refuses queries while limit inputs are waiting.
 func newInputQueue(limit int) *inputQueue {
 	return &inputQueue{limit: limit, ready: make(chan struct{}, 1)}
 }
@@ -75,13 +76,14 @@
 	return in.queryID, true
 }
 
-// put adds an input other than a query.
+// put adds an input other than a query. It never fails.
 func (q *inputQueue) put(in input) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.push(in)
 }
 
+// push appends an input and signals ready; q.mu is held.
 func (q *inputQueue) push(in input) {
 	q.items = append(q.items, in)
 	select {
@@ -100,6 +102,7 @@
 	return items
 }
 
+// setLimit changes the limit, unless n is not above 0.
 func (q *inputQueue) setLimit(n int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/broker/roster.go
+++ b/broker/roster.go
@@ -8,25 +8,27 @@
 	"onyxsail/decide"
 )
 
-// maxDrainSendWindow is how long after the announcement of its drain a node may still be
-// sent attempts, whatever the module asks for, unless half of the drain grace is less. The
-// rest of the grace is left for the frame to reach the node. The module itself stops at once.
+// maxDrainSendWindow is the longest time after the announcement of its drain for which a node
+// may still be sent attempts, whatever the module asks for; see drainSendWindow. The rest of
+// the drain grace is left for the frame to reach the node. The module itself stops sending at
+// once.
 const maxDrainSendWindow = 250 * time.Millisecond
 
-// nodeRetention is how long a node that is gone is kept. It is longer than any attempt lasts.
-// Gone nodes must be removed, as each release of the nodes brings new IDs.
+// nodeRetention is how long the core keeps a node that was removed from the list. It is longer
+// than any attempt lasts. Such nodes cannot be kept for ever, as each release of the nodes
+// brings new IDs.
 const nodeRetention = 30 * time.Second
 
 // nodeState is a node as the core tracks it.
 type nodeState struct {
 	Node
-	leftAt     time.Time // when it was first reported as draining or gone; zero: it is ready
+	leftAt     time.Time // when it was first reported as draining or removed; zero: it is ready
 	readyAtMs  float64   // its start on the module's clock; 0: long ago
 	lastSentAt time.Time // when the last attempt was sent to it
 }
 
-// applyRoster updates the core's list of nodes and passes the changes to the module and the
-// node client.
+// applyRoster updates the core's list of nodes, and passes the update to the module and the new
+// list to the node client. If a node has several entries, the last one counts.
 func (c *Core) applyRoster(roster Roster, now time.Time) {
 	event := decide.Event{Kind: decide.ListUpdate, List: roster.Kind}
 	if roster.Kind == decide.ListFailed {
@@ -73,7 +75,7 @@
 				n.Latest = n.leftAt.Add(c.drainSendWindow())
 			}
 			listedNodes = append(listedNodes, n.Node)
-		case now.Sub(n.leftAt) > nodeRetention: // each release brings new IDs: old ones must not accumulate
+		case now.Sub(n.leftAt) > nodeRetention:
 			c.startTimes.remember(n)
 			delete(c.addrByNodeID, n.ID)
 			delete(c.nodes, addr)
@@ -85,12 +87,13 @@
 }
 
 // drainSendWindow returns how long after the announcement of its drain a node may still be
-// sent attempts.
+// sent attempts: half of the drain grace, but at most maxDrainSendWindow.
 func (c *Core) drainSendWindow() time.Duration {
 	return min(maxDrainSendWindow, durationFromMs(c.opts.Settings.DrainGraceMs/2))
 }
 
-// markUnavailable sets the state Draining or Gone. leftAt keeps the time of the first report.
+// markUnavailable sets the state Draining or Removed. leftAt keeps the time of the first such
+// report.
 func (n *nodeState) markUnavailable(state decide.State, now time.Time) {
 	n.State = state
 	if n.leftAt.IsZero() {
--- a/broker/starts.go
+++ b/broker/starts.go
@@ -17,11 +17,11 @@
 // is thus an upper bound of the clock offset and is used to correct the others. For starts
 // reported before that there is no reference, and the reported time is used as it is.
 type startTimeEstimator struct {
-	warmUp     time.Duration // duration of slow start
-	rosterLive bool          // a list with nodes was received from discovery: later starts are recent
-	hasMinAge  bool
-	minAge     time.Duration         // smallest age, by the wall clocks, at which a start was reported
-	forgotten  map[string]*nodeState // nodes that the core removed, by ID
+	warmUp       time.Duration // duration of slow start
+	rosterLive   bool          // discovery has sent a list and nodes are known: starts reported later are recent
+	hasMinAge    bool
+	minAge       time.Duration         // smallest age, by the wall clocks, at which a start was reported
+	removedNodes map[string]*nodeState // nodes that the core removed, by ID
 }
 
 // maxNormalLag is the largest minAge that is still explained by the lag of the list rather
@@ -30,21 +30,21 @@
 // seconds too old.
 const maxNormalLag = 3 * time.Second
 
-// maxForgotten is the maximum number of removed nodes whose start times are kept. Once it is
-// reached, all of them are dropped.
-const maxForgotten = 4096
+// maxRemovedNodes is the maximum number of removed nodes whose start times are kept. Once it
+// is reached, all of them are dropped.
+const maxRemovedNodes = 4096
 
 // remember keeps the start time of a node that the core removes, as the node may be listed
 // again without having restarted.
 func (s *startTimeEstimator) remember(n *nodeState) {
-	if s.forgotten == nil || len(s.forgotten) >= maxForgotten {
-		s.forgotten = map[string]*nodeState{}
+	if s.removedNodes == nil || len(s.removedNodes) >= maxRemovedNodes {
+		s.removedNodes = map[string]*nodeState{}
 	}
-	s.forgotten[n.ID] = n
+	s.removedNodes[n.ID] = n
 }
 
-// observeStarts updates minAge with the starts reported at wallNow. It must be called before
-// estimateAge is called for them.
+// observeStarts updates minAge with the starts that are reported for the first time, at
+// wallNow. It must be called before estimateAge is called for them.
 func (s *startTimeEstimator) observeStarts(wallNow time.Time, starts []time.Time) {
 	if !s.rosterLive {
 		return
@@ -56,27 +56,30 @@
 	}
 }
 
-// estimateAge returns the age of a node whose start is reported at wallNow.
+// estimateAge returns the age of a node whose start is reported for the first time, at wallNow.
+// It corrects a clock offset and never returns a negative age. Once the list is live, an age
+// of more than half of the slow start can only come from a clock step and counts as 0.
 func (s *startTimeEstimator) estimateAge(wallNow, started time.Time) time.Duration {
 	age := wallNow.Sub(started)
 	if s.hasMinAge && (s.minAge < 0 || s.minAge > maxNormalLag) { // clock offset
 		age -= s.minAge
 	}
-	if s.rosterLive && age > s.warmUp/2 { // the list never lags that much: a clock was stepped
+	if s.rosterLive && age > s.warmUp/2 { // the list never lags that much
 		return 0
 	}
 	return max(0, age)
 }
 
-// startTimesOf returns the start times of a roster's nodes on the module's clock, in the
-// roster's order, with 0 for long ago. A start that is reported again keeps its time.
+// startTimesOf returns the start times of a roster's nodes in milliseconds on the module's
+// clock, in the roster's order, with 0 for long ago. A start that is reported again keeps its
+// time.
 func (c *Core) startTimesOf(roster *Roster, now time.Time) []float64 {
 	wallNow := c.wallTime(now)
 	lookup := func(n *Node) *nodeState {
 		if known := c.nodes[c.addrByNodeID[n.ID]]; known != nil {
 			return known
 		}
-		return c.startTimes.forgotten[n.ID]
+		return c.startTimes.removedNodes[n.ID]
 	}
 	var newStarts []time.Time
 	for i := range roster.Nodes {
--- a/broker/starts_test.go
+++ b/broker/starts_test.go
@@ -52,7 +52,7 @@
 }
 
 // The start times in the first list are used as reported, as there is nothing to compare them
-// with, except that none may lie in the future.
+// with. One in the future counts as now.
 func testFirstRosterStartTimes(t *testing.T) {
 	c, _ := newTestCore(3)
 	c.runTurn()
--- a/broker/timers.go
+++ b/broker/timers.go
@@ -9,9 +9,9 @@
 // timer is a timer of the module, the timeout of an attempt or the answer deadline.
 type timer struct {
 	at             time.Time
-	token          uint64
+	token          uint64    // the module's token of its timer, if the two fields below are zero
 	attemptID      AttemptID // attempt that times out; 0: none
-	answerDeadline bool      // it is the answer deadline of the core
+	answerDeadline bool      // this is the core's answer deadline
 }
 
 // timerHeap is a min-heap ordered by time; it implements heap.Interface.
--- a/broker/types.go
+++ b/broker/types.go
@@ -1,7 +1,7 @@
 // Package broker is the core of the daemon. It tracks queries, attempts and their outcomes
 // and executes the actions of the decision module. It is independent of protocols, sockets
-// and status codes: fronts, node clients and discovery use it through the interfaces in
-// this file.
+// and status codes. Fronts, node clients and discovery are connected to a Core through the
+// interfaces Replier, NodeClient, ResultSink and Lister.
 package broker
 
 import (
@@ -20,7 +20,7 @@
 type Query struct {
 	RequestID      string // set by the client; part IDs are derived from it
 	Class          int    // index into the settings' classes
-	IdempotencyKey string // only in a keyed class
+	IdempotencyKey string // set only in a keyed class
 	Text           []byte // query text, sent with every part
 	Retry          bool   // the client marked the request as a retry
 	Parts          []Part
@@ -31,11 +31,11 @@
 
 // Part is one part of a query.
 type Part struct {
-	Shard  int
-	Share  float64 // fraction of the whole answer, 0 to 1
-	WorkMs float64 // estimated work, valid if Hinted
-	Hinted bool
-	Route  uint64 // routing key; 0: none
+	Shard           int
+	Share           float64 // fraction of the whole answer, 0 to 1
+	EstimatedWorkMs float64 // valid only if HasEstimate
+	HasEstimate     bool
+	Route           uint64 // routing key; 0: none
 }
 
 // Verdict is how a query ended.
@@ -43,7 +43,7 @@
 
 // The verdicts on a query.
 const (
-	Served     Verdict = iota // answered; Reply.Values holds the answer
+	Served     Verdict = iota // answered, at least in part; Reply.Values holds the answer
 	Refused                   // not answered; a retry is harmless
 	Failed                    // abandoned; it may have taken effect
 	Expired                   // out of time; it may have taken effect
@@ -60,31 +60,35 @@
 // Reply is the single final reply to a query.
 type Reply struct {
 	Verdict    Verdict
-	Whole      bool // Values hold all of the answer that the class asks for, not a partial one
+	Complete   bool // Values reach the share that the class requires; otherwise the answer is partial
 	Values     []Value
 	RetryAfter time.Duration // hint for the client with Refused; 0: none
 }
 
-// Replier receives the final reply to one query. Reply is called at most once, from the
-// core's goroutine, and must not block.
+// Replier receives the final replies to queries. Reply is called at most once for each query,
+// from the core's goroutine, perhaps before Submit has returned the query's ID. It must not
+// block.
 type Replier interface {
 	Reply(QueryID, Reply)
 }
 
 // DisconnectChecker is a Replier that can report that its client has disconnected before
-// Core.Leave is called for it, for instance after the whole process was stalled. ClientGone
-// may be called from any goroutine and while the caller holds locks.
+// Core.Leave is called for it, for instance after the whole process was stalled.
 type DisconnectChecker interface {
 	Replier
+	// ClientGone reports whether the client has disconnected. It may be called from any
+	// goroutine and while the caller holds locks.
 	ClientGone() bool
 }
 
-// clientPresenceTTL is how long a client that was connected is assumed to still be
-// connected. No attempt may start more than 0.1 s after its client has left.
+// clientPresenceTTL is how long a client is assumed to be still connected after it was known
+// to be, without another check. It is short because no attempt may start more than 0.1 s
+// after its client has left.
 const clientPresenceTTL = 20 * time.Millisecond
 
 // MustNotStart reports whether it is too late to start the attempt: its own latest start or
-// that of its node has passed, or its client has disconnected.
+// that of its node has passed, or its client has disconnected. A zero nodeLatestStart means
+// no limit.
 func (a *Attempt) MustNotStart(nodeLatestStart, now time.Time) bool {
 	return !a.LatestStart.IsZero() && now.After(a.LatestStart) || !nodeLatestStart.IsZero() && now.After(nodeLatestStart) ||
 		a.Client != nil && now.Sub(a.SentAt) > clientPresenceTTL && a.Client.ClientGone()
@@ -93,7 +97,7 @@
 // Attempt is one request for one part to one node.
 type Attempt struct {
 	ID             AttemptID
-	Node           string
+	Node           string // ID of the node
 	RequestID      string // of the query, set by the client
 	Shard          int
 	IdempotencyKey string
@@ -108,17 +112,17 @@
 }
 
 // NodeClient sends attempts to nodes. Its methods are called from the core's goroutine and
-// must not block; results are delivered to a ResultSink.
+// must not block. Results are delivered to a ResultSink. Nodes are named by their IDs.
 type NodeClient interface {
 	// Send sends attempts to one node in one call.
-	Send(node string, calls []Attempt)
-	// Cancel cancels one attempt. An outcome that still arrives is ignored.
+	Send(node string, attempts []Attempt)
+	// Cancel cancels one attempt. The core ignores an outcome that still arrives.
 	Cancel(node string, id AttemptID)
 	// Probe checks whether the node answers; the result goes to ResultSink.ProbeOutcome.
 	Probe(node string)
 	// CloseIdle closes idle connections to the node.
 	CloseIdle(node string)
-	// Update sets the nodes that are listed now.
+	// Update replaces the list of nodes. It has the ready and the draining ones.
 	Update([]Node)
 }
 
@@ -128,16 +132,19 @@
 	FirstByteAt time.Time // when the first byte arrived; zero: unknown or no response
 }
 
-// ResultSink receives the results from node clients. The core implements it.
+// ResultSink receives the results from node clients. The core implements it. Its methods may
+// be called from any goroutine.
 type ResultSink interface {
-	// AttemptOutcome ends an attempt; the response's value counts with decide.OK only.
+	// AttemptOutcome ends an attempt. The response's value is used only if the outcome is
+	// decide.OK. Later outcomes of the same attempt are ignored.
 	AttemptOutcome(id AttemptID, outcome decide.Outcome, response Response)
-	// ProbeOutcome ends a probe.
+	// ProbeOutcome ends a probe of a node; took is the time from its start.
 	ProbeOutcome(node string, outcome decide.Outcome, took time.Duration)
 }
 
 // Node is one entry of the roster.
 type Node struct {
+	// ID identifies the node; Addr is the address that the list names first.
 	ID, Addr string
 	// Addrs are all its addresses in the order of the list, including Addr; empty if Addr
 	// is the only one.
@@ -146,17 +153,17 @@
 	Kind    int
 	Cell    int
 	State   decide.State
-	Weight  float64
-	Started time.Time // zero: long ago
-	// Latest is the latest time at which an attempt may start at the node, set once the
-	// node's drain has been announced. Zero: no limit.
+	Weight  float64   // relative capacity
+	Started time.Time // last start, by the wall clock of the machine that reported it; zero: long ago
+	// Latest is the latest time at which an attempt may start at the node. The core sets it
+	// once the node's drain has been announced. Zero: no limit.
 	Latest time.Time `json:"-"`
 }
 
 // Roster is an update of the list of nodes.
 type Roster struct {
 	Kind    decide.ListKind
-	Version int64
+	Version int64 // version of the list; the core only logs it
 	Nodes   []Node
 }
 
@@ -164,7 +171,8 @@
 // URI scheme of a Flight location.
 const FlightScheme = "grpc+tcp://"
 
-// Lister requests the list of nodes, if the settings make the module ask for it.
+// Lister requests the list of nodes, if the settings make the module ask for it. The list
+// arrives through Core.UpdateRoster.
 type Lister interface {
 	// Subscribe starts or ends the subscription to changes of the list.
 	Subscribe(on bool)
@@ -175,11 +183,12 @@
 // Limits are the limits that an operator may change while the core runs.
 type Limits struct {
 	// QueueLimit is the number of inputs waiting for a turn at which new queries are refused.
+	// If it is not above 0, New uses 4096 and SetLimits keeps the limit as it is.
 	QueueLimit int
 	// MaxOpen is the maximum number of open queries and their parts together; 0: unlimited.
 	MaxOpen int
 	// Processes is the number of running processes of this broker, including this one.
 	// Together they stay within what one broker may send to a node in slow start. 0 counts
-	// as 1.
+	// as 1. Only SetLimits applies it, not New.
 	Processes int
 }
--- a/flightfront/front.go
+++ b/flightfront/front.go
@@ -201,7 +201,7 @@
 func (f *Front) sendReply(stream flight.FlightService_DoGetServer, reply broker.Reply) error {
 	switch reply.Verdict {
 	case broker.Served:
-		return flightwire.WriteValues(stream, reply.Whole, reply.Values)
+		return flightwire.WriteValues(stream, reply.Complete, reply.Values)
 	case broker.Refused:
 		return refusedError(reply.RetryAfter)
 	case broker.Duplicate:
--- a/flightfront/front_test.go
+++ b/flightfront/front_test.go
@@ -100,7 +100,7 @@
 		code         codes.Code
 		retry        time.Duration
 	}{
-		{name: "served", ticket: validTicket, reply: broker.Reply{Whole: true, Values: []broker.Value{{Shard: 3, Data: []byte("v\x00")}}}},
+		{name: "served", ticket: validTicket, reply: broker.Reply{Complete: true, Values: []broker.Value{{Shard: 3, Data: []byte("v\x00")}}}},
 		{name: "refused", ticket: validTicket, reply: broker.Reply{Verdict: broker.Refused, RetryAfter: 70 * time.Millisecond},
 			code: codes.Unavailable, retry: 70 * time.Millisecond},
 		{name: "refused without a hint", ticket: validTicket, reply: broker.Reply{Verdict: broker.Refused}, code: codes.Unavailable},
@@ -118,7 +118,7 @@
 		complete, values, err := runQuery(context.Background(), client, c.ticket)
 		var s interface{ GRPCStatus() *status.Status }
 		if c.code == codes.OK {
-			if err != nil || complete != c.reply.Whole || len(values) != 1 || values[0].Shard != 3 || string(values[0].Data) != "v\x00" {
+			if err != nil || complete != c.reply.Complete || len(values) != 1 || values[0].Shard != 3 || string(values[0].Data) != "v\x00" {
 				t.Errorf("%s: got %v %+v %v", c.name, complete, values, err)
 			}
 			continue
--- a/httpfront/codec.go
+++ b/httpfront/codec.go
@@ -104,7 +104,7 @@
 func encodeReply(dst []byte, reply broker.Reply, closeAfter bool) []byte {
 	switch reply.Verdict {
 	case broker.Served:
-		response := queryResponse{Complete: reply.Whole, Results: make([]partResult, len(reply.Values))}
+		response := queryResponse{Complete: reply.Complete, Results: make([]partResult, len(reply.Values))}
 		for i, v := range reply.Values {
 			if !utf8.Valid(v.Data) { // the JSON encoder would replace invalid bytes and return a value that no node sent
 				return encodeText(dst, http.StatusBadGateway, "a value is no text", 0, closeAfter)
--- a/httpfront/front_test.go
+++ b/httpfront/front_test.go
@@ -215,7 +215,7 @@
 		body   string
 		retry  string
 	}{
-		{broker.Reply{Verdict: broker.Served, Whole: true, Values: []broker.Value{{Shard: 3, Data: []byte("5be2")}}}, 200,
+		{broker.Reply{Verdict: broker.Served, Complete: true, Values: []broker.Value{{Shard: 3, Data: []byte("5be2")}}}, 200,
 			`{"whole":true,"results":[{"partition":3,"value":"5be2"}]}`, ""},
 		{broker.Reply{Verdict: broker.Refused}, 503, "refused\n", ""},
 		{broker.Reply{Verdict: broker.Refused, RetryAfter: 1234 * time.Millisecond}, 503, "refused\n", "1.234"},
@@ -236,7 +236,7 @@
 	}
 	q := core.queries[1]
 	if q.RequestID != "q1" || q.IdempotencyKey != "k1" || q.Class != 1 || q.Budget != 480*time.Millisecond || string(q.Text) != "c41e77d0" ||
-		len(q.Parts) != 2 || q.Parts[0] != (broker.Part{Shard: 3, Share: 0.5, WorkMs: 9, Hinted: true, Route: 0xff00ff00ff00ff}) {
+		len(q.Parts) != 2 || q.Parts[0] != (broker.Part{Shard: 3, Share: 0.5, EstimatedWorkMs: 9, HasEstimate: true, Route: 0xff00ff00ff00ff}) {
 		t.Errorf("decoded query: %+v", q)
 	}
 }
--- a/httpfront/terms_test.go
+++ b/httpfront/terms_test.go
@@ -223,7 +223,7 @@
 // that the client can read.
 func TestResponseSizeLimit(t *testing.T) {
 	value := func(size int) broker.Reply {
-		return broker.Reply{Verdict: broker.Served, Whole: true, Values: []broker.Value{{Shard: 3, Data: []byte(strings.Repeat("v", size))}}}
+		return broker.Reply{Verdict: broker.Served, Complete: true, Values: []broker.Value{{Shard: 3, Data: []byte(strings.Repeat("v", size))}}}
 	}
 	emptyResponseBytes := len(encodeReply(nil, value(0), false)) // its Content-Length has two digits, as in headerBytes
 	const headerBytes = len("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 51\r\n\r\n")
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -29,7 +29,7 @@
 }
 
 // targetField is one target in the JSON body. Pointers tell missing fields from zero values.
-type targetField struct {
+type queryTarget struct {
 	Partition *int     `json:"partition"`
 	Share     *float64 `json:"share"`
 	EstUs     *float64 `json:"est_us"`
@@ -38,7 +38,7 @@
 
 // queryBody is the JSON body of a query.
 type queryBody struct {
-	Targets []targetField `json:"targets"`
+	Targets []queryTarget `json:"targets"`
 	Query   *string       `json:"query"`
 }
 
@@ -74,7 +74,7 @@
 			if !(*t.EstUs >= 0 && *t.EstUs < 1e12) {
 				return fmt.Errorf("targets[%d].est_us: want microseconds", i)
 			}
-			p.WorkMs, p.Hinted = *t.EstUs/1000, true
+			p.EstimatedWorkMs, p.HasEstimate = *t.EstUs/1000, true
 		}
 		if t.Route != "" {
 			route, err := strconv.ParseUint(t.Route, 16, 64)
--- a/tracing/bench_test.go
+++ b/tracing/bench_test.go
@@ -21,7 +21,7 @@
 			tr := startWithoutWriter(b, Config{Dir: c.dir}, io.Discard, nil)
 			q := newQuery("a-query-of-usual-length", tr.start)
 			q.Parts = make([]broker.Part, 4)
-			reply := &broker.Reply{Whole: true}
+			reply := &broker.Reply{Complete: true}
 			at := tr.start.Add(time.Millisecond)
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -388,7 +388,7 @@
 		if class.WorkFactor > 0 {
 			work := 0.0
 			for i := range q.Parts {
-				work += q.Parts[i].WorkMs
+				work += q.Parts[i].EstimatedWorkMs
 			}
 			query.Objective = min(query.Objective+time.Duration(class.WorkFactor*work*float64(time.Millisecond)), class.MaxObjective)
 		}
@@ -496,7 +496,7 @@
 func (t *Tracer) endQuery(query *liveQuery, reply *broker.Reply, at time.Time) {
 	query.ended = true
 	query.Ended = record.OffsetOf(at.Sub(query.arrived))
-	query.Verdict, query.Complete, query.RetryAfter = record.Verdict(reply.Verdict), reply.Whole, reply.RetryAfter
+	query.Verdict, query.Complete, query.RetryAfter = record.Verdict(reply.Verdict), reply.Complete, reply.RetryAfter
 	for i := range query.Attempts {
 		if attempt := &query.Attempts[i]; !attempt.Ended.IsSet() {
 			// No answer came: the core has cancelled it, but the node may still
--- a/tracing/tracer_test.go
+++ b/tracing/tracer_test.go
@@ -120,7 +120,7 @@
 		if winner >= 0 {
 			tr.AttemptEnded(broker.AttemptID(uint64(id)*10+uint64(winner)), decide.OK, broker.EndedByNode, time.Time{}, at(end))
 		}
-		tr.QueryEnded(id, &broker.Reply{Verdict: verdict, Whole: true}, at(end))
+		tr.QueryEnded(id, &broker.Reply{Verdict: verdict, Complete: true}, at(end))
 	}
 	runQuery("copy-wins", 1, broker.Served, 0, 50)
 	runQuery("copy-loses", 0, broker.Served, 0, 50)
@@ -135,7 +135,7 @@
 	tr.AttemptOpened(broker.AttemptInfo{ID: 999, QueryID: id, Shard: 3, Node: "b", OpenedAt: at(2)})
 	tr.NodeSuspected("b", true, at(3))
 	tr.AttemptEnded(999, decide.OK, broker.EndedByNode, time.Time{}, at(5))
-	tr.QueryEnded(id, &broker.Reply{Verdict: broker.Served, Whole: true}, at(5))
+	tr.QueryEnded(id, &broker.Reply{Verdict: broker.Served, Complete: true}, at(5))
 	got := map[string]string{}
 	for _, trace := range readKept(t, tr, record.Filter{}) {
 		got[trace.Query] = trace.Reasons.String()
@@ -159,7 +159,7 @@
 	for id := broker.QueryID(1); id <= 3; id++ {
 		came := now.Add(time.Duration(id) * time.Millisecond)
 		tr.QueryReceived(id, newQuery(fmt.Sprintf("q%d", id), came), came)
-		tr.QueryEnded(id, &broker.Reply{Whole: true}, came.Add(time.Microsecond))
+		tr.QueryEnded(id, &broker.Reply{Complete: true}, came.Add(time.Microsecond))
 	}
 	traces := readKept(t, tr, record.Filter{})
 	if len(traces) != 3 {
@@ -316,7 +316,7 @@
 	tr.QueryReceived(2, newQuery("over", at), at)
 	tr.QueryEnded(2, &broker.Reply{Verdict: broker.Expired}, at.Add(time.Second)) // ended but not collected
 	tr.QueryReceived(3, newQuery("good", at), at)
-	tr.QueryEnded(3, &broker.Reply{Whole: true}, at.Add(time.Millisecond))
+	tr.QueryEnded(3, &broker.Reply{Complete: true}, at.Add(time.Millisecond))
 	simulateKill(t, tr)
 
 	broken := startWithoutWriter(t, Config{Dir: dir}, io.Discard, func(f *os.File, _ []byte) (int, error) {
@@ -368,7 +368,7 @@
 	if want := "00-ab000000000000000000000000000000-" + span.String() + "-01"; parent != want || state != "a=1" {
 		t.Errorf("got traceparent %q and tracestate %q, want %q and \"a=1\"", parent, state, want)
 	}
-	tr.QueryEnded(1, &broker.Reply{Whole: true}, tr.start)
+	tr.QueryEnded(1, &broker.Reply{Complete: true}, tr.start)
 	if traces := readKept(t, tr, record.Filter{}); len(traces) != 1 || traces[0].Parent != (record.SpanID{1}) || traces[0].KeepReason != record.Requested {
 		t.Errorf("got traces %+v, want one with the caller's parent, kept as asked for", traces)
 	}
