--- a/flightfront/front.go
+++ b/flightfront/front.go
@@ -1,6 +1,6 @@
 // Package flightfront serves queries and operator commands over Arrow Flight: DoGet with a
-// query's ticket returns the result as record batches, DoAction runs an operator's command.
-// gRPC has its own transport, so these sockets are not on the nbio event loop.
+// query's ticket returns the result as a record batch, and DoAction runs an operator's command.
+// gRPC has its own transport, so these sockets are not on the event loop of package netio.
 package flightfront
 
 import (
@@ -36,15 +36,17 @@
 
 const (
 	maxTicketBytes    = 64 << 10
-	maxStreamsPerConn = 256 // concurrent calls of one connection
-	idleTimeout       = time.Minute
+	maxStreamsPerConn = 256             // concurrent calls of one connection
+	idleTimeout       = time.Minute     // for a connection without calls
 	handshakeTimeout  = 2 * time.Second // for the HTTP/2 handshake of a new connection
-	maxHeaderBytes    = 16 << 10
+	maxHeaderBytes    = 16 << 10        // all headers of a call
 )
 
-// Core is the part of the broker that the front uses.
+// Core is the part of the broker that the front uses; see broker.Core.
 type Core interface {
+	// Submit hands over a query. If it returns false, the front must refuse the query itself.
 	Submit(*broker.Query, broker.Replier) (broker.QueryID, bool)
+	// Leave reports that the client of a query has disconnected.
 	Leave(broker.QueryID)
 }
 
@@ -58,12 +60,12 @@
 	Stream func(ctx context.Context, body []byte, send func([]byte) error) error
 }
 
-// Options configure a Front.
+// Options configures a Front.
 type Options struct {
 	Core     Core
 	Classes  map[string]query.Class // initial classes, by name; see SetClasses
 	Shards   int                    // number of shards; 0: unknown
-	MaxConns int                    // limit of open connections
+	MaxConns int                    // limit of open connections, at least 1; further ones wait to be accepted
 	Actions  []Action
 	Trace    bool // read trace contexts from call metadata
 	Log      zerolog.Logger
@@ -106,7 +108,8 @@
 // Addr returns the address on which the front listens.
 func (f *Front) Addr() net.Addr { return f.listener.Addr() }
 
-// Drain rejects new queries, waits for the open ones until ctx ends, and closes all connections.
+// Drain accepts no more connections and calls, waits until the open calls have ended, or until
+// ctx ends, and closes all connections. Calls that are open when ctx ends are cancelled.
 func (f *Front) Drain(ctx context.Context) {
 	stopped := make(chan struct{})
 	go func() {
@@ -132,7 +135,7 @@
 // Reply implements broker.Replier.
 func (c replyChan) Reply(_ broker.QueryID, reply broker.Reply) { c <- reply }
 
-// decodeTicket converts a ticket to a query.
+// decodeTicket converts a ticket to a query. The error is a gRPC status.
 func (f *Front) decodeTicket(ctx context.Context, ticket []byte) (*broker.Query, error) {
 	now := time.Now()
 	if len(ticket) > maxTicketBytes {
@@ -172,7 +175,7 @@
 	return q, nil
 }
 
-// DoGet runs a query and streams its result.
+// DoGet runs the query of a ticket and sends its result.
 func (f *Front) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
 	ctx := stream.Context()
 	q, err := f.decodeTicket(ctx, ticket.GetTicket())
@@ -226,7 +229,8 @@
 	return refused.Err()
 }
 
-// GetFlightInfo returns the only endpoint of a query; its ticket is the descriptor's command.
+// GetFlightInfo returns the single endpoint of a query, whose ticket is the descriptor's command.
+// The query is checked but not run.
 func (f *Front) GetFlightInfo(ctx context.Context, descriptor *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	if descriptor.GetType() != flight.DescriptorCMD {
 		return nil, status.Error(codes.InvalidArgument, "descriptor: want a command that is a query's ticket")
--- a/httpfront/classes.go
+++ b/httpfront/classes.go
@@ -6,11 +6,12 @@
 	"onyxsail/internal/query"
 )
 
-// classVersion is one version of the configured classes, by name.
+// classVersion is one version of the configured classes.
 type classVersion struct {
 	byName        map[string]query.Class
 	effectiveFrom time.Time
-	// previous is kept until every request that started under it must have been received.
+	// previous is the version before; nil: none, or every request that started under it must
+	// have been received or timed out.
 	previous *classVersion
 }
 
--- a/httpfront/codec.go
+++ b/httpfront/codec.go
@@ -32,7 +32,7 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// framingErrorStatus returns the HTTP status for a request that the parser could not read.
+// framingErrorStatus returns the HTTP status for an error of the parser.
 func framingErrorStatus(err error) int {
 	switch {
 	case errors.Is(err, http1.ErrBodyTooLarge):
@@ -44,7 +44,8 @@
 }
 
 // decodeQuery converts an HTTP request to a query. now is the time at which the request was
-// received completely.
+// received completely; shardCount is the number of shards, 0 if unknown. The error is a
+// requestError.
 func decodeQuery(m *http1.Message, classes map[string]query.Class, shardCount int, now time.Time) (*broker.Query, error) {
 	path, _, _ := strings.Cut(m.Target, "?")
 	name, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
@@ -100,7 +101,8 @@
 	Results  []partResult `json:"results"`
 }
 
-// encodeReply appends the HTTP response for the final reply to a query.
+// encodeReply appends the HTTP response for the final reply to a query. An answer that cannot
+// be encoded, or exceeds MaxBodyBytes, becomes an error response.
 func encodeReply(dst []byte, reply broker.Reply, closeAfter bool) []byte {
 	switch reply.Verdict {
 	case broker.Served:
@@ -129,7 +131,7 @@
 	return encodeText(dst, http.StatusInternalServerError, "failed", 0, closeAfter)
 }
 
-// encodeText appends a plain-text HTTP response.
+// encodeText appends a plain-text HTTP response; see encodeResponse.
 func encodeText(dst []byte, status int, text string, retryAfter time.Duration, closeAfter bool) []byte {
 	return encodeResponse(dst, status, "text/plain; charset=utf-8", []byte(text+"\n"), retryAfter, closeAfter)
 }
--- a/httpfront/conn.go
+++ b/httpfront/conn.go
@@ -14,16 +14,17 @@
 	"onyxsail/internal/tracecontext"
 )
 
-// conn is one client connection. Responses are written in the order of their requests.
+// conn is one client connection. Responses are written in the order of their requests. A
+// goroutine that needs both locks takes c.mu before the front's.
 type conn struct {
 	front      *Front
-	sock       *netio.Conn
+	sock       *netio.Conn // set when the connection is attached to the loop
 	acceptedAt time.Time
 
 	mu              sync.Mutex
 	parser          http1.Parser
-	exchanges       []*exchange // open ones, in the order of their requests
-	requestStart    time.Time   // when the current request, or the wait for it, started
+	exchanges       []*exchange // those whose responses are not written yet, in the order of their requests
+	requestStart    time.Time   // when the current request started to arrive or, before its first byte, the wait for it
 	lastDataAt      time.Time   // when the latest bytes arrived
 	dataReceived    bool        // at least one byte has been received
 	requestReceived bool        // at least one complete request has been received
@@ -32,25 +33,25 @@
 	inputIgnored    bool        // further input is read and discarded
 	writeClosed     bool        // our side of the stream is closed, or will be once all is written
 	clientLeft      bool        // the client had left before one of its requests was submitted
-	closed          bool
+	closed          bool        // the connection is closed, or will be without further output
 
 	// The following fields are guarded by the front's lock.
 	queueElem  *list.Element // in the queue of queueState; nil: in none
 	queueState connState
-	queuedAt   time.Time // when the connection entered queueState
+	queuedAt   time.Time // when the connection entered queueState; for a reader, when its request started
 	hadRequest bool      // copy of requestReceived
 }
 
 // exchange is one request and its response.
 type exchange struct {
 	queryID        broker.QueryID // 0: not submitted
-	startedAt      time.Time      // when the first bytes of the request arrived
+	startedAt      time.Time      // when the first byte of the request arrived, as far as known
 	receivedAt     time.Time      // when the request was complete; its deadline counts from here
 	queuedRequest  *http1.Message // not yet processed; nil: processing has started
-	response       []byte
-	done           bool // response is final
-	closeAfter     bool // the connection is closed after this response
-	closeRequested bool // the request has Connection: close
+	response       []byte         // nil: not known yet
+	done           bool           // response is final
+	closeAfter     bool           // the connection is closed after this response
+	closeRequested bool           // the request has Connection: close
 }
 
 // Data implements netio.Handler.
@@ -64,7 +65,7 @@
 	c.inData = true
 	defer func() { c.inData = false }()
 	c.lastDataAt = time.Now()
-	if !c.dataReceived { // the first request may have arrived before the connection was accepted
+	if !c.dataReceived { // the first bytes may have arrived before the connection was accepted
 		if sinceReceived := c.sock.SinceLastReceive(); sinceReceived < maxAcceptWait {
 			c.lastDataAt = c.lastDataAt.Add(-sinceReceived)
 		}
@@ -82,14 +83,14 @@
 }
 
 // sendContinue sends 100 Continue if the client waits for it and all earlier requests have
-// been answered.
+// been answered; c.mu is held.
 func (c *conn) sendContinue() {
 	if len(c.exchanges) == 0 && !c.inputIgnored && c.parser.WantsContinue() {
 		c.write([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
 }
 
-// PeerEnded implements netio.Parting.
+// PeerEnded implements netio.PeerEndHandler.
 func (c *conn) PeerEnded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -97,9 +98,9 @@
 }
 
 // handlePeerEnd answers all requests read from a client that has closed its side of the
-// stream. This cannot be told from a full close, so the client counts as gone and nothing is
-// started for it; but it may still be reading, so each request gets a final response. Closed
-// is called next and withdraws the open queries.
+// stream; c.mu is held. This cannot be told from a full close, so the client counts as gone and
+// nothing is started for it; but it may still be reading, so each request gets a final
+// response. Closed is called next and abandons the open queries.
 func (c *conn) handlePeerEnd() {
 	if c.writeClosed || c.closed {
 		return
@@ -114,9 +115,9 @@
 	c.closed = true
 }
 
-// parseRequests processes the requests that have been received completely. Clients normally
-// send one at a time; pipelining is bounded, as one connection could otherwise hold any
-// number of requests.
+// parseRequests processes the requests that have been received completely; c.mu is held.
+// Clients normally send one at a time; pipelining is bounded, as one connection could otherwise
+// hold any number of requests.
 func (c *conn) parseRequests() {
 	for !c.inputIgnored {
 		m, err := c.parser.Next()
@@ -141,7 +142,8 @@
 	}
 }
 
-// startQueued processes queued requests, as far as the limit of active ones permits.
+// startQueued processes queued requests, as far as the limit of active ones permits; c.mu is
+// held.
 func (c *conn) startQueued() {
 	for i := 0; i < len(c.exchanges) && i < maxActivePerConn; i++ {
 		if e := c.exchanges[i]; e.queuedRequest != nil {
@@ -167,7 +169,9 @@
 	return stateIdle
 }
 
-// updateQueue moves the connection to the queue of its current state; c.mu is held.
+// updateQueue moves the connection to the queue of its current state, or to the end of the
+// queue of readers if a new request has started; c.mu is held. A closed connection is removed
+// from its queue.
 func (c *conn) updateQueue() {
 	f, current := c.front, c.currentState()
 	f.mu.Lock()
@@ -186,8 +190,9 @@
 }
 
 // endIfInState ends the connection if it is still in the given state, and reports whether it
-// did. As a request may arrive at any moment, an idle connection is shut down gracefully and a
-// partly received request gets an error response; a half-closed connection is closed.
+// did. As a request may arrive at any moment, a new or idle connection only has its sending
+// side closed, and a partly received request gets an error response. A half-closed connection
+// is closed, unless the client still has time to read a response.
 func (c *conn) endIfInState(state connState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -210,9 +215,10 @@
 	return true
 }
 
-// endIdle shuts down a connection without open requests, unless one may have arrived, and
-// reports whether it did. A response that the client has not read keeps the connection open
-// for at most unreadResponseTimeout.
+// endIdle closes the sending side of a connection without open requests, unless a request may
+// have arrived, and reports whether the connection was ended; c.mu is held. A response that is
+// not written completely, as the client does not read, keeps the connection open for at most
+// unreadResponseTimeout; then it is closed.
 func (c *conn) endIdle() bool {
 	if c.sock.CloseWriteIfIdle() {
 		c.inputIgnored, c.writeClosed = true, true
@@ -237,8 +243,8 @@
 	}
 }
 
-// reject sends an error response, after those to earlier requests, and ends the connection:
-// it is not known where the next request starts.
+// reject sends an error response, after those to earlier requests, and ends the connection, as
+// it is not known where the next request starts; c.mu is held.
 func (c *conn) reject(status int, message string) {
 	c.inputIgnored = true
 	c.front.countRejection(status)
@@ -272,7 +278,7 @@
 		q.Trace = tracecontext.Parse(m.All(tracecontext.TraceparentHeader), strings.Join(m.All(tracecontext.TracestateHeader), ","))
 	}
 	// The client may have left while the request waited, for the accept or behind other
-	// requests of the connection. Closed is called then and drops the exchanges.
+	// requests of the connection. Closed is called in that case and drops the exchanges.
 	if c.sock.PeerClosed() {
 		c.clientLeft = true
 		return
@@ -287,7 +293,7 @@
 	e.queryID = id
 }
 
-// Gone implements broker.Departure.
+// ClientGone implements broker.DisconnectChecker.
 func (c *conn) ClientGone() bool { return c.sock.PeerClosed() }
 
 // Reply implements broker.Replier.
@@ -305,8 +311,9 @@
 	}
 }
 
-// complete sets the response of an exchange. While the front drains or connections are scarce,
-// the connection is closed after it if no further request has been sent.
+// complete sets the response of an exchange, which render returns, and writes what can be
+// written; c.mu is held. While the front drains or connections are scarce, the connection is
+// closed after the response if the client has sent no further request.
 func (c *conn) complete(e *exchange, render func(closeAfter bool) []byte) {
 	closing := c.front.drainRequested() || c.front.nearConnLimit()
 	closing = closing && e == c.exchanges[len(c.exchanges)-1] && c.parser.Buffered() == 0 && !c.sock.HasUnread(c.inData)
@@ -315,7 +322,8 @@
 	c.writeCompleted()
 }
 
-// writeCompleted writes the responses of the completed exchanges up to the first open one.
+// writeCompleted writes the responses of the completed exchanges up to the first open one;
+// c.mu is held.
 func (c *conn) writeCompleted() {
 	for len(c.exchanges) > 0 && c.exchanges[0].done && !c.closed {
 		e := c.exchanges[0]
@@ -329,7 +337,7 @@
 	}
 }
 
-// write sends data unless the connection is closed.
+// write sends data unless the connection is closed; c.mu is held.
 func (c *conn) write(data []byte) {
 	if c.closed {
 		return
@@ -339,9 +347,9 @@
 	}
 }
 
-// closeWriteAfterFlush closes our side of the stream once all data has been written. The
-// connection itself is closed when the client has closed its side, or on a timeout: closing
-// it at once could destroy a response that the client has not read yet.
+// closeWriteAfterFlush closes our side of the stream once all data has been written; c.mu is
+// held. The connection itself is closed when the client has closed its side, or on a timeout:
+// closing it at once could destroy a response that the client has not read yet.
 func (c *conn) closeWriteAfterFlush() {
 	c.writeClosed = true
 	c.sock.AfterFlush(func() {
@@ -349,9 +357,9 @@
 	})
 }
 
-// endForDrain ends a connection without open requests during a drain. A partly received
-// request has drainReadTimeout to arrive completely; one that never does must not block the
-// shutdown.
+// endForDrain ends a connection without open requests during a drain, unless it is so new that
+// its first request may be in transit. A partly received request has drainReadTimeout to
+// arrive completely, as one that never does must not block the shutdown.
 func (c *conn) endForDrain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -359,7 +367,7 @@
 	switch {
 	case len(c.exchanges) > 0 || c.inputIgnored || c.closed:
 	case !c.parser.InMessage():
-		if c.dataReceived || time.Since(c.requestStart) > minEvictionAge { // otherwise the first request may be in transit
+		if c.dataReceived || time.Since(c.requestStart) > minEvictionAge {
 			c.endIdle()
 		}
 	case time.Since(c.requestStart) > drainReadTimeout:
@@ -367,7 +375,7 @@
 	}
 }
 
-// Closed implements netio.Handler: it withdraws the open queries and releases the slot.
+// Closed implements netio.Handler: it abandons the open queries and releases the slot.
 func (c *conn) Closed(error) {
 	c.mu.Lock()
 	c.closed, c.inputIgnored = true, true
--- a/httpfront/front.go
+++ b/httpfront/front.go
@@ -1,5 +1,5 @@
 // Package httpfront serves the platform's queries over HTTP/1.1 on TCP: each query is one
-// POST request, and GET /ready reports readiness.
+// POST request, and GET /ready reports whether this broker should be sent queries.
 package httpfront
 
 import (
@@ -24,16 +24,17 @@
 )
 
 // Limits and timeouts of connections. Without timeouts, hundreds of connections that never
-// complete a request would hold all file descriptors.
+// complete a request would hold all file descriptors. To evict a connection means to end it
+// early because its slot is needed.
 const (
 	maxActivePerConn      = 16                      // requests of one connection that are processed at once
 	maxPipelined          = 64                      // unanswered requests of one connection; further ones are rejected
 	maxQueuedBodyBytes    = 128 << 10               // bytes of the bodies of pipelined requests that are not yet processed
-	summaryInterval       = 10 * time.Second        // between log lines about rejected requests and evicted connections
+	summaryInterval       = 10 * time.Second        // between log messages about rejected requests and evicted connections
 	firstByteTimeout      = 1500 * time.Millisecond // from the accept to the first byte
 	requestReadTimeout    = 2500 * time.Millisecond // to receive a request that has started; some clients take 2 s
 	firstRequestTimeout   = 2750 * time.Millisecond // to receive the first request, from the accept
-	minReadingEvictionAge = time.Second             // before a connection is evicted while it sends a request
+	minReadingEvictionAge = time.Second             // before a connection that sends a request may be evicted
 	crowdedIdleTimeout    = 2 * time.Second         // between requests, while more than half of the connections are in use
 	idleTimeout           = time.Minute             // between requests, otherwise
 	lingerTimeout         = time.Second             // for the client to close its side after ours was closed
@@ -42,7 +43,7 @@
 	// operatorDrainIdleTimeout closes idle connections during an operator's drain. A connection
 	// in use is closed with its next response instead, which no new request can cross.
 	operatorDrainIdleTimeout = time.Second
-	sweepInterval            = 100 * time.Millisecond
+	sweepInterval            = 100 * time.Millisecond // between checks of the timeouts
 	// maxAcceptWait bounds how long a connection's first bytes are assumed to have waited for
 	// the accept.
 	maxAcceptWait = time.Minute
@@ -50,8 +51,8 @@
 	// may have arrived without having been read yet.
 	minEvictionAge        = 100 * time.Millisecond
 	evictionRetryInterval = 5 * time.Millisecond // between attempts to evict a connection
-	// maxHalfClosed is the number of half-closed connections from which on no others are shut
-	// down to free slots, until some of them have closed.
+	// maxHalfClosed is the number of half-closed connections from which on no others are
+	// evicted, until some of these have closed.
 	maxHalfClosed = 16
 )
 
@@ -60,26 +61,28 @@
 
 const (
 	stateActive     connState = iota // responses to its requests
-	stateNew                         // the first byte
+	stateNew                         // the first byte of its first request
 	stateReading                     // the rest of a request
 	stateIdle                        // the next request
 	stateHalfClosed                  // the client to close its side; ours is closed
 	stateCount      = iota           // number of states
 )
 
-// Core is the part of the broker that the front uses.
+// Core is the part of the broker that the front uses; see broker.Core.
 type Core interface {
+	// Submit hands over a query. If it returns false, the front must refuse the query itself.
 	Submit(*broker.Query, broker.Replier) (broker.QueryID, bool)
+	// Leave reports that the client of a query has disconnected.
 	Leave(broker.QueryID)
 }
 
-// Options configure a Front.
+// Options configures a Front.
 type Options struct {
 	Core     Core
 	Loop     *netio.Loop
 	Classes  map[string]query.Class // initial classes, by name; see SetClasses
 	Shards   int                    // number of shards; 0: unknown
-	MaxConns int                    // limit of open connections; see SetMaxConns
+	MaxConns int                    // limit of open connections, at least 1; see SetMaxConns
 	Listener *net.TCPListener       // socket taken over from another process; nil: the front opens its own
 	Trace    bool                   // read trace contexts from request headers
 	Log      zerolog.Logger
@@ -96,7 +99,7 @@
 	draining      atomic.Bool   // Drain was called
 	acceptingLast atomic.Bool   // only connections already in the accept queue are accepted
 	handedOver    atomic.Bool   // another process accepts from the same socket
-	keepIdleUntil time.Time     // if handedOver: when a drain begins to close idle connections; set before it
+	keepIdleUntil time.Time     // when a drain begins to close idle connections; valid if handedOver, which is set after it
 	acceptDone    chan struct{} // closed when acceptLoop has returned
 	sweeperDone   sync.WaitGroup
 	stop          chan struct{}
@@ -108,7 +111,8 @@
 	evictedByState   [stateCount]int       // connections evicted since the last summary, by state
 }
 
-// Listen opens a socket at addr, unless the options have one, and starts to serve.
+// Listen opens a socket at addr, unless the options have one, and starts to serve. Until
+// SetReady is called, GET /ready answers 503.
 func Listen(addr string, o Options) (*Front, error) {
 	if o.Listener == nil {
 		l, err := netio.ListenReusePort(addr)
@@ -153,15 +157,15 @@
 // SetReady sets whether GET /ready answers 200 while the front is not draining.
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
-// Ready reports whether GET /ready answers 200. After a handover of the socket it does so
+// Ready reports whether GET /ready answers 200. After a handover of the socket it may do so
 // even while this front drains, as the successor accepts new connections.
 func (f *Front) Ready() bool {
 	return f.ready.Load() && !f.operatorDrain.Load() && (f.handedOver.Load() || !f.draining.Load())
 }
 
-// SetOperatorDrain starts or ends a drain requested by an operator. During it /ready answers
-// 503, responses close their connections and idle connections are closed. New connections
-// are still accepted.
+// SetOperatorDrain starts or ends a drain requested by an operator. During it, GET /ready
+// answers 503, responses close their connections and idle connections are closed. New
+// connections are still accepted and their queries served.
 func (f *Front) SetOperatorDrain(draining bool) { f.operatorDrain.Store(draining) }
 
 // drainRequested reports whether clients should move to another broker.
@@ -174,8 +178,8 @@
 		if !f.acquireSlot() {
 			return
 		}
-		// Connections in the accept queue would be reset when the socket is closed, so they are
-		// accepted first.
+		// Connections in the accept queue would be reset when the socket is closed, so all of
+		// them are accepted first, unless another process accepts from the socket.
 		if f.acceptingLast.Load() && (f.handedOver.Load() || !netio.HasPendingConn(f.listener)) {
 			return
 		}
@@ -214,9 +218,9 @@
 }
 
 // acquireSlot waits for a slot for one more connection; it returns false once the front has
-// stopped. If all slots are in use it evicts the least useful connection: clients that send one request and
-// keep the connection open, or never send anything, would otherwise lock out all others.
-// While no connection can be evicted, new ones wait in the accept queue.
+// stopped. If all slots are in use it evicts the least useful connection: clients that send
+// one request and keep the connection open, or never send anything, would otherwise lock out
+// all others. While no connection can be evicted, new ones wait in the accept queue.
 func (f *Front) acquireSlot() bool {
 	for {
 		if f.connSlots.tryAcquire() {
@@ -232,9 +236,10 @@
 	}
 }
 
-// evictOne closes one connection that has no complete request, if there is one, and reports
-// whether it did. The connection's slot becomes free when the client has closed its side as
-// well, or on a timeout.
+// evictOne ends one connection without open requests, if there is one that is old enough, and
+// reports whether it did. The slot becomes free when the connection is closed: at once for one
+// that was half-closed or never used, otherwise when the client has closed its side as well, or
+// on a timeout.
 func (f *Front) evictOne() bool {
 	for _, candidate := range []struct {
 		state  connState
@@ -338,8 +343,8 @@
 		Msg("rejected requests")
 }
 
-// sweepOnce closes connections whose timeout has passed, and evicts connections while the
-// limit is exceeded.
+// sweepOnce ends connections whose timeout has passed and, if the limit is exceeded, evicts as
+// many as are in excess.
 func (f *Front) sweepOnce() {
 	idleLimit := idleTimeout
 	if f.connSlots.usageAbove(4) {
@@ -397,23 +402,24 @@
 	return all
 }
 
-// SetMaxConns changes the limit of open connections. While it is exceeded, connections
-// without a complete request are evicted.
+// SetMaxConns changes the limit of open connections; the minimum is 1. While it is exceeded,
+// connections without open requests are evicted.
 func (f *Front) SetMaxConns(limit int) { f.connSlots.setLimit(limit) }
 
-// SetHandedOver tells the front, before a drain, that another process accepts from the same
-// socket. The drain then accepts no new connections, and closing the socket resets none.
-// Until keepIdleUntil, connections are closed only with a response, which no new request can
-// cross; after that, idle connections are closed as well.
+// SetHandedOver tells the front that another process accepts from the same socket. It must be
+// called before Drain, which then accepts no new connections; closing the socket resets none.
+// Until keepIdleUntil the drain closes connections only with a response, so that no new request
+// can cross the close; after that it closes idle connections as well.
 func (f *Front) SetHandedOver(keepIdleUntil time.Time) {
 	f.keepIdleUntil = keepIdleUntil
 	f.handedOver.Store(true)
 }
 
-// Drain stops the front without interrupting a request. /ready answers 503, responses close
-// their connections, and new connections are accepted for acceptWindow. Then the connections
-// in the accept queue are accepted and the socket is closed. Drain returns when no request is
-// open and all connections are closed, or when ctx ends.
+// Drain stops the front without interrupting a request. Responses close their connections.
+// Unless the socket was handed over, GET /ready answers 503, new connections are accepted for
+// acceptWindow, and then those that are left in the accept queue. The socket is closed after
+// that. Drain returns when all connections are closed. If ctx ends first, it closes those that
+// are left. It must be called once.
 func (f *Front) Drain(ctx context.Context, acceptWindow time.Duration) {
 	f.draining.Store(true)
 	if !f.handedOver.Load() {
--- a/httpfront/places.go
+++ b/httpfront/places.go
@@ -8,7 +8,7 @@
 	mu       sync.Mutex
 	acquired int
 	limit    int
-	freed    chan struct{} // capacity 1; signals that a slot was released or the limit changed
+	freed    chan struct{} // capacity 1; signals that a slot was released or the limit was changed
 }
 
 // newConnLimiter returns a limiter with all slots free; the minimum limit is 1.
--- a/internal/flightwire/flightwire.go
+++ b/internal/flightwire/flightwire.go
@@ -18,40 +18,41 @@
 	"onyxsail/broker"
 )
 
-// CompleteKey is the schema metadata key that says whether a result covers all parts.
+// CompleteKey is the schema metadata key that says whether a result is complete: "true", or
+// "false" for a partial one.
 const CompleteKey = "whole"
 
-// PartEndKey is the trailer in which a node reports how a part ended. The value
-// PartEndQueueFull proves that the part never ran. A status alone proves nothing, as the
-// transport generates such statuses itself.
+// PartEndKey is the trailer in which a node reports how a part ended. PartEndQueueFull is the
+// value that proves that the part never ran, as the node's queue was full. A status alone proves
+// nothing, as the transport generates such statuses itself.
 const (
 	PartEndKey       = "part-end"
 	PartEndQueueFull = "full"
 )
 
-// Limits of one result that is read, so that a node that never stops sending cannot use up the
-// memory.
+// Limits of one result that is read. Without them, a node that never stops sending could use up
+// the memory.
 const (
 	maxRows       = 1024    // rows of all batches
 	maxValueBytes = 1 << 20 // of all values
 )
 
-// QueryTicket is the ticket of a query, without its targets and text, which are encoded as in
-// the body of a platform request.
+// QueryTicket is the ticket of a query, without its targets and text. These are further fields
+// of the same JSON object, which package query decodes as in the body of an HTTP request.
 type QueryTicket struct {
 	ID    string `json:"id"`
-	Class string `json:"class"`
-	Key   string `json:"key,omitempty"`
-	Retry bool   `json:"retry,omitempty"`
+	Class string `json:"class"`           // name of the class
+	Key   string `json:"key,omitempty"`   // idempotency key; only in a keyed class
+	Retry bool   `json:"retry,omitempty"` // the client marks the query as a retry
 }
 
 // PartTicket is the ticket of one part that is sent to a node.
 type PartTicket struct {
-	ID        string `json:"id"`
-	Partition int    `json:"partition"`
-	WaitMs    int64  `json:"wait_ms"`
-	Key       string `json:"key,omitempty"`
-	Query     []byte `json:"query"` // base64 in JSON
+	ID        string `json:"id"`            // the query's id, a dot and the shard number
+	Partition int    `json:"partition"`     // shard number
+	WaitMs    int64  `json:"wait_ms"`       // how much longer the broker waits for the answer
+	Key       string `json:"key,omitempty"` // idempotency key of the query, if it has one
+	Query     []byte `json:"query"`         // text of the query; base64 in JSON
 }
 
 // EncodeTicket encodes a QueryTicket or PartTicket as JSON.
@@ -63,7 +64,8 @@
 	return &flight.Ticket{Ticket: data}, nil
 }
 
-// Schema returns the schema of a result.
+// Schema returns the schema of a result: one row for each part that was answered, with the shard
+// number and the value.
 func Schema(complete bool) *arrow.Schema {
 	md := arrow.NewMetadata([]string{CompleteKey}, []string{strconv.FormatBool(complete)})
 	return arrow.NewSchema([]arrow.Field{
@@ -96,8 +98,9 @@
 	return nil
 }
 
-// ReadValues reads a result. If the stream does not end properly it returns an error and no
-// values.
+// ReadValues reads a result. complete is true only if the schema's metadata says so. If the stream
+// does not end properly, or the result has the wrong schema or exceeds the limits, ReadValues
+// returns an error and no values.
 func ReadValues(stream flight.DataStreamReader) (complete bool, values []broker.Value, err error) {
 	reader, err := flight.NewRecordReader(stream)
 	if err != nil {
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -1,6 +1,6 @@
 // Package http1 is an incremental parser for HTTP/1.x messages: requests for the front,
-// responses for the discovery client. Bodies with a length and chunked bodies are supported,
-// and the size of everything is limited.
+// responses for the discovery client. A body may have a length, be chunked or, in a response,
+// end with the stream. The sizes of heads, lines and bodies are limited.
 package http1
 
 import (
@@ -14,7 +14,7 @@
 const (
 	MaxHeadBytes = 16 << 10 // start line and headers; the same limit holds for all trailers
 	MaxHeaders   = 64       // number of header fields
-	MaxLineBytes = 4 << 10  // chunk size line or trailer line
+	MaxLineBytes = 4 << 10  // one chunk size line or trailer line
 )
 
 // Parse errors. After any of them the rest of the stream cannot be parsed.
@@ -24,20 +24,21 @@
 	ErrBodyTooLarge = errors.New("body too large")
 )
 
-// Header is one header field; Name is in lower case.
+// Header is one header field. Name is in lower case; Value has no spaces or tabs around it.
 type Header struct{ Name, Value string }
 
 // Message is a parsed request or response.
 type Message struct {
-	Method, Target  string // of a request
-	Status          int    // of a response
+	Method, Target  string // of a request; empty in a response
+	Status          int    // of a response; 0 in a request
 	Headers         []Header
 	Body            []byte
 	Close           bool // the sender closes the connection after this message
 	ExpectsContinue bool // the sender waits for 100 Continue
 }
 
-// Get returns the first value of a header, or "" if it is absent.
+// Get returns the first value of a header, whose name is given in lower case, or "" if it is
+// absent.
 func (m *Message) Get(name string) string {
 	for _, h := range m.Headers {
 		if h.Name == name {
@@ -47,7 +48,7 @@
 	return ""
 }
 
-// All returns all values of a header.
+// All returns all values of a header, whose name is given in lower case.
 func (m *Message) All(name string) []string {
 	var values []string
 	for _, h := range m.Headers {
@@ -58,7 +59,7 @@
 	return values
 }
 
-// Count returns how often a header is present.
+// Count returns how often a header, whose name is given in lower case, is present.
 func (m *Message) Count(name string) int {
 	n := 0
 	for _, h := range m.Headers {
@@ -90,19 +91,20 @@
 	buf              []byte
 	state            state
 	msg              *Message
-	remaining        int // bytes missing from the body or chunk
-	trailerBytes     int // total length of the trailer lines so far
-	err              error
-	continueReported bool // WantsContinue has returned true for msg
+	remaining        int   // bytes missing from the body or chunk
+	trailerBytes     int   // total length of the trailer lines so far
+	err              error // what Next returned; every later call returns it as well
+	continueReported bool  // WantsContinue has returned true for msg
 }
 
-// Feed adds input.
+// Feed adds input. It copies data.
 func (p *Parser) Feed(data []byte) { p.buf = append(p.buf, data...) }
 
 // Buffered returns the number of input bytes not yet parsed.
 func (p *Parser) Buffered() int { return len(p.buf) }
 
-// InMessage reports whether a message has been received in part.
+// InMessage reports whether a message has been received in part, or complete ones have not been
+// taken with Next.
 func (p *Parser) InMessage() bool { return p.state != inHead || len(p.buf) > 0 }
 
 // WantsContinue reports, once per message, that the sender of the current message waits for
@@ -115,7 +117,8 @@
 	return true
 }
 
-// Next returns the next complete message, or nil if more input is needed.
+// Next returns the next complete message, or nil if more input is needed. After an error, every
+// later call returns the same error.
 func (p *Parser) Next() (*Message, error) {
 	if p.err != nil {
 		return nil, p.err
@@ -191,8 +194,9 @@
 	}
 }
 
-// EndOfStream tells the parser that the stream has ended. It returns the message that is
-// completed by this, if any.
+// EndOfStream tells the parser that the stream has ended, after Next has returned all complete
+// messages. It returns the response whose body ends with the stream, if there is one, and
+// otherwise nil. If the stream has ended inside a message, the error is ErrMalformed.
 func (p *Parser) EndOfStream() (*Message, error) {
 	if p.state == inBodyUntilClose {
 		return p.takeMessage(), nil
@@ -203,15 +207,16 @@
 	return nil, nil
 }
 
-// takeMessage returns the current message and prepares for the next.
+// takeMessage returns the current message and prepares the parser for the next.
 func (p *Parser) takeMessage() *Message {
 	m := p.msg
 	p.msg, p.state, p.continueReported = nil, inHead, false
 	return m
 }
 
-// findHeadEnd returns the length of the head at the start of b up to its last line feed, and the
-// number of bytes from there to the end of the blank line. end is -1 if the head is incomplete.
+// findHeadEnd returns the length of the head at the start of b without its last line feed, and
+// the number of bytes from that line feed to the end of the blank line. end is -1 if the head is
+// incomplete.
 func findHeadEnd(b []byte) (end, terminatorLen int) {
 	for i := 0; ; {
 		j := bytes.IndexByte(b[i:], '\n')
@@ -228,7 +233,8 @@
 	}
 }
 
-// readLine returns the next line without its line break, and whether it is complete.
+// readLine returns the next line without its line break. The result is false if the line is not
+// complete yet.
 func (p *Parser) readLine() (string, bool, error) {
 	i := bytes.IndexByte(p.buf, '\n')
 	if i < 0 {
@@ -333,7 +339,8 @@
 	return nil
 }
 
-// parseStartLine parses a request line or a status line into message.
+// parseStartLine parses a request line or a status line into message, and returns the protocol
+// version.
 func (p *Parser) parseStartLine(message *Message, line string) (version string, err error) {
 	first, rest, ok1 := strings.Cut(line, " ")
 	second, third, ok2 := strings.Cut(rest, " ")
@@ -353,7 +360,7 @@
 // isVersion reports whether s is a supported protocol version.
 func isVersion(s string) bool { return s == "HTTP/1.1" || s == "HTTP/1.0" }
 
-// isToken reports whether s is a token as HTTP defines it.
+// isToken reports whether s is a token as RFC 9110, section 5.6.2, defines it.
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -80,7 +80,7 @@
 				record(m)
 			}
 			if !errors.Is(err, c.err) || strings.Join(got, "|") != strings.Join(c.want, "|") || anyClose != c.close {
-				t.Errorf("%s, in steps of %d bytes: got %q close %v err %v", c.name, step, got, anyClose, err)
+				t.Errorf("%s, in steps of %d bytes: got messages %q, close %v, error %v", c.name, step, got, anyClose, err)
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 		t.Fatal(m, err)
 	}
 	if _, err := p.EndOfStream(); !errors.Is(err, ErrMalformed) {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want ErrMalformed", err)
 	}
 }
 
@@ -132,7 +132,7 @@
 		}
 		for _, m := range atOnce {
 			if len(m.Body) > 1<<10 || len(m.Headers) > MaxHeaders {
-				t.Errorf("%q: %d bytes, %d headers", data, len(m.Body), len(m.Headers))
+				t.Errorf("%q: body of %d bytes, %d headers, above the limit", data, len(m.Body), len(m.Headers))
 			}
 		}
 	})
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	maxParts     = 1024 // targets of one query
-	maxNameBytes = 128  // of a query's id or key
-	// The shares of all parts must add up to 1. Clients send rounded shares, so the sum may be
-	// off by shareSumTolerance, plus shareTolerancePerPart for each part.
+	maxParts     = 1024 // parts of one query
+	maxNameBytes = 128  // length of a query's id or key
+	// The shares of all parts must add up to 1. As clients send rounded shares, the sum may be
+	// off by shareSumTolerance, plus shareTolerancePerPart for each part. Both are fractions of
+	// the whole answer.
 	shareSumTolerance, shareTolerancePerPart = 1e-3, 1e-4
 )
 
@@ -24,11 +25,11 @@
 type Class struct {
 	Name       string
 	Index      int     // position in the settings' list of classes
-	Keyed      bool    // queries carry an idempotency key
+	Keyed      bool    // queries must carry an idempotency key
 	DeadlineMs float64 // time after which the class's clients give up
 }
 
-// targetField is one target in the JSON body. Pointers tell missing fields from zero values.
+// queryTarget is one target in the JSON body. Pointers tell missing fields from zero values.
 type queryTarget struct {
 	Partition *int     `json:"partition"`
 	Share     *float64 `json:"share"`
@@ -36,14 +37,15 @@
 	Route     string   `json:"route"`
 }
 
-// queryBody is the JSON body of a query.
+// queryBody is the JSON body of a query. Query is nil if the field is missing.
 type queryBody struct {
 	Targets []queryTarget `json:"targets"`
 	Query   *string       `json:"query"`
 }
 
-// DecodeBody sets q's parts and text from a query's JSON body. Shard numbers must be below
-// shardCount unless it is 0. Errors name the invalid field.
+// DecodeBody sets q's parts and text from a query's JSON body; unknown fields are ignored. Shard
+// numbers must be below shardCount unless it is 0. Errors name the invalid field and are meant
+// for the client; q may be partly set then.
 func DecodeBody(q *broker.Query, data []byte, shardCount int) error {
 	var b queryBody
 	if !utf8.Valid(data) { // the decoder would replace invalid bytes, but the text must reach the nodes unchanged
@@ -91,8 +93,8 @@
 	return nil
 }
 
-// ValidateName returns an error unless name is a valid query id or key: its characters must be
-// safe in a line of a frame. field names it in the error.
+// ValidateName returns an error, meant for the client, unless name is a valid query id or key:
+// its characters must be safe in a line of a frame. field names the value in the error.
 func ValidateName(field, name string) error {
 	for i := range len(name) {
 		c := name[i]
--- a/internal/tracecontext/tracecontext.go
+++ b/internal/tracecontext/tracecontext.go
@@ -27,7 +27,7 @@
 	maxTracestateBytes  = 512
 )
 
-// headerCarrier implements propagation.TextMapCarrier for two header values.
+// headerCarrier is a read-only propagation.TextMapCarrier of the two header values.
 type headerCarrier struct{ parent, state string }
 
 // Get implements propagation.TextMapCarrier.
@@ -41,15 +41,16 @@
 	return ""
 }
 
-// Set implements propagation.TextMapCarrier; it does nothing, as the carrier is only read.
+// Set implements propagation.TextMapCarrier. It does nothing.
 func (c headerCarrier) Set(string, string) {}
 
 // Keys implements propagation.TextMapCarrier.
 func (c headerCarrier) Keys() []string { return []string{TraceparentHeader, TracestateHeader} }
 
-// Parse parses the values of both headers: one traceparent for each time the header is present,
-// and the tracestate values joined by commas. If the traceparent is absent, repeated, too long
-// or malformed, the result is zero, which means a new trace. An unusable tracestate is dropped.
+// Parse parses the values of both headers. traceparents has one value for each time the header
+// is present; tracestate has all values of its header, joined by commas. If the traceparent is
+// absent, repeated, too long or malformed, the result is zero, which means a new trace. A
+// tracestate that is too long or malformed is dropped without affecting the rest.
 func Parse(traceparents []string, tracestate string) broker.TraceContext {
 	if len(traceparents) != 1 || len(traceparents[0]) > maxTraceparentBytes {
 		return broker.TraceContext{}
--- a/internal/tracecontext/tracecontext_test.go
+++ b/internal/tracecontext/tracecontext_test.go
@@ -13,7 +13,7 @@
 func TestParseTreatsMalformedHeadersAsAbsent(t *testing.T) {
 	c := Parse([]string{validTraceparent}, "a=1,b=2")
 	if FormatTraceparent(c.TraceID, c.ParentID, c.Sampled) != validTraceparent || c.TraceState != "a=1,b=2" {
-		t.Errorf("got %+v", c)
+		t.Errorf("valid headers: got %+v", c)
 	}
 	for name, traceparents := range map[string][]string{
 		"absent": nil, "repeated": {validTraceparent, validTraceparent}, "empty": {""}, "too long": {validTraceparent + "-00"}, "far too long": {validTraceparent + strings.Repeat("x", 9000)},
@@ -28,7 +28,7 @@
 	// An invalid tracestate must not discard the traceparent.
 	for _, tracestate := range []string{"a", "a=1,a=2", strings.Repeat("a=1,", 200), "\x00=1"} {
 		if c := Parse([]string{validTraceparent}, tracestate); c.TraceState != "" || c.TraceID == [16]byte{} {
-			t.Errorf("tracestate %.20q: got %+v", tracestate, c)
+			t.Errorf("tracestate %.20q: got %+v, want the trace ID without a tracestate", tracestate, c)
 		}
 	}
 	if c := Parse([]string{"cc" + validTraceparent[2:] + "-more"}, ""); c.TraceID == [16]byte{} {
--- a/reach/claims.go
+++ b/reach/claims.go
@@ -32,9 +32,10 @@
 }
 
 // Update takes all nodes as they are listed now and returns the addresses granted to each,
-// in the node's order, and the claims that lost. If two nodes begin to name an address in the
-// same update, the later one in the list wins. A node that is no longer listed, or no longer
-// names an address, loses its claim; if it names the address again, that is a new claim.
+// in the node's order, and the claims that lost. A node without any granted address is
+// returned as well. If two nodes begin to name an address in the same update, the later one in
+// the list wins. A node that is no longer listed, or no longer names an address, loses its
+// claim; if it names the address again, that is a new claim.
 func (c *Claims) Update(nodes []NodeAddresses) (granted []NodeAddresses, lost []LostClaim) {
 	c.generation++
 	claimedAt := make(map[claim]uint64, len(c.claimedAt))
--- a/reach/outcome.go
+++ b/reach/outcome.go
@@ -10,7 +10,7 @@
 	FailureDialRefused       AttemptFailure = iota // nothing listens at the address
 	FailureDialTimedOut                            // the connection was not established in time
 	FailureNoHandshake                             // connected, but the peer never sent its first bytes (Flight)
-	FailureClosedBeforeFrame                       // connection closed before the first byte of the frame was written
+	FailureClosedBeforeFrame                       // connection closed before any byte of the frame was written
 	FailureClosedMidFrame                          // connection closed between the frame's first byte and its last
 	FailureClosedAfterFrame                        // connection closed after the frame's last byte was written
 	FailureStreamNotOpened                         // the Flight stream could not be opened
@@ -22,7 +22,7 @@
 // Disposition is how an attempt continues after a failure.
 type Disposition struct {
 	// TryOtherAddress is set if the part may be sent to another address of the node within
-	// the same attempt, as nothing of it can have reached the node.
+	// the same attempt, as the part cannot have reached the node.
 	TryOtherAddress bool
 	// Outcome is reported to the core if the part is not sent to another address or none is
 	// left. The decision module then decides by the query's class whether to retry the part,
@@ -50,8 +50,8 @@
 func DispositionOf(failure AttemptFailure) Disposition { return dispositions[failure] }
 
 // ClassifyClose returns the failure of an attempt whose connection was closed. The arguments
-// are offsets in the connection's byte stream: where the frame starts and ends, and how many
-// bytes had been written. frameEnd is 0 for a frame that was never written.
+// are offsets in the connection's byte stream, in bytes: where the frame starts and ends, and
+// how much had been written. frameEnd is 0 for a frame that was never passed to the connection.
 func ClassifyClose(frameStart, frameEnd, written int64) AttemptFailure {
 	switch {
 	case frameEnd == 0 || written <= frameStart:
--- a/reach/reach.go
+++ b/reach/reach.go
@@ -1,8 +1,8 @@
 // Package reach selects the address at which a node is contacted: in which order its addresses
 // are dialed, when the next one is dialed in parallel, which one is preferred, and when a
 // suspected one is tried again. It does no I/O and reads no clock: the results of dials and
-// connections are passed in with their times, and the next step is returned. It is
-// deterministic.
+// connections are passed in with their times, and the next step is returned. Times are given
+// as durations since a moment that the caller chooses once. The package is deterministic.
 //
 // Dials are staggered as in Happy Eyeballs (RFC 8305): the next address is dialed when the
 // previous one has failed or has taken longer than its connects usually do. The cost of an
@@ -18,17 +18,18 @@
 
 // Limits configures a Planner.
 type Limits struct {
-	// InitialDelay is the delay between two dials of one race after an address that has
-	// never connected. MinDelay and MaxDelay bound the delay that is derived from the
-	// measured connect times of an address.
+	// InitialDelay is how long a race waits for a connect to an address that has never
+	// connected before it dials the next one in parallel. MinDelay and MaxDelay bound the
+	// same wait for other addresses, which is derived from their measured connect times.
 	InitialDelay, MinDelay, MaxDelay time.Duration
 	// MaxDialsPerNode and MaxDials bound the dials in progress, per node and in total.
 	MaxDialsPerNode, MaxDials int
-	// SuspicionHalfLife is the half-life of an address's suspicion level.
+	// SuspicionHalfLife is the time in which an address's suspicion level halves.
 	SuspicionHalfLife time.Duration
-	// InitialProbationBackoff is how long after a failure a suspected address is tried
-	// again; it doubles with each failure up to MaxProbationBackoff. ProbationInterval is
-	// the minimum time between two probation dials of all nodes together.
+	// InitialProbationBackoff is how long after the failure that made it suspected an address
+	// is tried again. The time doubles with each failure while it is suspected, up to
+	// MaxProbationBackoff.
+	// ProbationInterval is the minimum time between two probation dials to any nodes.
 	InitialProbationBackoff, MaxProbationBackoff, ProbationInterval time.Duration
 }
 
@@ -42,16 +43,17 @@
 	}
 }
 
-// Weights by which failures raise the suspicion level (0 to 1) of an address, the threshold
-// above which it is suspected, and the parameters of the connect time estimate.
+// The weights of failures, the threshold of suspicion, and the parameters of the connect time
+// estimate. A failure raises the suspicion level of an address, from 0 to 1, by its weight times
+// the distance to 1; an address whose level exceeds the threshold is suspected.
 const (
 	dialRefusedWeight  = 0.6 // connection refused: a single one exceeds the threshold
 	dialTimeoutWeight  = 0.6
-	unresponsiveWeight = 0.55
-	connBrokenWeight   = 0.3 // a connection broke: two within a short time exceed the threshold
+	unresponsiveWeight = 0.55 // parts get no answer, or a dial takes long and is cancelled
+	connBrokenWeight   = 0.3  // a connection broke: two within a short time exceed the threshold
 	suspicionThreshold = 0.5
 	smoothingFactor    = 0.2 // weight of the latest connect in the moving averages
-	deviationFactor    = 4   // a connect is late after the mean and this many deviations (RFC 6298, section 2)
+	deviationFactor    = 4   // a connect is late after the mean plus this many deviations (RFC 6298, section 2)
 )
 
 // DialFailure is why a dial failed.
@@ -63,11 +65,12 @@
 	DialTimedOut                    // not established in time
 )
 
-// RaceStep is what the caller of a race must do next.
+// RaceStep is what the caller of a race must do next. The zero value means: call Next again
+// when a dial ends.
 type RaceStep struct {
 	Dial   address.Address // if not zero: dial this address and call Next again
 	WakeAt time.Duration   // if not zero: call Next again at this time or when a dial ends
-	GiveUp bool            // no address is left to dial
+	GiveUp bool            // the race has ended, or nothing can be dialed and no dial is in progress
 }
 
 // OrderReason is why an address has its place in the order.
@@ -77,8 +80,8 @@
 const (
 	LastGood  OrderReason = "last-good" // the node last answered at it
 	Proven    OrderReason = "proven"    // the node has answered at it before
-	Untried   OrderReason = "untried"
-	Suspected OrderReason = "in-doubt"
+	Untried   OrderReason = "untried"   // the node has never answered at it
+	Suspected OrderReason = "in-doubt"  // its suspicion level exceeds the threshold
 )
 
 // AddressStatus is the planner's state of one address.
@@ -87,7 +90,7 @@
 	Text      string          `json:"addr"`
 	Reason    OrderReason     `json:"why"`
 	Suspicion float64         `json:"against"` // suspicion level, 0 to 1
-	Delay     time.Duration   `json:"delay"`   // until the next address is dialed in parallel
+	Delay     time.Duration   `json:"delay"`   // until the next address is dialed in parallel; nanoseconds in JSON
 }
 
 // Planner holds the state of all nodes and their addresses. It is not safe for concurrent use.
@@ -111,20 +114,20 @@
 	addr                    address.Address
 	suspicion               float64 // suspicion level at suspicionAt
 	suspicionAt             time.Duration
-	connected               bool
-	answered                bool
+	connected               bool          // a connect has succeeded
+	answered                bool          // the node has answered at it
 	connectMean, connectDev time.Duration // moving averages of its connect times and of their deviation
-	probationAt             time.Duration
-	probationBackoff        time.Duration
-	removed                 bool // the node no longer has this address
+	probationAt             time.Duration // earliest time of its next probation dial
+	probationBackoff        time.Duration // 0: not suspected since it last worked
+	removed                 bool          // the node no longer has this address
 }
 
 // New returns a planner without nodes.
 func New(limits Limits) *Planner { return &Planner{limits: limits, nodes: map[string]*node{}} }
 
 // SetAddresses sets a node's addresses, in the list's order of preference. The state of
-// remaining addresses is kept, and running races no longer dial removed ones. Without
-// addresses, the node is removed.
+// remaining addresses is kept, and running races no longer dial removed ones. Repeated
+// addresses count once. Without addresses, the node is removed.
 func (p *Planner) SetAddresses(id string, addrs []address.Address) {
 	n := p.nodes[id]
 	if n == nil {
@@ -157,6 +160,7 @@
 	}
 }
 
+// find returns the state of one of the node's addresses, or nil if the node does not have it.
 func (n *node) find(a address.Address) *addrState {
 	for _, s := range n.addrs {
 		if s.addr == a {
@@ -196,9 +200,10 @@
 	}
 }
 
-// rank returns a node's addresses in the order in which they are dialed: first the one that
-// answered last, then Unix sockets that have answered before, then the address families
-// alternately, each in the list's order (RFC 8305, section 4), and last the suspected ones.
+// rank returns a node's addresses in the order in which they are dialed: first the one at which
+// the node last answered, then Unix sockets at which it has answered before, then the address
+// families alternately, each in the list's order (RFC 8305, section 4), and last the suspected
+// ones, the least suspected first.
 func (p *Planner) rank(n *node, now time.Duration) []*addrState {
 	var good, suspected []*addrState
 	for _, s := range n.addrs {
@@ -220,7 +225,7 @@
 	return append(interleave(good, n.lastGood), suspected...)
 }
 
-// interleave returns the order of addresses that are not suspected; see rank.
+// interleave returns the addresses that are not suspected in the order that rank describes.
 func interleave(addrs []*addrState, lastGood *addrState) []*addrState {
 	var ranked []*addrState
 	var families [4][]*addrState
@@ -258,7 +263,8 @@
 	return min(max(s.connectMean+deviationFactor*s.connectDev, p.limits.MinDelay), p.limits.MaxDelay)
 }
 
-// AddressStatuses returns the status of a node's addresses, the preferred one first.
+// AddressStatuses returns the status of a node's addresses in the order in which they are
+// dialed, or nil if the node is not known.
 func (p *Planner) AddressStatuses(id string, now time.Duration) []AddressStatus {
 	n := p.nodes[id]
 	if n == nil {
@@ -305,7 +311,8 @@
 	return &Race{planner: p, node: n, candidates: p.rank(n, now)}
 }
 
-// Next returns the race's next step.
+// Next returns the race's next step. If a limit of dials keeps it from dialing, it waits for
+// one of its own dials to end, and gives up if it has none.
 func (r *Race) Next(now time.Duration) RaceStep {
 	if r.done {
 		return RaceStep{GiveUp: true}
@@ -353,10 +360,10 @@
 	return nil
 }
 
-// Connected reports that a dial succeeded after took, and ends the race: the caller must
-// cancel the other dials and call DialCancelled for each. If use is false, the caller must
-// close the connection: the race has already ended, or the node no longer has the address,
-// in which case the race continues.
+// Connected reports that a dial succeeded after took. If use is true, the race has ended: the
+// caller uses the connection, cancels the other dials and calls DialCancelled for each. If use
+// is false, the caller must close the connection: either the race had ended before, or the node
+// no longer has the address and the race goes on.
 func (r *Race) Connected(a address.Address, took, now time.Duration) (use bool) {
 	s := r.removeDial(a)
 	if s == nil {
@@ -386,8 +393,9 @@
 	}
 }
 
-// DialCancelled reports that a dial was cancelled. This does not count against its address,
-// unless the last dial of the race began more than twice MaxDelay ago.
+// DialCancelled reports that a dial was cancelled. This counts against its address only if the
+// last dial of the race began more than twice MaxDelay ago: until then another address may
+// merely have been faster.
 func (r *Race) DialCancelled(a address.Address, now time.Duration) {
 	if s := r.removeDial(a); s != nil && now-r.lastDialAt > 2*r.planner.limits.MaxDelay {
 		r.planner.addSuspicion(s, now, unresponsiveWeight)
@@ -406,7 +414,8 @@
 	return addrs
 }
 
-// lookup returns a node and the state of one of its addresses, nil where there is none.
+// lookup returns a node and the state of one of its addresses. Either is nil if it is not
+// known.
 func (p *Planner) lookup(id string, a address.Address) (*node, *addrState) {
 	if n := p.nodes[id]; n != nil {
 		return n, n.find(a)
@@ -416,7 +425,7 @@
 
 // Answered reports that a node has answered at an address. This clears the address's
 // suspicion and makes it the preferred one. switched is true if another one was preferred
-// before.
+// before. An address that is not known is ignored.
 func (p *Planner) Answered(id string, a address.Address, now time.Duration) (switched bool) {
 	n, s := p.lookup(id, a)
 	if s == nil {
@@ -429,15 +438,16 @@
 	return switched
 }
 
-// Suspected reports whether an address is suspected.
+// Suspected reports whether an address is suspected. One that is not known is not.
 func (p *Planner) Suspected(id string, a address.Address, now time.Duration) bool {
 	_, s := p.lookup(id, a)
 	return s != nil && p.suspicion(s, now) > suspicionThreshold
 }
 
-// Unresponsive reports that parts sent to an address of a node get no answer. It raises the
-// address's suspicion. blameNode is false if the node has answered since unansweredSince at
-// one of several addresses, as then the address is at fault; otherwise the node itself is
+// Unresponsive reports that a node owes an answer at an address and has given none there since
+// unansweredSince. It raises the address's suspicion. blameNode is false if the node has
+// several addresses and has answered later than unansweredSince at any of them, as then the
+// address is at fault. Otherwise, and if the address is not known, the node itself counts as
 // unresponsive.
 func (p *Planner) Unresponsive(id string, a address.Address, unansweredSince, now time.Duration) (blameNode bool) {
 	n, s := p.lookup(id, a)
@@ -463,10 +473,10 @@
 	}
 }
 
-// BeginProbation starts a race for a suspected address whose probation dial is due, beside
-// the regular traffic and at a limited rate over all nodes. It returns nil if none is due.
-// Only nodes that are reachable at another address have probation dials, as the races of the
-// others dial all addresses anyway.
+// BeginProbation starts a race that dials only a suspected address whose probation dial is due,
+// beside the regular traffic and at a limited rate over all nodes. It returns nil if none is
+// due or the limit of dials in progress is reached. Only nodes that have answered at another
+// address have probation dials, as the races of the others dial all addresses anyway.
 func (p *Planner) BeginProbation(id string, now time.Duration) *Race {
 	n := p.nodes[id]
 	if n == nil || now < p.nextProbationAt || n.lastGood == nil || p.dialsOut >= p.limits.MaxDials || n.dialsOut >= p.limits.MaxDialsPerNode {
@@ -474,7 +484,7 @@
 	}
 	for _, s := range n.addrs {
 		if s != n.lastGood && p.suspicion(s, now) > suspicionThreshold && now >= s.probationAt {
-			s.probationAt = now + s.probationBackoff // a failure moves it further back
+			s.probationAt = now + s.probationBackoff // a failure postpones it further
 			p.nextProbationAt = now + p.limits.ProbationInterval
 			return &Race{planner: p, node: n, candidates: []*addrState{s}}
 		}
--- a/reach/reach_test.go
+++ b/reach/reach_test.go
@@ -47,13 +47,14 @@
 	return s
 }
 
-// runRace runs a race to n and returns the address that won, the number of dials and the time
-// that it took. dial returns how long a connect to an address takes, or false if it is refused.
+// runRace runs a race to n and returns the address that won (zero: none), the number of dials and
+// the time that it took. dial returns how long a connect to an address takes, or false if it is
+// refused.
 func runRace(t testing.TB, p *Planner, now time.Duration, dial func(address.Address) (time.Duration, bool)) (winner address.Address, dialCount int, took time.Duration) {
 	t.Helper()
 	race := p.BeginRace("n", now)
 	if race == nil {
-		t.Fatal("no race")
+		t.Fatal("no race could begin")
 	}
 	start := now
 	connectsAt := map[address.Address]time.Duration{}
@@ -89,7 +90,7 @@
 			}
 		}
 	}
-	t.Fatal("the race does not end")
+	t.Fatal("the race did not end within 100 steps")
 	return
 }
 
@@ -114,7 +115,7 @@
 	}
 	p.SetAddresses("n", []address.Address{v4b, unixSock})
 	if got := orderText(p, ms); got != "unix:/n proven, 127.0.0.2:1 untried, " {
-		t.Errorf("after a change of addresses: %s", got)
+		t.Errorf("after a change of addresses, want the proven socket before the untried address: %s", got)
 	}
 	p.SetAddresses("n", nil)
 	if p.BeginRace("n", 0) != nil || p.AddressStatuses("n", 0) != nil {
@@ -128,7 +129,7 @@
 	p := newPlanner(v6, v4)
 	v6Refused := func(a address.Address) (time.Duration, bool) { return ms, a == v4 }
 	if got, n, took := runRace(t, p, 0, v6Refused); got != v4 || n != 2 || took != ms {
-		t.Errorf("refused: %v after %d dials and %v", got, n, took)
+		t.Errorf("refused: %v after %d dials and %v, want the IPv4 address after 2 dials and its connect time", got, n, took)
 	}
 	p.Answered("n", v4, ms)
 	if got, n, _ := runRace(t, p, ms, v6Refused); got != v4 || n != 1 {
@@ -142,7 +143,7 @@
 		return ms, true
 	}
 	if got, n, took := runRace(t, p, 0, v6BlackHole); got != v4 || n != 2 || took != p.limits.InitialDelay+ms {
-		t.Errorf("black hole: %v after %d dials and %v", got, n, took)
+		t.Errorf("black hole: %v after %d dials and %v, want the IPv4 address after 2 dials, one initial delay and its connect time", got, n, took)
 	}
 	// An address that is known to connect in 1 ms has a shorter attempt delay.
 	p = newPlanner(v6, v4)
@@ -151,7 +152,7 @@
 		runRace(t, p, 0, allConnect)
 	}
 	if _, _, took := runRace(t, p, 0, v6BlackHole); took >= p.limits.InitialDelay {
-		t.Errorf("with a known connect time: %v", took)
+		t.Errorf("with a known connect time: %v, want less than the initial delay", took)
 	}
 }
 
@@ -196,11 +197,11 @@
 	p.Unresponsive("n", v6, 0, 2*time.Minute)
 	r := p.BeginProbation("n", 2*time.Minute+p.limits.InitialProbationBackoff)
 	if r == nil || r.Next(3*time.Minute).Dial != v6 || !r.Connected(v6, ms, 3*time.Minute) {
-		t.Fatal("no probation dial, or its connection is not used")
+		t.Fatal("no probation dial of the suspected address, or its connection is not used")
 	}
 	p.ProbationPassed("n", v6, 3*time.Minute)
 	if got := orderText(p, 3*time.Minute); got != "127.0.0.1:1 last-good, [::1]:1 proven, " {
-		t.Errorf("after probation: %s", got)
+		t.Errorf("after probation, want the address proven and the preferred one unchanged: %s", got)
 	}
 }
 
@@ -356,7 +357,7 @@
 	}{{0, 0, 0, FailureClosedBeforeFrame}, {100, 150, 100, FailureClosedBeforeFrame}, {100, 150, 90, FailureClosedBeforeFrame}, {100, 150, 101, FailureClosedMidFrame}, {100, 150, 149, FailureClosedMidFrame},
 		{100, 150, 150, FailureClosedAfterFrame}, {100, 150, 400, FailureClosedAfterFrame}} {
 		if got := ClassifyClose(tc.frameStart, tc.frameEnd, tc.written); got != tc.want {
-			t.Errorf("%+v: %d", tc, got)
+			t.Errorf("%+v: got failure %d", tc, got)
 		}
 	}
 	if DispositionOf(FailureClosedAfterFrame).TryOtherAddress || DispositionOf(FailureClosedMidFrame).TryOtherAddress || DispositionOf(FailureStreamEnded).TryOtherAddress || DispositionOf(FailureNoAnswer).TryOtherAddress {
