--- a/flightfront/front_test.go
+++ b/flightfront/front_test.go
@@ -22,7 +22,8 @@
 	"onyxsail/internal/testkit"
 )
 
-// fakeCore gives every query the same reply, or none if reply is nil.
+// fakeCore gives every query the same reply, or none if reply is nil. With queueFull it accepts no
+// query.
 type fakeCore struct {
 	mu        sync.Mutex
 	reply     *broker.Reply
@@ -119,7 +120,7 @@
 		var s interface{ GRPCStatus() *status.Status }
 		if c.code == codes.OK {
 			if err != nil || complete != c.reply.Complete || len(values) != 1 || values[0].Shard != 3 || string(values[0].Data) != "v\x00" {
-				t.Errorf("%s: got %v %+v %v", c.name, complete, values, err)
+				t.Errorf("%s: got complete %v, values %+v, error %v", c.name, complete, values, err)
 			}
 			continue
 		}
@@ -132,13 +133,13 @@
 			info, _ = d.(*errdetails.RetryInfo)
 		}
 		if (info != nil) != (c.code == codes.Unavailable) || info.GetRetryDelay().AsDuration() != c.retry {
-			t.Errorf("%s: RetryInfo %v", c.name, info)
+			t.Errorf("%s: got RetryInfo %v", c.name, info)
 		}
 	}
 }
 
-// The query's time budget must be the call's deadline, or the class's deadline if the call has
-// none or a later one. A cancelled call must abandon its query.
+// The query's time budget must end with the call's deadline, or be the class's deadline if the
+// call has none. A cancelled call must abandon its query.
 func TestBudgetFollowsCallDeadlineAndCancelAbandonsQuery(t *testing.T) {
 	core, client := start(t)
 	core.reply = &broker.Reply{}
@@ -169,7 +170,7 @@
 		return core.abandoned == 1
 	})
 	if classBudget, callBudget := core.submitted[0].Budget, core.submitted[1].Budget; classBudget != 4*time.Second || callBudget > 3*time.Second || callBudget <= 0 {
-		t.Errorf("budgets %v and %v", classBudget, callBudget)
+		t.Errorf("budgets %v without a call deadline and %v with one, want 4 s and at most 3 s", classBudget, callBudget)
 	}
 }
 
@@ -179,7 +180,7 @@
 	ctx := context.Background()
 	info, err := client.GetFlightInfo(ctx, &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: []byte(validTicket)})
 	if err != nil || len(info.Endpoint) != 1 || string(info.Endpoint[0].Ticket.Ticket) != validTicket {
-		t.Errorf("info %v %v", info, err)
+		t.Errorf("info for a query ticket: got %v, error %v", info, err)
 	}
 	if _, err := client.GetFlightInfo(ctx, &flight.FlightDescriptor{Type: flight.DescriptorPATH}); status.Code(err) != codes.InvalidArgument {
 		t.Errorf("info for a path descriptor: got %v, want InvalidArgument", err)
@@ -189,7 +190,7 @@
 		t.Fatal(err)
 	}
 	if a, err := list.Recv(); err != nil || a.Type != "echo" {
-		t.Errorf("actions: %v %v", a, err)
+		t.Errorf("actions: got %v, error %v, want echo", a, err)
 	}
 	for _, c := range []struct {
 		name, body string
@@ -201,7 +202,7 @@
 		}
 		res, err := stream.Recv()
 		if status.Code(err) != c.code || err == nil && string(res.Body) != c.body {
-			t.Errorf("%s: %v %v", c.name, res, err)
+			t.Errorf("%s: got %v, error %v", c.name, res, err)
 		}
 	}
 }
@@ -227,9 +228,9 @@
 	cancel()
 	ticket := []byte(`{"id":"q","class":"screen","targets":[{"partition":1,"share":1}],"query":"x"}`)
 	if err := f.DoGet(&flight.Ticket{Ticket: ticket}, &disconnectedStream{ctx: ctx}); status.Code(err) != codes.Canceled {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want Canceled", err)
 	}
 	if len(core.submitted) != 0 {
-		t.Errorf("%d queries were submitted", len(core.submitted))
+		t.Errorf("%d queries were submitted, want 0", len(core.submitted))
 	}
 }
--- a/httpfront/crossing_test.go
+++ b/httpfront/crossing_test.go
@@ -16,7 +16,7 @@
 	"onyxsail/internal/testkit"
 )
 
-// The tests in this file force race conditions between clients and the front: a test double
+// Most tests in this file force race conditions between clients and the front: a test double
 // blocks Accept, or the goroutine that reads, until the competing event has happened.
 
 // blockingListener holds back accepted connections until release is closed.
@@ -47,7 +47,8 @@
 	return f, core, h
 }
 
-// blockingHandler blocks the loop's reading goroutine until release is closed.
+// blockingHandler blocks the loop's reading goroutine until release is closed. entered is closed
+// once that goroutine is blocked.
 type blockingHandler struct{ entered, release chan struct{} }
 
 // Data implements netio.Handler.
@@ -59,7 +60,7 @@
 // Closed implements netio.Handler.
 func (h *blockingHandler) Closed(error) {}
 
-// blockReads stops a loop from reading any connection until resume is called.
+// blockReads stops a loop from reading any connection until resume is called, or the test ends.
 func blockReads(t *testing.T, loop *netio.Loop) (resume func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,7 +98,7 @@
 	}
 }
 
-// soleConn returns the front's only connection, once it is in the given state.
+// soleConn returns the front's only connection once it is in the given state.
 func soleConn(t *testing.T, f *Front, s connState) *conn {
 	t.Helper()
 	var c *conn
@@ -154,7 +155,7 @@
 			testkit.Eventually(t, name+": the query is submitted", func() bool { return core.submitted() == 1 })
 			core.reply(1, broker.Reply{Verdict: broker.Served})
 			if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK {
-				t.Errorf("%s: status %d", name, res.StatusCode)
+				t.Errorf("%s: status %d, want 200", name, res.StatusCode)
 			}
 		}
 	}
@@ -172,13 +173,13 @@
 	send(t, client, queryWithID("b"))
 	core.reply(1, broker.Reply{Verdict: broker.Served})
 	if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK || res.Close {
-		t.Errorf("first response: status %d close %v", res.StatusCode, res.Close)
+		t.Errorf("first response: status %d close %v, want 200 on a connection that stays open", res.StatusCode, res.Close)
 	}
 	resumeReads()
 	testkit.Eventually(t, "the next query is submitted", func() bool { return core.submitted() == 2 })
 	core.reply(2, broker.Reply{Verdict: broker.Served})
 	if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK {
-		t.Errorf("second response: status %d", res.StatusCode)
+		t.Errorf("second response: status %d, want 200", res.StatusCode)
 	}
 	testkit.Eventually(t, "the connection is shut down", func() bool {
 		return f.openConns()[0].endIfInState(stateIdle) || f.openConns()[0].endIfInState(stateHalfClosed)
@@ -203,7 +204,7 @@
 	client.Close()
 	testkit.Eventually(t, "the connection is closed", func() bool { return len(f.openConns()) == 0 })
 	if core.submitted() != 0 {
-		t.Errorf("%d queries were submitted", core.submitted())
+		t.Errorf("%d queries were submitted after the close, want 0", core.submitted())
 	}
 }
 
@@ -221,7 +222,7 @@
 	testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == 1 })
 	core.reply(1, broker.Reply{Verdict: broker.Served})
 	if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK {
-		t.Errorf("status %d", res.StatusCode)
+		t.Errorf("status %d, want 200", res.StatusCode)
 	}
 }
 
@@ -269,7 +270,7 @@
 	f.mu.Unlock()
 	f.evictOne()
 	if res, _ := readResponse(t, in); res.StatusCode != http.StatusRequestTimeout || !res.Close {
-		t.Errorf("status %d close %v", res.StatusCode, res.Close)
+		t.Errorf("status %d close %v, want 408 and a close", res.StatusCode, res.Close)
 	}
 }
 
@@ -289,7 +290,7 @@
 				return
 			}
 			if res.StatusCode != http.StatusOK || !res.Close {
-				t.Errorf("%s: status %d close %v", id, res.StatusCode, res.Close)
+				t.Errorf("%s: status %d close %v, want 200 and a close", id, res.StatusCode, res.Close)
 			}
 			client.Close()
 		})
@@ -337,14 +338,15 @@
 	testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() == 1 })
 	core.reply(1, broker.Reply{Verdict: broker.Served})
 	if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK {
-		t.Errorf("status %d", res.StatusCode)
+		t.Errorf("status %d, want 200", res.StatusCode)
 	}
 	client.Close()
 	<-drained
 }
 
-// A request whose client left while it waited, for the accept, behind unread data or behind
-// other requests of its connection, must not be submitted.
+// A request whose client left while the request waited, for the accept or behind other requests
+// of its connection, must not be submitted. A submitted one must be abandoned, even if the front
+// reads no further input of its connection.
 func TestQueuedRequestOfDepartedClientIsNotSubmitted(t *testing.T) {
 	t.Run("before the accept", func(t *testing.T) {
 		for _, pipelined := range []int{1, 40} {
@@ -361,7 +363,7 @@
 			readResponse(t, in)
 			testkit.Eventually(t, "the connection is closed", func() bool { return len(f.openConns()) == 1 })
 			if core.submitted() != 0 {
-				t.Errorf("%d pipelined requests: %d queries were submitted", pipelined, core.submitted())
+				t.Errorf("%d pipelined requests: %d queries were submitted, want 0", pipelined, core.submitted())
 			}
 		}
 	})
--- a/httpfront/front_test.go
+++ b/httpfront/front_test.go
@@ -19,7 +19,8 @@
 	"onyxsail/internal/testkit"
 )
 
-// fakeCore records submitted queries and replies to them when the test calls reply.
+// fakeCore records submitted and abandoned queries, and replies to them when the test calls
+// reply. With queueFull it accepts none.
 type fakeCore struct {
 	mu        sync.Mutex
 	lastID    broker.QueryID
@@ -201,7 +202,7 @@
 		}
 	}
 	if core.submitted() != 0 {
-		t.Errorf("%d queries were submitted", core.submitted())
+		t.Errorf("%d queries were submitted, want 0", core.submitted())
 	}
 }
 
@@ -278,7 +279,7 @@
 		t.Fatal(err)
 	}
 	if res, _ := readResponse(t, in); res.StatusCode != 503 {
-		t.Errorf("status %d", res.StatusCode)
+		t.Errorf("status %d, want 503", res.StatusCode)
 	}
 }
 
@@ -303,7 +304,7 @@
 		t.Fatal(err)
 	}
 	if res, _ := readResponse(t, lateIn); res.StatusCode != 503 || !res.Close {
-		t.Errorf("GET /ready while draining: status %d close %v", res.StatusCode, res.Close)
+		t.Errorf("GET /ready while draining: status %d close %v, want 503 and a close", res.StatusCode, res.Close)
 	}
 	if _, err := idleIn.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection: got %v, want EOF", err)
@@ -317,7 +318,7 @@
 	}
 	core.reply(1, broker.Reply{Verdict: broker.Served})
 	if res, _ := readResponse(t, busyIn); res.StatusCode != 200 || !res.Close {
-		t.Errorf("status %d close %v", res.StatusCode, res.Close)
+		t.Errorf("open query: status %d close %v, want 200 and a close", res.StatusCode, res.Close)
 	}
 	busy.Close()
 	<-drained
@@ -346,7 +347,7 @@
 		close(drained)
 	}()
 	if res, _ := readResponse(t, in); res.StatusCode != http.StatusRequestTimeout || !res.Close {
-		t.Errorf("status %d close %v", res.StatusCode, res.Close)
+		t.Errorf("status %d close %v, want 408 and a close", res.StatusCode, res.Close)
 	}
 	conn.Close()
 	<-drained
@@ -374,7 +375,7 @@
 		}
 		if c.status != 0 {
 			if res, _ := readResponse(t, in); res.StatusCode != c.status || !res.Close {
-				t.Errorf("%s: status %d close %v", c.name, res.StatusCode, res.Close)
+				t.Errorf("%s: status %d close %v, want 408 and a close", c.name, res.StatusCode, res.Close)
 			}
 		}
 		if _, err := in.ReadByte(); err != io.EOF {
@@ -382,7 +383,7 @@
 		}
 	}
 	if core.submitted() != 0 {
-		t.Errorf("%d queries were submitted", core.submitted())
+		t.Errorf("%d queries were submitted, want 0", core.submitted())
 	}
 }
 
@@ -395,7 +396,7 @@
 			t.Fatal(err)
 		}
 		if res, _ := readResponse(t, in); res.StatusCode != 200 {
-			t.Errorf("status %d", res.StatusCode)
+			t.Errorf("status %d, want 200", res.StatusCode)
 		}
 	}
 }
@@ -413,14 +414,14 @@
 		testkit.Eventually(t, "the query is submitted", func() bool { return core.submitted() > i })
 		core.reply(broker.QueryID(i+1), broker.Reply{Verdict: broker.Served})
 		if res, _ := readResponse(t, in); res.StatusCode != 200 {
-			t.Errorf("response %d: status %d", i, res.StatusCode)
+			t.Errorf("response %d: status %d, want 200", i, res.StatusCode)
 		}
 	}
 	if res, _ := readResponse(t, in); res.StatusCode != 429 || !res.Close {
-		t.Errorf("status %d close %v", res.StatusCode, res.Close)
+		t.Errorf("after the first requests: status %d close %v, want 429 and a close", res.StatusCode, res.Close)
 	}
 	if core.submitted() != maxPipelined {
-		t.Errorf("%d queries were submitted", core.submitted())
+		t.Errorf("%d queries were submitted, want maxPipelined", core.submitted())
 	}
 }
 
@@ -438,7 +439,7 @@
 		}
 	}
 	if res, _ := readResponse(t, in); res.StatusCode != 413 || !res.Close {
-		t.Errorf("status %d close %v", res.StatusCode, res.Close)
+		t.Errorf("status %d close %v, want 413 and a close", res.StatusCode, res.Close)
 	}
 }
 
@@ -455,7 +456,7 @@
 		// For connection threshold-1 the result depends on whether the slot for the next accept
 		// is in use yet.
 		if want := i >= threshold; res.StatusCode != 200 || res.Close != want && i != threshold-1 {
-			t.Errorf("connection %d: status %d close %v, want %v", i, res.StatusCode, res.Close, want)
+			t.Errorf("connection %d: status %d close %v, want status 200 close %v", i, res.StatusCode, res.Close, want)
 		}
 	}
 }
--- a/httpfront/terms_test.go
+++ b/httpfront/terms_test.go
@@ -16,8 +16,8 @@
 	"onyxsail/internal/testkit"
 )
 
-// A client that sends nothing at first and then only part of a request must get an error or a
-// close within 3 s of connecting; one that takes 2 s to send a request must be served.
+// A client that sends nothing at first and then only part of a request must get a 408 response
+// within 3 s of connecting; one that takes 2 s to send a request must be served.
 func TestFirstRequestTimeoutCountsFromAccept(t *testing.T) {
 	const limit = 3 * time.Second
 	f, core := start(t)
@@ -37,13 +37,13 @@
 	time.Sleep(time.Until(started.Add(firstByteTimeout - 50*time.Millisecond)))
 	send(t, late, request[:len(request)/2])
 	if res, _ := readResponse(t, lateIn); res.StatusCode != http.StatusRequestTimeout || time.Since(started) > limit {
-		t.Errorf("status %d after %v", res.StatusCode, time.Since(started))
+		t.Errorf("late client: status %d after %v, want 408 within the limit", res.StatusCode, time.Since(started))
 	}
 	<-sent
 	testkit.Eventually(t, "the slow request is submitted", func() bool { return core.submitted() == 1 })
 	core.reply(1, broker.Reply{Verdict: broker.Refused})
 	if res, _ := readResponse(t, slowIn); res.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("status %d", res.StatusCode)
+		t.Errorf("slow client: status %d, want 503", res.StatusCode)
 	}
 }
 
@@ -65,7 +65,7 @@
 	core.reply(1, broker.Reply{Verdict: broker.Refused})
 	readResponse(t, in)
 	if line, err := in.ReadString('\n'); err != nil || !strings.HasPrefix(line, "HTTP/1.1 100 ") {
-		t.Fatalf("got %q, %v", line, err)
+		t.Fatalf("got %q, %v, want 100 Continue", line, err)
 	}
 	if _, err := in.ReadString('\n'); err != nil {
 		t.Fatal(err)
@@ -78,16 +78,16 @@
 	client, in = dial(t, f)
 	send(t, client, "POST /screen HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nTransfer-Encoding: chunked\r\n\r\nfffffff\r\n")
 	if res, _ := readResponse(t, in); res.StatusCode != http.StatusRequestEntityTooLarge {
-		t.Errorf("status %d", res.StatusCode)
+		t.Errorf("rejected request: status %d, want 413", res.StatusCode)
 	}
 	if rest, err := io.ReadAll(in); err != nil || len(rest) > 0 {
-		t.Errorf("after the response: %q, %v", rest, err)
+		t.Errorf("after the response: %q, %v, want the end of the stream", rest, err)
 	}
 }
 
 // A client that closes its sending side counts as gone, and nothing is started for it. As it
 // may still be reading, each request that was read must get a final response, whether it was
-// being processed, queued, or arrived together with the end of the stream.
+// being processed or arrived together with the end of the stream.
 func TestHalfClosedClientGetsResponses(t *testing.T) {
 	for _, phase := range []string{"being processed", "with the end of the stream"} {
 		f, core, loop := startWithListener(t, func(l listener) listener { return l })
@@ -116,7 +116,7 @@
 				break
 			}
 			if _, err := io.Copy(io.Discard, res.Body); err != nil || res.StatusCode == http.StatusOK {
-				t.Errorf("%s: response %d: status %d, %v", phase, i, res.StatusCode, err)
+				t.Errorf("%s: response %d: status %d, error %v, want an error status and a complete body", phase, i, res.StatusCode, err)
 			}
 		}
 		if phase == "being processed" {
@@ -126,7 +126,7 @@
 				return len(core.abandoned) == 2
 			})
 		} else if n := core.submitted(); n != 0 {
-			t.Errorf("%s: %d queries were submitted", phase, n)
+			t.Errorf("%s: %d queries were submitted, want 0", phase, n)
 		}
 	}
 }
@@ -152,7 +152,7 @@
 	client, in := dial(t, f)
 	send(t, client, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	if res, _ := readResponse(t, in); res.StatusCode != http.StatusOK {
-		t.Errorf("status %d", res.StatusCode)
+		t.Errorf("status %d, want 200", res.StatusCode)
 	}
 }
 
@@ -174,7 +174,7 @@
 	testkit.Eventually(t, "the last query is submitted", func() bool { return core.submitted() == f.connSlots.limit+1 })
 	q := core.queries[broker.QueryID(f.connSlots.limit+1)]
 	if clientTimeLeft, budgetLeft := q.Budget-time.Since(sent), q.Budget-time.Since(q.ArrivedAt); budgetLeft > clientTimeLeft+slack {
-		t.Errorf("the client waits %v more, the query has %v left", clientTimeLeft, budgetLeft)
+		t.Errorf("the client waits for another %v, but the query has %v left", clientTimeLeft, budgetLeft)
 	}
 }
 
@@ -211,7 +211,7 @@
 		send(t, client, c.text)
 		if c.status != 0 {
 			if res, _ := readResponse(t, in); res.StatusCode != c.status || core.submitted() != 0 {
-				t.Errorf("%s: status %d, %d submitted", c.name, res.StatusCode, core.submitted())
+				t.Errorf("%s: got status %d and %d queries submitted, want only an error", c.name, res.StatusCode, core.submitted())
 			}
 			continue
 		}
@@ -229,7 +229,7 @@
 	const headerBytes = len("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 51\r\n\r\n")
 	for size, status := range map[int]string{MaxBodyBytes - (emptyResponseBytes - headerBytes): "200", MaxBodyBytes - (emptyResponseBytes - headerBytes) + 1: "502"} {
 		if text := string(encodeReply(nil, value(size), false)); !strings.HasPrefix(text, "HTTP/1.1 "+status) {
-			t.Errorf("value of %d bytes: %.80q", size, text)
+			t.Errorf("value of %d bytes: got %.80q", size, text)
 		}
 	}
 }
