--- a/broker/attempts.go
+++ b/broker/attempts.go
@@ -25,7 +25,7 @@
 }
 
 // endAttempt ends an attempt and reports its single outcome to the module and the observer.
-// A zero firstByteAt means that no byte of a response arrived.
+// firstByteAt is as in Observer.AttemptEnded.
 func (c *Core) endAttempt(attempt *attemptState, outcome decide.Outcome, cause EndCause, firstByteAt, now time.Time) {
 	delete(c.attempts, attempt.id)
 	attempt.neverRan = outcome == decide.Rejected || outcome == decide.Unreachable || outcome == decide.NotSent
@@ -155,7 +155,7 @@
 		return t == nil || t.cancelled
 	})
 	for i := range pending {
-		if pending[i].ID == 0 {
+		if pending[i].ID == 0 { // already in an earlier call
 			continue
 		}
 		call := []Attempt{pending[i]}
--- a/broker/observe.go
+++ b/broker/observe.go
@@ -58,7 +58,8 @@
 	// QueryReceived reports that the core has taken a query from its queue. QueryEnded follows
 	// exactly once.
 	QueryReceived(id QueryID, q *Query, at time.Time)
-	// QueryTurnedAway reports a query that was refused because the core's queue is full.
+	// QueryTurnedAway reports a query that was refused because the core's queue is full or
+	// closed.
 	// No other method is called for it. The call comes from the front's goroutine.
 	QueryTurnedAway(q *Query, at time.Time)
 	// AttemptOpened reports that an attempt is opened. AttemptEnded follows exactly once, unless
@@ -68,8 +69,8 @@
 	// follows.
 	AttemptCancelled(id AttemptID, at time.Time)
 	// AttemptEnded reports the attempt's single outcome; firstByteAt is when the first byte
-	// of the response arrived, zero if none did. For an attempt that was outstanding when
-	// its query ended, it follows QueryEnded.
+	// of the response arrived, zero if none did or the time is not known. For an attempt that
+	// was outstanding when its query ended, it follows QueryEnded.
 	AttemptEnded(id AttemptID, outcome decide.Outcome, cause EndCause, firstByteAt, at time.Time)
 	// NodeSuspected reports that the module suspects a node from now on, or no longer does.
 	NodeSuspected(node string, suspected bool, at time.Time)
--- a/broker/queue.go
+++ b/broker/queue.go
@@ -42,7 +42,7 @@
 	rosterCounts chan<- RosterCounts // with inputRosterCounts; buffered, so that the core does not block
 }
 
-// inputQueue holds the inputs that wait for the next turn. Only queries can be refused. Every
+// inputQueue holds the inputs that wait for the next turn. Only queries are ever refused. Every
 // other input is either a response to something that the core has outstanding (an attempt, a
 // query, a probe) or one of the few from discovery and the operator, so their number is
 // bounded by what was admitted before, and they are never dropped. The queue uses a mutex
--- a/broker/types.go
+++ b/broker/types.go
@@ -116,7 +116,7 @@
 type NodeClient interface {
 	// Send sends attempts to one node in one call.
 	Send(node string, attempts []Attempt)
-	// Cancel cancels one attempt. The core ignores an outcome that still arrives.
+	// Cancel cancels one attempt. No outcome needs to be reported for it any more.
 	Cancel(node string, id AttemptID)
 	// Probe checks whether the node answers; the result goes to ResultSink.ProbeOutcome.
 	Probe(node string)
@@ -144,7 +144,7 @@
 
 // Node is one entry of the roster.
 type Node struct {
-	// ID identifies the node; Addr is the address that the list names first.
+	// ID identifies the node; Addr is its address, or the main one of several.
 	ID, Addr string
 	// Addrs are all its addresses in the order of the list, including Addr; empty if Addr
 	// is the only one.
--- a/httpfront/front.go
+++ b/httpfront/front.go
@@ -40,12 +40,12 @@
 	lingerTimeout         = time.Second             // for the client to close its side after ours was closed
 	unreadResponseTimeout = 5 * time.Second         // for the client to read a response
 	drainReadTimeout      = time.Second             // to receive a request that has started, during a drain
-	// operatorDrainIdleTimeout closes idle connections during an operator's drain. A connection
-	// in use is closed with its next response instead, which no new request can cross.
+	// operatorDrainIdleTimeout is how long a connection may be idle during an operator's drain.
+	// One in use is closed with its next response instead, which no new request can cross.
 	operatorDrainIdleTimeout = time.Second
 	sweepInterval            = 100 * time.Millisecond // between checks of the timeouts
 	// maxAcceptWait bounds how long a connection's first bytes are assumed to have waited for
-	// the accept.
+	// the accept. A longer time is ignored.
 	maxAcceptWait = time.Minute
 	// minEvictionAge is the age below which a connection is not evicted: its first request
 	// may have arrived without having been read yet.
@@ -99,7 +99,7 @@
 	draining      atomic.Bool   // Drain was called
 	acceptingLast atomic.Bool   // only connections already in the accept queue are accepted
 	handedOver    atomic.Bool   // another process accepts from the same socket
-	keepIdleUntil time.Time     // when a drain begins to close idle connections; valid if handedOver, which is set after it
+	keepIdleUntil time.Time     // if handedOver: when a drain begins to close idle connections; set before handedOver
 	acceptDone    chan struct{} // closed when acceptLoop has returned
 	sweeperDone   sync.WaitGroup
 	stop          chan struct{}
@@ -111,8 +111,8 @@
 	evictedByState   [stateCount]int       // connections evicted since the last summary, by state
 }
 
-// Listen opens a socket at addr, unless the options have one, and starts to serve. Until
-// SetReady is called, GET /ready answers 503.
+// Listen opens a socket at addr, unless the options have one, and starts to serve. GET /ready
+// answers 503 until SetReady(true) is called.
 func Listen(addr string, o Options) (*Front, error) {
 	if o.Listener == nil {
 		l, err := netio.ListenReusePort(addr)
@@ -236,10 +236,10 @@
 	}
 }
 
-// evictOne ends one connection without open requests, if there is one that is old enough, and
-// reports whether it did. The slot becomes free when the connection is closed: at once for one
-// that was half-closed or never used, otherwise when the client has closed its side as well, or
-// on a timeout.
+// evictOne ends one connection without open requests and reports whether it did. There may be
+// none that is old enough, or too many that are half-closed already. The slot becomes free when
+// the connection is closed: at once for one that was half-closed or never used, otherwise when
+// the client has closed its side as well, or on a timeout.
 func (f *Front) evictOne() bool {
 	for _, candidate := range []struct {
 		state  connState
@@ -287,7 +287,7 @@
 	return all
 }
 
-// sweepLoop periodically closes connections whose timeout has passed, and logs summaries.
+// sweepLoop periodically calls sweepOnce and, at longer intervals, logSummary.
 func (f *Front) sweepLoop() {
 	defer f.sweeperDone.Done()
 	tick := time.NewTicker(sweepInterval)
