--- a/dial/dial.go
+++ b/dial/dial.go
@@ -1,6 +1,7 @@
-// Package dial connects to nodes that have several addresses, on behalf of both node
-// clients. Package reach decides which addresses are dialled and when; this package has the
-// sockets and the clock. Nodes with a single address are not handled here.
+// Package dial connects to nodes that have several addresses, on behalf of the node clients
+// (packages nodeclient and flightnode). Package reach decides which addresses are dialed and
+// when; this package has the sockets and the clock. Nodes with a single address are not
+// handled here.
 package dial
 
 import (
@@ -24,14 +25,15 @@
 // node's preferred address.
 const switchLogInterval = 10 * time.Second
 
-// Dialer connects to all nodes of several addresses. Its methods may be called from any
-// goroutine and, except for Dial and RunRace, do not block.
+// Dialer connects to the nodes that have several addresses. Its methods may be called from
+// any goroutine and, except for Dial and RunRace, do not block. The texts of addresses that
+// they take and return are in the form of address.Address.String.
 type Dialer struct {
 	dialer  *netio.Dialer
 	timeout time.Duration
 	log     zerolog.Logger
 	start   time.Time       // origin of the times given to planner
-	ctx     context.Context // of all dials; Close cancels it
+	ctx     context.Context // parent of all dials; Close cancels it
 	cancel  context.CancelFunc
 
 	mu      sync.Mutex
@@ -46,22 +48,23 @@
 	unloggedSwitches int                        // changes since then that were not logged
 }
 
-// New returns a dialer that knows no node. timeout bounds connecting to a node, over all
-// its addresses; maxConns is the limit on connections to all nodes.
+// New returns a dialer without nodes. timeout bounds connecting to a node, over all its
+// addresses; maxConns is the limit on connections to all nodes together.
 func New(netDialer *netio.Dialer, timeout time.Duration, maxConns int, log zerolog.Logger) *Dialer {
 	d := &Dialer{dialer: netDialer, timeout: timeout, log: log, start: time.Now(), planner: reach.New(reach.DefaultLimits(maxConns)), nodes: map[string]*node{}}
 	d.ctx, d.cancel = context.WithCancel(context.Background())
 	return d
 }
 
-// Close cancels all dials; each Dial then returns.
+// Close cancels all dials; each Dial and RunRace then returns.
 func (d *Dialer) Close() { d.cancel() }
 
 // sinceStart converts a time to the planner's clock.
 func (d *Dialer) sinceStart(t time.Time) time.Duration { return t.Sub(d.start) }
 
-// SetAddrs sets a node's addresses, and reports whether it has several. A node with fewer
-// is forgotten and no longer dialled here.
+// SetAddrs sets a node's addresses in the order of the list, and reports whether there are
+// several, including unusable ones, which are logged and left out. With fewer than two the
+// node is removed and no longer dialed here.
 func (d *Dialer) SetAddrs(id string, texts []string) (several bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,7 +95,8 @@
 	return true
 }
 
-// HasAddr reports whether the text is one of the node's addresses.
+// HasAddr reports whether the text is one of the node's addresses; false for a node that is
+// not known here.
 func (d *Dialer) HasAddr(id, text string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -100,7 +104,7 @@
 	return ok
 }
 
-// AddrCount returns the number of a node's addresses.
+// AddrCount returns the number of a node's addresses, 0 for a node that is not known here.
 func (d *Dialer) AddrCount(id string) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -118,7 +122,8 @@
 	return a, ok
 }
 
-// Suspected reports whether an address is under suspicion.
+// Suspected reports whether an address of a node is suspected, that is, whether its failures
+// have raised its suspicion level above the planner's threshold.
 func (d *Dialer) Suspected(id, text string, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,7 +131,8 @@
 	return ok && d.planner.Suspected(id, a, d.sinceStart(now))
 }
 
-// ReportAnswer records that a node answered over an address.
+// ReportAnswer records that a node answered at an address, which clears its suspicion and
+// makes it the preferred one.
 func (d *Dialer) ReportAnswer(id, text string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -142,7 +148,8 @@
 	}
 }
 
-// ReportSilence records that calls over an address have had no answer since the given time.
+// ReportSilence records that attempts sent to an address have had no answer since the given
+// time.
 func (d *Dialer) ReportSilence(id, text string, since, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,8 +158,8 @@
 	}
 }
 
-// ReportReset records that a connection over an address broke.
-func (d *Dialer) ReportReset(id, text string, now time.Time) {
+// ReportConnectionBroken records that a connection to an address broke.
+func (d *Dialer) ReportConnectionBroken(id, text string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if a, ok := d.findAddr(id, text); ok {
@@ -160,15 +167,16 @@
 	}
 }
 
-// Views returns the addresses of all nodes known here, the preferred one first.
-func (d *Dialer) Views() map[string][]reach.AddressStatus {
+// AddressStatuses returns the state of the addresses of each node known here, the preferred
+// one first.
+func (d *Dialer) AddressStatuses() map[string][]reach.AddressStatus {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := make(map[string][]reach.AddressStatus, len(d.nodes))
+	statuses := make(map[string][]reach.AddressStatus, len(d.nodes))
 	for id := range d.nodes {
-		all[id] = d.planner.AddressStatuses(id, d.sinceStart(time.Now()))
+		statuses[id] = d.planner.AddressStatuses(id, d.sinceStart(time.Now()))
 	}
-	return all
+	return statuses
 }
 
 // dialResult is the result of one dial of a race.
@@ -180,20 +188,22 @@
 }
 
 // Dial connects to a node: it dials the addresses as the planner decides, takes the first
-// connection that comes up, and cancels the other dials. All dials have ended when it
-// returns. text is the address that was reached.
+// connection that is established, and cancels the other dials. All dials have ended when it
+// returns. text is the address that was reached. It fails at once if the node is not known
+// here or too many dials are in progress.
 func (d *Dialer) Dial(ctx context.Context, id string) (conn net.Conn, text string, err error) {
 	d.mu.Lock()
 	race := d.planner.BeginRace(id, d.sinceStart(time.Now()))
 	d.mu.Unlock()
 	if race == nil {
-		return nil, "", errors.New("dialling a node: it has no address, or too many dials are pending")
+		return nil, "", errors.New("dialing a node: it has no address, or too many dials are in progress")
 	}
 	return d.RunRace(ctx, race)
 }
 
-// StartProbation returns a race to a suspected address that is due to be tested while the
-// node is served over another one; nil if none is due. RunRace must be called on it.
+// StartProbation returns a race that dials one suspected address, which is due to be tested
+// while the node is reached at another one; nil if none is due. The caller must pass it to
+// RunRace.
 func (d *Dialer) StartProbation(id string) *reach.Race {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -209,13 +219,14 @@
 	}
 }
 
-// RunRace dials the addresses of a race as the planner decides, until one connects or none
-// is left, and waits for all dials to end.
+// RunRace dials the addresses of a race as the planner decides, until one connects, none is
+// left or the dialer's timeout is over, and waits for all dials to end. text is the address
+// that was reached.
 func (d *Dialer) RunRace(ctx context.Context, race *reach.Race) (conn net.Conn, text string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, d.timeout)
 	defer cancel()
 	defer context.AfterFunc(d.ctx, cancel)()
-	results := make(chan dialResult) // unbuffered, as each dial's result is received
+	results := make(chan dialResult) // unbuffered, as the loop receives the result of each dial
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for pending := 0; ; {
@@ -261,11 +272,12 @@
 	if err == nil {
 		err = errors.New("no address left to dial")
 	}
-	return nil, "", fmt.Errorf("dialling a node at its addresses: %w", err)
+	return nil, "", fmt.Errorf("dialing a node at its addresses: %w", err)
 }
 
 // recordResult records the result of a dial, and reports whether its connection is the one
-// to use.
+// to use; any other is closed. A dial that failed for lack of local resources is recorded as
+// cancelled, as that says nothing about its address.
 func (d *Dialer) recordResult(race *reach.Race, result dialResult) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of nodes: it fetches the full list once and then
-// watches for changes by long polls.
+// Package discovery follows the list of nodes: it fetches the full list and then watches for
+// changes by long polls. It fetches the full list again only if changes may have been missed.
 package discovery
 
 import (
@@ -27,11 +27,11 @@
 	dialTimeout    = time.Second
 	requestTimeout = 2 * time.Second
 	// queuedRefusalTime is how long a refused request must have taken to count as refused
-	// from discovery's queue, rather than at once.
+	// after a wait in discovery's queue, rather than at once.
 	queuedRefusalTime = requestTimeout / 2
-	// A watch may fall silent, and tells nothing for the rest of its wait. A change that it
-	// misses counts as delivered 2 s after the end of the wait: the watch times out
-	// watchGrace after its wait, and is reopened within maxReopenDelay of that.
+	// A watch may go silent and deliver nothing for the rest of its wait. A change that it
+	// misses must be known 2 s after the end of the wait: the watch times out watchGrace
+	// after its wait, and is reopened within maxReopenDelay of that.
 	watchGrace     = time.Second
 	maxReopenDelay = 100 * time.Millisecond
 	// Where brokers do not share a discovery of limited capacity, a watch asks to wait for
@@ -49,18 +49,19 @@
 	propagationMargin = 750 * time.Millisecond
 )
 
-// errWatchSilent reports a watch on which nothing arrived within its time.
-var errWatchSilent = errors.New("the watch has fallen silent")
+// errWatchSilent reports a watch on which nothing arrived within its time-out.
+var errWatchSilent = errors.New("watch timed out without an answer")
 
-// statusError is an HTTP status with which discovery refused a request.
+// statusError is an HTTP status other than 200, with which discovery refused a request.
 type statusError int
 
 // Error implements error.
 func (s statusError) Error() string { return fmt.Sprintf("calling discovery: status %d", int(s)) }
 
 // maxPauseFor returns the longest pause after a failed request that keeps to a propagation
-// limit, counted from the moment at which discovery can be reached again: a request that is
-// open at that moment must time out first.
+// limit, which counts from the moment at which discovery can be reached again: a request that
+// is open at that moment must time out first. The result is at least a quarter of the limit;
+// it is 0, and so bounds no pause, for a limit of 0.
 func maxPauseFor(limit time.Duration) time.Duration {
 	return max(limit/4, limit-requestTimeout-propagationMargin)
 }
@@ -69,22 +70,23 @@
 type Options struct {
 	Addr         string   // host:port of discovery
 	Zones, Kinds []string // names in the settings; a node's zone and kind are indexes into them
-	// KnownVersion is the version of the list from this discovery that the broker already
-	// has; nil: it has none, and the full list is fetched.
+	// KnownVersion is the version of the list that the broker already has from this
+	// discovery; nil: it has none, and the full list is fetched.
 	KnownVersion *int64
 	Brokers      int // brokers that share a discovery of limited capacity; 0: capacity is no concern
 	// PropagationLimit is the time within which a change must be known once discovery has
-	// it and can be reached, also after requests that have failed.
+	// it and can be reached, also after requests that have failed; 0: no limit.
 	PropagationLimit time.Duration
-	Seed             uint64 // different at each broker
-	// OnAnswer is called at each answer, including those without changes; it may be nil.
+	Seed             uint64 // of the jitter; must differ between brokers
+	// OnAnswer is called at each valid answer, including those without changes; it may be
+	// nil. Like Deliver it is called on Run's goroutine.
 	OnAnswer func()
-	// Deliver is called with each full list and each change.
+	// Deliver is called with each full list and each set of changes.
 	Deliver func(broker.Roster)
 	Log     zerolog.Logger
 }
 
-// Client follows the list over a single connection.
+// Client follows the list over one connection at a time.
 type Client struct {
 	opts            Options
 	conn            net.Conn
@@ -104,10 +106,11 @@
 }
 
 // Run follows the list until ctx ends. A known list is continued from its version: each
-// line of a full list costs discovery work, and brokers that start together would keep it
+// entry of a full list costs discovery work, and brokers that start together would keep it
 // from delivering changes to anyone. The next request is sent as soon as an answer has been
-// read, which continues the watch: discovery counts a request more than 200 ms later as a
-// new watch.
+// read, which continues the watch: discovery counts a request that arrives more than 200 ms
+// later as a new watch. A silent watch is reopened after a short delay; if the next one is
+// silent too, that is handled like a failed request.
 func (c *Client) Run(ctx context.Context) {
 	defer c.closeConn()
 	backoff := NewBackoff(c.opts.Brokers, maxPauseFor(c.opts.PropagationLimit), c.opts.Seed)
@@ -137,14 +140,15 @@
 	}
 }
 
-// isQueueOverload reports whether discovery refused a request that had waited in its queue.
-// One that refuses at once may recover at any moment.
+// isQueueOverload reports whether discovery refused a request after elapsed, which shows that
+// the request had waited in its queue. A discovery that refuses at once may recover at any
+// moment.
 func isQueueOverload(err error, elapsed time.Duration) bool {
 	var refused statusError
 	return errors.As(err, &refused) && elapsed >= queuedRefusalTime
 }
 
-// sleep waits for d; it returns false if ctx ends first.
+// sleep waits for d; it returns false at once when ctx ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -156,7 +160,7 @@
 	}
 }
 
-// poll sends one request and delivers its answer.
+// poll sends one request, a watch if the broker has a full list, and delivers its answer.
 func (c *Client) poll(ctx context.Context) error {
 	path, timeout := "/v1/endpoints", requestTimeout
 	if c.hasFullList {
@@ -176,7 +180,7 @@
 	}
 	list, err := ParseList(m.Body, c.opts.Zones, c.opts.Kinds)
 	if err != nil {
-		c.hasFullList = false // a change was missed: fetch the full list next
+		c.hasFullList = false // the changes in it are lost: fetch the full list next
 		return err
 	}
 	for _, f := range list.AddressErrors {
@@ -186,7 +190,7 @@
 	if !list.Full && !c.hasFullList {
 		return errors.New("calling discovery: got changes, want the full list")
 	}
-	if !list.Full && uint64(list.Version) < uint64(c.version) { // it has restarted: earlier lists may no longer hold
+	if !list.Full && uint64(list.Version) < uint64(c.version) { // discovery has restarted: earlier lists may no longer hold
 		c.hasFullList = false
 		return fmt.Errorf("calling discovery: got version %d, lower than %d before", uint64(list.Version), uint64(c.version))
 	}
@@ -227,8 +231,8 @@
 	if err := conn.SetDeadline(start.Add(timeout)); err != nil {
 		return nil, fmt.Errorf("calling discovery: %w", err)
 	}
-	// Only now, as ctx may have ended already, and the deadline set here must be the last
-	// one.
+	// Registered after the request's own deadline is set: ctx may have ended already, and
+	// the deadline in the past, which ends the request, must be the last one set.
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Now()) })
 	defer stop()
 	if _, err := conn.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + c.opts.Addr + "\r\n\r\n")); err != nil {
@@ -258,6 +262,7 @@
 	}
 }
 
+// closeConn closes the connection, if there is one.
 func (c *Client) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
--- a/discovery/list.go
+++ b/discovery/list.go
@@ -14,18 +14,19 @@
 	"onyxsail/internal/address"
 )
 
-// List is one answer of discovery: the full list, or changes to it.
+// List is one answer of discovery: the full list, or the entries that have changed.
 type List struct {
 	Version int64 // the bits of the unsigned 64-bit number in the answer
 	Full    bool
 	Nodes   []broker.Node
-	// AddressErrors are the addresses that cannot be used. The other addresses of their
-	// nodes can.
+	// AddressErrors report addresses of nodes that cannot be used; they are left out of
+	// Addrs.
 	AddressErrors []AddressError
 }
 
-// AddressError is an unusable entry of a node's addrs, or an addrs that is unusable
-// altogether.
+// AddressError reports why addresses of a node cannot be used. Field is "addrs[i]" for one
+// entry, "addrs" if addrs is no list or has more entries than are used, and "addr" if addr
+// cannot be parsed, in which case addrs is ignored.
 type AddressError struct {
 	Node, Field string
 	Err         error
@@ -40,8 +41,8 @@
 	Kind    string          `json:"kind"`
 	Cell    int             `json:"cell"`
 	State   string          `json:"state"`
-	Weight  *float64        `json:"weight"`
-	Started float64         `json:"started_ms"`
+	Weight  *float64        `json:"weight"`     // nil: 1
+	Started float64         `json:"started_ms"` // in milliseconds since the Unix epoch; 0: unknown
 }
 
 // listMessage is an answer of discovery.
@@ -51,22 +52,24 @@
 	Servers []serverEntry `json:"servers"`
 }
 
-// ParseList decodes an answer. Zones and kinds become indexes into the given names.
+// ParseList decodes an answer. Zones and kinds become indexes into the given names; an unknown
+// zone becomes -1 (see zoneIndex), an unknown kind 0. An invalid entry invalidates the whole
+// answer, except that an unusable entry of addrs is only reported in AddressErrors.
 func ParseList(data []byte, zones, kinds []string) (*List, error) {
-	var m listMessage
-	if err := json.Unmarshal(data, &m); err != nil {
+	var message listMessage
+	if err := json.Unmarshal(data, &message); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
-	if m.Version == nil || m.Full == nil {
+	if message.Version == nil || message.Full == nil {
 		return nil, fmt.Errorf("list: version or full is missing")
 	}
-	l := &List{Version: int64(*m.Version), Full: *m.Full}
-	for i, e := range m.Servers {
+	list := &List{Version: int64(*message.Version), Full: *message.Full}
+	for i, entry := range message.Servers {
 		n := broker.Node{
-			ID: e.ID, Addr: e.Addr, Zone: zoneIndex(zones, e.Zone), Kind: max(0, indexOf(kinds, e.Kind)),
-			Cell: e.Cell, Weight: 1,
+			ID: entry.ID, Addr: entry.Addr, Zone: zoneIndex(zones, entry.Zone), Kind: max(0, indexOf(kinds, entry.Kind)),
+			Cell: entry.Cell, Weight: 1,
 		}
-		switch e.State {
+		switch entry.State {
 		case "in_service":
 			n.State = decide.Ready
 		case "terminating":
@@ -74,33 +77,34 @@
 		case "terminated":
 			n.State = decide.Removed
 		default:
-			return nil, fmt.Errorf("servers[%d].state: got %q, want in_service, terminating or terminated", i, e.State)
+			return nil, fmt.Errorf("servers[%d].state: got %q, want in_service, terminating or terminated", i, entry.State)
 		}
-		_, _, err := net.SplitHostPort(strings.TrimPrefix(e.Addr, broker.FlightScheme))
+		_, _, err := net.SplitHostPort(strings.TrimPrefix(entry.Addr, broker.FlightScheme))
 		switch {
-		case e.ID == "":
+		case entry.ID == "":
 			return nil, fmt.Errorf("servers[%d].id: missing", i)
 		case err != nil && n.State != decide.Removed:
 			return nil, fmt.Errorf("servers[%d].addr: %w", i, err)
 		}
-		if e.Weight != nil {
-			n.Weight = *e.Weight
+		if entry.Weight != nil {
+			n.Weight = *entry.Weight
 		}
-		if e.Started > 0 {
-			n.Started = time.UnixMicro(int64(e.Started * 1000))
+		if entry.Started > 0 {
+			n.Started = time.UnixMicro(int64(entry.Started * 1000))
 		}
-		if len(e.Addrs) > 0 && n.State != decide.Removed {
-			l.parseAddrs(&n, e.Addrs)
+		if len(entry.Addrs) > 0 && n.State != decide.Removed {
+			list.parseAddrs(&n, entry.Addrs)
 		}
-		l.Nodes = append(l.Nodes, n)
+		list.Nodes = append(list.Nodes, n)
 	}
-	return l, nil
+	return list, nil
 }
 
-// maxAddrsPerNode bounds the number of addresses of one node.
+// maxAddrsPerNode is the maximum number of entries that are used of a node's addrs.
 const maxAddrsPerNode = 16
 
-// parseAddrs parses a node's addrs. Its addr goes before them, unless it is among them.
+// parseAddrs parses a node's addrs and sets n.Addrs if there is more than one distinct
+// address. The node's addr goes before them, unless it is among them.
 func (l *List) parseAddrs(n *broker.Node, raw json.RawMessage) {
 	report := func(field string, err error) {
 		l.AddressErrors = append(l.AddressErrors, AddressError{n.ID, field, err})
@@ -114,8 +118,8 @@
 		report("addrs", fmt.Errorf("got %d addresses, want %d at most", len(texts), maxAddrsPerNode))
 		texts = texts[:maxAddrsPerNode]
 	}
-	first, err := address.Parse(n.Addr)
-	if err != nil { // addr may have forms that address.Parse does not accept; it is then the node's only address
+	primary, err := address.Parse(n.Addr)
+	if err != nil { // ParseList accepts forms of addr that address.Parse does not; it is then the node's only address
 		report("addr", err)
 		return
 	}
@@ -127,7 +131,7 @@
 		if err == nil {
 			a, err = address.Parse(text)
 		}
-		if err == nil && a.Flight != first.Flight {
+		if err == nil && a.Flight != primary.Flight {
 			err = errors.New("protocol differs from that of addr")
 		}
 		if err != nil {
@@ -136,8 +140,8 @@
 			distinct = append(distinct, a)
 		}
 	}
-	if !slices.Contains(distinct, first) {
-		distinct = append([]address.Address{first}, distinct...)
+	if !slices.Contains(distinct, primary) {
+		distinct = append([]address.Address{primary}, distinct...)
 	}
 	if len(distinct) > 1 {
 		for _, a := range distinct {
@@ -155,10 +159,10 @@
 	return indexOf(zones, name)
 }
 
-// indexOf returns the index of w in words, -1 if it is not among them.
-func indexOf(words []string, w string) int {
-	for i, x := range words {
-		if x == w {
+// indexOf returns the index of name in names, -1 if it is not among them.
+func indexOf(names []string, name string) int {
+	for i, candidate := range names {
+		if candidate == name {
 			return i
 		}
 	}
--- a/flightnode/client.go
+++ b/flightnode/client.go
@@ -37,17 +37,18 @@
 	maxValueBytes       = 64 << 10  // limit on one part's value
 	idleTimeoutFraction = 0.7       // fraction of the server's idle timeout after which an idle connection is closed
 	maxOpenAttempts     = 4096      // limit on concurrent attempts over all nodes
-	// warnLogInterval is the minimum interval between two log lines about a full pool.
+	// warnLogInterval is the minimum interval between two log lines about a full connection
+	// pool.
 	warnLogInterval = 10 * time.Second
 )
 
 // Options configures a Client.
 type Options struct {
 	Sink              broker.ResultSink
-	ConnectTimeout    time.Duration
+	ConnectTimeout    time.Duration       // 0: 250 ms
 	Dialer            *netio.Dialer       // nil: the client makes its own
-	ServerIdleTimeout time.Duration       // idle timeout of the servers
-	MaxConns          int                 // connection limit over all nodes
+	ServerIdleTimeout time.Duration       // idle timeout of the servers; 0: idle connections are kept
+	MaxConns          int                 // connection limit over all nodes, at least 1
 	Observer          broker.WireObserver // may be nil
 	Log               zerolog.Logger
 }
@@ -68,20 +69,22 @@
 	writtenAttempts  atomic.Int64 // attempts whose ticket has been handed to gRPC
 }
 
-// node is one node, listed or with calls still open.
+// node is a node that is listed or still has open calls. If its address changes while calls
+// are open, or the address that it is connected to is suspected or removed, a new node of the
+// same id replaces it.
 type node struct {
 	id, addr     string
-	conn         *grpc.ClientConn // nil until it is needed
+	conn         *grpc.ClientConn // nil: none open
 	openCalls    int              // attempts and probes that are open
 	idleSince    time.Time        // since when it has had no open calls
 	listed       bool
 	latestStart  time.Time              // attempts may not begin after this; zero: no limit
 	multiAddr    bool                   // multiDialer has its addresses
-	connAddr     atomic.Pointer[string] // with several addresses, the one that conn leads to
-	localFailure atomic.Bool            // its latest dial failed because of a failure on this machine
+	connAddr     atomic.Pointer[string] // with several addresses, the one connected to last; nil: none yet
+	localFailure atomic.Bool            // with one address: the latest dial failed because of a failure on this machine
 }
 
-// WrittenAttempts returns the number of attempts that have been handed to gRPC whole.
+// WrittenAttempts returns the number of attempts whose ticket has been handed to gRPC so far.
 func (c *Client) WrittenAttempts() int64 { return c.writtenAttempts.Load() }
 
 // New returns a client; Close stops it.
@@ -146,7 +149,7 @@
 		}
 	}
 	for id, n := range c.nodes {
-		if !n.listed && n.multiAddr { // it is not dialled again
+		if !n.listed && n.multiAddr { // it is not dialed again
 			c.multiDialer.SetAddrs(id, nil)
 		}
 		if !n.listed && n.openCalls == 0 {
@@ -156,31 +159,30 @@
 	}
 }
 
-// replaceConn gives a node a new connection for later calls; open calls end on the old one.
-// c.mu is held.
+// replaceConn makes later calls of a node use a new connection; open calls end on the old
+// one. It returns the node that later calls use. c.mu is held.
 func (c *Client) replaceConn(n *node) *node {
 	if n.conn == nil {
 		n.connAddr.Store(nil)
 		return n
 	}
-	fresh := &node{id: n.id, addr: n.addr, listed: n.listed, latestStart: n.latestStart, multiAddr: n.multiAddr}
-	c.nodes[n.id] = fresh
+	replacement := &node{id: n.id, addr: n.addr, listed: n.listed, latestStart: n.latestStart, multiAddr: n.multiAddr}
+	c.nodes[n.id] = replacement
 	if n.openCalls == 0 {
 		c.closeConn(n)
 	}
-	return fresh
+	return replacement
 }
 
-// reportOutcome reports to the address planner what the end of an attempt shows about its
-// address, and replaces the connection if the address is under suspicion then. c.mu is
-// held.
+// reportOutcome reports to the address planner what the outcome of an attempt shows about its
+// address, and replaces the connection if the address is suspected then. c.mu is held.
 func (c *Client) reportOutcome(n *node, addr string, outcome decide.Outcome, sentAt time.Time) {
 	now := time.Now()
 	switch outcome {
 	case decide.OK, decide.Failed, decide.Rejected:
 		c.multiDialer.ReportAnswer(n.id, addr, now)
 	case decide.ConnectionLost:
-		c.multiDialer.ReportReset(n.id, addr, now)
+		c.multiDialer.ReportConnectionBroken(n.id, addr, now)
 	case decide.TimedOut:
 		c.multiDialer.ReportSilence(n.id, addr, sentAt, now)
 	}
@@ -189,8 +191,8 @@
 	}
 }
 
-// dialMultiAddr is the gRPC dialer of a node with several addresses.
-func (c *Client) dialMultiAddr(n *node) grpc.DialOption {
+// multiAddrDialOption returns the gRPC dialer of a node with several addresses.
+func (c *Client) multiAddrDialOption(n *node) grpc.DialOption {
 	return grpc.WithContextDialer(func(ctx context.Context, _ string) (net.Conn, error) {
 		conn, addr, err := c.multiDialer.Dial(ctx, n.id)
 		if err != nil {
@@ -201,8 +203,8 @@
 	})
 }
 
-// dialSingleAddr is the gRPC dialer of a node with one address.
-func (c *Client) dialSingleAddr(n *node) grpc.DialOption {
+// singleAddrDialOption returns the gRPC dialer of a node with one address.
+func (c *Client) singleAddrDialOption(n *node) grpc.DialOption {
 	return grpc.WithContextDialer(func(ctx context.Context, addr string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, c.opts.ConnectTimeout)
 		defer cancel()
@@ -216,9 +218,9 @@
 // anything: a server begins with its SETTINGS frame (RFC 9113, section 3.4).
 type greetingCheckConn struct {
 	net.Conn
-	received  atomic.Bool
+	received  atomic.Bool // the server has sent something
 	once      sync.Once
-	onSilence func()
+	onSilence func() // called once by Close if nothing was received
 }
 
 // Read implements net.Conn.
@@ -259,10 +261,10 @@
 	return true
 }
 
-// connectedNode returns the node and opens its connection if there is none; otherwise the
-// outcome that explains why not. A full pool is reported as NotSent, as it is not the
-// node's fault. c.mu is held.
-func (c *Client) connectedNode(id string) (*node, decide.Outcome) {
+// nodeWithConn returns a node that has a gRPC connection, creating one if there is none; gRPC
+// connects it later. If that is not possible, the node is nil and the outcome is that of the
+// call: for a full pool NotSent, as it is not the node's fault. c.mu is held.
+func (c *Client) nodeWithConn(id string) (*node, decide.Outcome) {
 	n := c.nodes[id]
 	if n == nil || c.closed {
 		return nil, decide.Unreachable
@@ -287,9 +289,9 @@
 			}),
 		}
 		if n.multiAddr {
-			options = append(options, c.dialMultiAddr(n))
+			options = append(options, c.multiAddrDialOption(n))
 		} else {
-			options = append(options, c.dialSingleAddr(n))
+			options = append(options, c.singleAddrDialOption(n))
 		}
 		conn, err := grpc.NewClient("passthrough:///"+n.addr, options...)
 		if err != nil {
@@ -307,7 +309,7 @@
 func (c *Client) Send(id string, attempts []broker.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, failed := c.connectedNode(id)
+	n, failed := c.nodeWithConn(id)
 	if n != nil && len(c.cancelByAttempt)+len(attempts) > maxOpenAttempts {
 		n, failed = nil, decide.NotSent
 	}
@@ -322,7 +324,7 @@
 		c.goroutines.Add(1)
 		go func(conn *grpc.ClientConn) {
 			defer c.goroutines.Done()
-			sent := time.Now()
+			sentAt := time.Now()
 			outcome, answer, err := c.runAttempt(ctx, conn, n, a)
 			cancel()
 			if err != nil {
@@ -331,7 +333,7 @@
 			c.mu.Lock()
 			delete(c.cancelByAttempt, a.ID)
 			if at := n.connAddr.Load(); n.multiAddr && at != nil {
-				c.reportOutcome(n, *at, outcome, sent)
+				c.reportOutcome(n, *at, outcome, sentAt)
 			}
 			c.release(n)
 			c.mu.Unlock()
@@ -340,8 +342,8 @@
 	}
 }
 
-// release ends an open call of a node. With the last one it closes the connection if the
-// node is no longer listed, or has been replaced; c.mu is held.
+// release marks the end of a call of a node. With the last one it closes the connection if
+// the node is no longer listed or has been replaced. c.mu is held.
 func (c *Client) release(n *node) {
 	n.openCalls--
 	if n.openCalls > 0 {
@@ -356,7 +358,8 @@
 	}
 }
 
-// waitReady waits until the connection is up. Until then nothing has been sent on it.
+// waitReady waits until the connection is ready, for up to the connect timeout. Until then
+// nothing has been sent on it.
 func (c *Client) waitReady(ctx context.Context, conn *grpc.ClientConn) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.ConnectTimeout)
 	defer cancel()
@@ -371,13 +374,13 @@
 			return fmt.Errorf("connection is in state %v", s)
 		}
 		if !conn.WaitForStateChange(ctx, s) {
-			return fmt.Errorf("connection not up: %w", ctx.Err())
+			return fmt.Errorf("connection is not ready: %w", ctx.Err())
 		}
 	}
 }
 
-// runAttempt makes one attempt. Nothing has run before DoGet's stream is open; afterwards
-// only the node's own word, in the trailer, proves that it did not run.
+// runAttempt makes one attempt. Before the stream of DoGet is open, the attempt cannot have
+// run; afterwards only the trailer, which comes from the node itself, proves that it did not.
 func (c *Client) runAttempt(ctx context.Context, conn *grpc.ClientConn, n *node, a broker.Attempt) (decide.Outcome, broker.Response, error) {
 	var answer broker.Response
 	notify := func(p broker.WirePhase, at time.Time) {
@@ -446,11 +449,11 @@
 	return classify(err, stream.Trailer()), answer, err
 }
 
-// errTooLate reports that an attempt got its stream when it might no longer begin.
+// errTooLate reports that an attempt got its stream when it must no longer start.
 var errTooLate = errors.New("the attempt's latest start has passed, or its node is no longer listed")
 
-// latestStart returns the time after which attempts may not begin at a node, and whether
-// the node is listed.
+// latestStart returns the time after which attempts may not begin at a node, zero if there is
+// no limit, and whether the node is listed.
 func (c *Client) latestStart(n *node) (latest time.Time, listed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -463,7 +466,7 @@
 // answerStream receives the messages of one answer.
 type answerStream struct {
 	grpc.ClientStream
-	firstMessageAt *time.Time // when the first message arrived
+	firstMessageAt *time.Time // set to when the first message arrived
 }
 
 // Recv implements flight.DataStreamReader.
@@ -512,12 +515,12 @@
 	}
 }
 
-// Probe implements broker.NodeClient: it lists the node's actions, which is cheap for the
-// node.
+// Probe implements broker.NodeClient. It requests the list of the node's actions, which is
+// cheap for the node.
 func (c *Client) Probe(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n, failed := c.connectedNode(id)
+	n, failed := c.nodeWithConn(id)
 	if n == nil {
 		c.opts.Sink.ProbeOutcome(id, failed, 0)
 		return
@@ -535,7 +538,7 @@
 		} else if stream, err := flight.NewFlightServiceClient(conn).ListActions(ctx, &flight.Empty{}); err != nil {
 			outcome = decide.Failed
 		} else if _, err := stream.Recv(); err != nil && !errors.Is(err, io.EOF) && statusCode(err) != codes.Unimplemented {
-			// A node without actions has answered all the same.
+			// A node that does not implement ListActions has answered all the same.
 			outcome = decide.Failed
 		}
 		c.mu.Lock()
@@ -554,5 +557,6 @@
 	}
 }
 
-// Addresses returns the addresses of each node that has several, the preferred one first.
-func (c *Client) Addresses() map[string][]reach.AddressStatus { return c.multiDialer.Views() }
+// Addresses returns the state of the addresses of each node that has several, the preferred
+// one first.
+func (c *Client) Addresses() map[string][]reach.AddressStatus { return c.multiDialer.AddressStatuses() }
--- a/internal/address/address.go
+++ b/internal/address/address.go
@@ -26,7 +26,8 @@
 // String returns the name of the family.
 func (f Family) String() string { return [...]string{"ipv4", "ipv6", "unix", "name"}[f] }
 
-// Address is an address in its canonical form, so that equal addresses compare equal with ==.
+// Address is an address in its canonical form, so that equal addresses compare equal with ==. The
+// zero value is no address.
 type Address struct {
 	Flight bool // Arrow Flight instead of the frame protocol
 	Family Family
@@ -46,7 +47,9 @@
 const maxUnixPathLen = 107
 
 // Parse parses an address of the form "host:port", "[v6]:port", "unix:/path",
-// "grpc+tcp://host:port", "grpc+unix:/path" or "grpc+unix:///path".
+// "grpc+tcp://host:port", "grpc+unix:/path" or "grpc+unix:///path". Host names become lower case
+// and IPv4-mapped IPv6 addresses become IPv4; the path of a Unix socket must be absolute and in its
+// shortest form.
 func Parse(s string) (Address, error) {
 	if rest, ok := strings.CutPrefix(s, flightUnixScheme); ok {
 		if strings.HasPrefix(rest, "///") {
@@ -64,13 +67,13 @@
 	return parseTCP(rest, flight)
 }
 
-// parseUnix checks the path of a Unix socket.
+// parseUnix returns the Address of a Unix socket after checking its path.
 func parseUnix(socketPath string, flight bool) (Address, error) {
 	switch {
 	case !strings.HasPrefix(socketPath, "/") || path.Clean(socketPath) != socketPath || socketPath == "/":
 		return Address{}, fmt.Errorf("address: path %.120q: want an absolute path in its shortest form", socketPath)
 	case len(socketPath) > maxUnixPathLen:
-		return Address{}, fmt.Errorf("address: path of %d bytes, want %d at most", len(socketPath), maxUnixPathLen)
+		return Address{}, fmt.Errorf("address: path of a Unix socket: got %d bytes, want %d at most", len(socketPath), maxUnixPathLen)
 	case strings.ContainsFunc(socketPath, func(r rune) bool { return r < ' ' || r == 0x7f }):
 		return Address{}, fmt.Errorf("address: path %.120q: contains a control character", socketPath)
 	}
@@ -85,7 +88,7 @@
 	}
 	portNumber, err := strconv.ParseUint(port, 10, 16)
 	if err != nil || portNumber == 0 || port[0] == '0' || port[0] == '+' {
-		return Address{}, fmt.Errorf("address %.80q: port: want 1 to 65535", s)
+		return Address{}, fmt.Errorf("address %.80q: port: want 1 to 65535 without leading zeros", s)
 	}
 	a := Address{Flight: flight, Target: net.JoinHostPort(host, port)}
 	ip, err := netip.ParseAddr(host)
@@ -125,7 +128,7 @@
 	return nil
 }
 
-// String returns the address in the form that Parse accepts.
+// String returns the canonical form of the address, which Parse accepts.
 func (a Address) String() string {
 	switch {
 	case a.Family == Unix && a.Flight:
--- a/internal/netio/attach.go
+++ b/internal/netio/attach.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// Attach moves an open connection onto the loop. setup, if not nil, is called with the new
-// Conn before its first event; it is called again with another Conn if the system was out of
-// resources and the attempt is repeated. The Conn may be written to only once Attach has
-// returned or from an event. If Attach fails after setup was called, the handler's Closed is
-// still called.
+// Attach moves an open connection onto the loop and takes it over: conn must not be used
+// afterwards, and is closed if Attach fails. setup, if not nil, is called with the new Conn before
+// its first event; it is called again with another Conn if the system was out of resources and
+// the attempt is repeated, which goes on for up to attachTimeout. The Conn may be written to only
+// once Attach has returned or from an event. If the last attempt fails after its Conn was created,
+// the handler's Closed is still called.
 func (l *Loop) Attach(conn net.Conn, h Handler, setup func(*Conn)) (*Conn, error) {
 	start := time.Now()
 	for {
@@ -38,7 +39,7 @@
 }
 
 // tryAttach is one attempt of Attach. On an error it returns the connection if that is still
-// open, and the Conn if setup was called.
+// open, and the Conn if one was created.
 func (l *Loop) tryAttach(conn net.Conn, h Handler, setup func(*Conn)) (c *Conn, openConn net.Conn, err error) {
 	l.attachMu.Lock()
 	defer l.attachMu.Unlock()
@@ -90,7 +91,7 @@
 	return copyFD, dupErr
 }
 
-// connFromFD returns a connection on a duplicate of fd, which stays open.
+// connFromFD returns a connection on a duplicate of fd; fd itself stays open.
 func connFromFD(fd int) (net.Conn, error) {
 	copyFD, err := syscall.Dup(fd)
 	if err != nil {
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -17,26 +17,27 @@
 
 // Conn is a connection on a Loop.
 type Conn struct {
-	loop         *Loop
-	nbConn       *nbio.Conn
-	handler      Handler
-	queuedBytes  atomic.Int64
-	writtenBytes atomic.Int64
-	closed       atomic.Bool
-	closing      atomic.Bool // Close was called
-	attaching    atomic.Bool // being added to the engine
-	delivered    bool        // the last read returned data; used only by the engine's goroutine
-	onFlush      atomic.Pointer[func()]
+	loop          *Loop
+	nbConn        *nbio.Conn
+	handler       Handler
+	acceptedBytes atomic.Int64 // passed to Write so far
+	writtenBytes  atomic.Int64 // passed to the kernel so far
+	closed        atomic.Bool
+	closing       atomic.Bool            // Close was called
+	attaching     atomic.Bool            // being added to the engine
+	delivered     bool                   // the last read returned data; used only by the engine's goroutine
+	onFlush       atomic.Pointer[func()] // callback of AfterFlush; nil: none
 
 	fdMu    sync.Mutex // held while the descriptor is used outside the engine
 	reading bool       // the engine is reading, or the handler has not yet processed what was read
 }
 
 // Write writes b, or queues a copy of what the system does not take at once, and returns the
-// position in the stream after its last byte. After an error the connection is closed, and
-// Written returns how much was written. Only one goroutine may write at a time.
+// position in the stream after its last byte. An error closes the connection, also if more than
+// the loop's maxWrite bytes would be queued; Written then returns how much was written. Only one
+// goroutine may write at a time.
 func (c *Conn) Write(b []byte) (end int64, err error) {
-	end = c.queuedBytes.Add(int64(len(b)))
+	end = c.acceptedBytes.Add(int64(len(b)))
 	rest := b
 	if c.Backlog() == int64(len(b)) { // nothing is queued: write directly, as the engine itself closes the connection when a write fails
 		n, err := c.tryWrite(b)
@@ -79,12 +80,12 @@
 	return n, errors.Join(fdErr, err)
 }
 
-// Written returns the number of bytes passed to the kernel. The peer cannot have read the whole
-// of a frame that ends beyond it.
+// Written returns the number of bytes passed to the kernel so far. The peer cannot have read the
+// whole of a frame that ends beyond this position.
 func (c *Conn) Written() int64 { return c.writtenBytes.Load() }
 
 // Backlog returns the number of queued bytes that are not written yet.
-func (c *Conn) Backlog() int64 { return c.queuedBytes.Load() - c.writtenBytes.Load() }
+func (c *Conn) Backlog() int64 { return c.acceptedBytes.Load() - c.writtenBytes.Load() }
 
 // Close shuts the connection down at once. No more data is delivered, but the handler's Closed
 // is still called. The descriptor itself is closed by the engine's goroutine when it sees the
@@ -122,7 +123,8 @@
 	return int64(unacked)
 }
 
-// AfterFlush calls f on the loop's worker goroutine once all queued bytes have been written.
+// AfterFlush calls f on the loop's worker goroutine once all queued bytes have been written. It
+// replaces a function that is still waiting; f is not called if the connection closes first.
 func (c *Conn) AfterFlush(f func()) {
 	c.onFlush.Store(&f)
 	if c.Backlog() <= 0 {
@@ -193,8 +195,9 @@
 
 // CloseWriteIfIdle closes the sending side like CloseWrite and reports whether it did. It does
 // not while the peer may have sent something that the handler has not processed, that is, while
-// data is waiting to be read or is being read, nor while queued bytes are not written. Data that
-// is read after a successful call was sent too late.
+// data is waiting to be read or is being read, nor while queued bytes are not written, nor once
+// the peer has closed its own sending side. Data that is read after a successful call was sent
+// too late.
 func (c *Conn) CloseWriteIfIdle() bool {
 	closed := false
 	err := c.withFD(func(fd uintptr) {
@@ -236,15 +239,17 @@
 }
 
 // PeerClosed reports whether the peer has closed its sending side or the whole connection, even
-// if data that it sent before is still unread.
+// if data that it sent before is still unread. It is also true once the connection has been
+// closed on this side.
 func (c *Conn) PeerClosed() bool {
 	closed := false
 	err := c.withFD(func(fd uintptr) { closed = hasEvents(fd, unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) })
 	return closed || err != nil
 }
 
-// AtEOF reports whether the peer has closed its sending side, or the connection is broken, even
-// if the loop has not noticed that yet. It is false while there is unread data before the end.
+// AtEOF reports whether the peer has closed its sending side, or the connection is broken or
+// closed, even if the loop has not noticed that yet. It is false while there is unread data before
+// the end.
 func (c *Conn) AtEOF() bool {
 	eof := false
 	err := c.withFD(func(fd uintptr) {
--- a/internal/netio/dialer.go
+++ b/internal/netio/dialer.go
@@ -37,8 +37,10 @@
 // concurrently. A connect that blocks in the system for lack of a processor or of memory holds
 // a thread; the runtime then creates another thread to run other goroutines, and never ends
 // it. A dial that waits for the peer waits in the runtime's poller and holds no thread.
+// NewDialer returns one; the zero value cannot dial.
 type Dialer struct {
-	// Control is called before each connect, like net.Dialer.Control; it may be nil.
+	// Control is called before each connect, like net.Dialer.Control; it may be nil. It must
+	// be set before the first dial.
 	Control      func(network, address string, c syscall.RawConn) error
 	connectSlots chan struct{}
 }
@@ -104,8 +106,8 @@
 
 // connectContext is the context of one dial. It releases the dial's connect slot once the connect
 // system call has returned: from then on net.Dialer waits for the connection and for the
-// context, and calls Done to do so. If it did not call Done, the slot would be released at the
-// end of the dial.
+// context, and calls Done to do so. If it does not call Done, the slot is released at the end of
+// the dial.
 type connectContext struct {
 	context.Context
 	dialer      *Dialer
--- a/internal/netio/hand.go
+++ b/internal/netio/hand.go
@@ -5,16 +5,17 @@
 // worker runs the callbacks of a loop one after the other on a single goroutine: callbacks that
 // must not run under a lock of the caller, and system calls that may block. With a goroutine for
 // each task, each blocked system call would hold a thread, and the runtime does not end threads
-// once they exist. The queue is bounded by the number of connections: at most two tasks for
-// each.
+// once they exist. The queue is bounded by the number of connections, as each usually has at most
+// two tasks in it: its Closed and its callback of AfterFlush.
 type worker struct {
 	mu    sync.Mutex
 	tasks []func()
-	wake  chan struct{} // capacity 1
-	quit  chan struct{}
-	done  chan struct{}
+	wake  chan struct{} // capacity 1; signals that tasks were added
+	quit  chan struct{} // closed by stop
+	done  chan struct{} // closed when the goroutine has ended
 }
 
+// newWorker returns a worker whose goroutine is running.
 func newWorker() *worker {
 	w := &worker{wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
--- a/internal/netio/listen.go
+++ b/internal/netio/listen.go
@@ -23,8 +23,8 @@
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// Listen opens a TCP listener at a host and port. It retries while the system is out of
-// resources or does not have the address.
+// Listen opens a TCP listener at a host and port. It retries for up to listenRetryTimeout while
+// the system is out of resources or does not have the address.
 func Listen(addr string) (*net.TCPListener, error) { return listenWithRetry(net.ListenConfig{}, addr) }
 
 // ListenReusePort is like Listen with SO_REUSEPORT: several listeners may share the address, and
--- a/internal/netio/look.go
+++ b/internal/netio/look.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// HasPendingConn reports whether a connection is waiting in a listener's accept queue.
+// HasPendingConn reports whether a connection is waiting in a listener's accept queue; false if
+// that cannot be checked.
 func HasPendingConn(l syscall.Conn) bool {
 	raw, err := l.SyscallConn()
 	if err != nil {
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -18,16 +18,16 @@
 // Handler receives the events of one connection. Data is called on the engine's goroutine, and
 // b is valid only during the call. Closed is called once, on the loop's worker goroutine, so
 // that a handler may cause it by a Write while it holds its own lock. Neither may block, except
-// on a lock: it would hold up all connections.
+// briefly on a lock, as that would hold up all connections.
 type Handler interface {
 	Data(b []byte)
 	Closed(err error)
 }
 
 // PeerEndHandler is a Handler that is notified when the peer has closed its sending side.
-// PeerEnded is called on the engine's goroutine, before the connection is closed for that
-// reason: the peer may still read. If the end of the stream arrives together with the last
-// data, PeerEnded is not called, and only Conn.PeerClosed reports it.
+// PeerEnded is called on the engine's goroutine, before the engine closes the connection for that
+// reason; the peer may still read. If the end of the stream arrives together with the last
+// data, PeerEnded is not called, and only Conn.PeerClosed reports the end.
 type PeerEndHandler interface {
 	Handler
 	PeerEnded()
@@ -56,13 +56,15 @@
 	readSize = 32 << 10
 	// maxReadsPerEvent is the maximum number of reads for one event. If the peer has ended
 	// its stream, the engine closes the connection after that many reads and drops the data
-	// that is still unread: the limit must exceed what the system buffers for a connection.
+	// that is still unread, so this many reads of readSize (32 MiB in total) must exceed what
+	// the system buffers for a connection.
 	maxReadsPerEvent = 1024
 	// While the system lacks the resources to attach a connection, Attach retries every
-	// attachRetryInterval. No client waits longer than attachTimeout.
+	// attachRetryInterval for attachTimeout, as no client waits longer than that.
 	attachRetryInterval = 5 * time.Millisecond
 	attachTimeout       = 10 * time.Second
-	// closeTimeout bounds the time in which the engine notices that a connection was shut down.
+	// closeTimeout is how long after its shutdown a connection is closed directly, unless the
+	// engine has noticed the shutdown and closed it.
 	closeTimeout = time.Second
 	// startTimeout bounds the retries of New.
 	startTimeout = 3 * time.Second
@@ -70,8 +72,8 @@
 	stopTimeout = 2 * time.Second
 )
 
-// maxDescriptor is the size of the engine's table of connections, which is indexed by file
-// descriptor. By default the engine sizes it for the maximum number of descriptors of the
+// maxDescriptor is the number of entries in the engine's table of connections, which is indexed
+// by file descriptor. By default the engine sizes it for the maximum number of descriptors of the
 // process, which can be two million (16 MB), however few connections the broker may hold. A
 // smaller table suffices as the kernel always assigns the lowest free number.
 const maxDescriptor = 1 << 16
@@ -127,7 +129,7 @@
 	})
 	engine.OnWrittenSize(func(nc *nbio.Conn, _ []byte, n int) {
 		if c := l.conn(nc); c != nil && n > 0 {
-			if written := c.writtenBytes.Add(int64(n)); written >= c.queuedBytes.Load() {
+			if written := c.writtenBytes.Add(int64(n)); written >= c.acceptedBytes.Load() {
 				c.notifyFlushed()
 			}
 		}
@@ -153,7 +155,7 @@
 }
 
 // Stop stops the loop and closes its connections. When it returns, Closed has been called for
-// all of them. The engine loses a stop request that arrives before its goroutine runs, and its
+// all of them, unless the engine did not stop within stopTimeout. The engine loses a stop request that arrives before its goroutine runs, and its
 // shutdown would then never end: stopTimeout makes sure that a process whose start fails at once
 // still exits, with its error.
 func (l *Loop) Stop() {
--- a/internal/netio/netio_test.go
+++ b/internal/netio/netio_test.go
@@ -350,7 +350,7 @@
 	}
 	defer loop.Stop()
 	l := listen(t)
-	dialled, err := NewDialer().Dial(context.Background(), "tcp", l.Addr().String())
+	dialed, err := NewDialer().Dial(context.Background(), "tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -358,7 +358,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, nc := range []net.Conn{dialled, accepted} {
+	for _, nc := range []net.Conn{dialed, accepted} {
 		conn, err := loop.Attach(nc, newRecordingHandler(), nil)
 		if err != nil {
 			t.Fatal(err)
--- a/nodeclient/client.go
+++ b/nodeclient/client.go
@@ -1,6 +1,6 @@
 // Package nodeclient sends attempts to shard servers in length-prefixed frames over TCP. It
-// keeps a pool of connections per node, multiplexes attempts over each of them, and tells
-// attempts that cannot have run from those that may have.
+// keeps a pool of connections per node, multiplexes attempts over each of them, and
+// distinguishes attempts that cannot have run from those that may have.
 package nodeclient
 
 import (
@@ -18,21 +18,23 @@
 )
 
 const (
-	maxCancelledParts = 256 // cancelled part ids that a connection remembers, as their answers may still arrive
+	// maxCancelledParts is the number of cancelled parts on a connection from which on it gets
+	// no new parts: it keeps their ids, as their answers may still arrive.
+	maxCancelledParts = 256
 	// sweepInterval is the interval at which all connections are checked.
 	sweepInterval = 100 * time.Millisecond
 	// writeStallTimeout is how long written bytes may wait for a full socket before the
 	// connection counts as broken.
 	writeStallTimeout = 250 * time.Millisecond
-	// frameWriteTimeout bounds the writing of a frame: it is written to the socket whole
-	// within this time or the connection is closed, because the deadline in it and the
-	// checks before it are only valid at the time at which it was built.
+	// frameWriteTimeout bounds the writing of a frame: if it is not written to the socket
+	// whole within this time, the connection is closed, because the time-outs in the frame
+	// and the checks made before are valid only for the time at which it was built.
 	frameWriteTimeout = 100 * time.Millisecond
 	// partialFrameTimeout is how long an incomplete frame may go without further bytes: one
 	// whose length field is too large never ends and blocks every frame behind it.
 	partialFrameTimeout = 300 * time.Millisecond
-	// warnLogInterval is the minimum interval between two log lines about a full pool, or
-	// about malformed frames from one node.
+	// warnLogInterval is the minimum interval between two log lines about a full connection
+	// pool, or about malformed frames from one node.
 	warnLogInterval = 10 * time.Second
 	// A connection counts as silent once attempts have waited on it for silenceFactor times
 	// the node's smoothed latency, and at least minSilence, with nothing read.
@@ -58,11 +60,11 @@
 type Options struct {
 	Loop              *netio.Loop
 	Sink              broker.ResultSink
-	StreamsPerConn    int
-	ConnectTimeout    time.Duration
+	StreamsPerConn    int                 // limit on open attempts per connection, at least 1
+	ConnectTimeout    time.Duration       // 0: 250 ms
 	Dialer            *netio.Dialer       // nil: the client makes its own
 	ServerIdleTimeout time.Duration       // idle timeout of the servers; 0: idle connections are kept
-	MaxConns          int                 // connection limit over all nodes
+	MaxConns          int                 // connection limit over all nodes, at least 1
 	Observer          broker.WireObserver // may be nil
 	ProbesSupported   bool                // nodes answer probe frames
 	DisableCancel     bool                // cancel frames are not sent to nodes
@@ -73,7 +75,7 @@
 type Client struct {
 	opts        Options
 	multiDialer *dial.Dialer    // connects to nodes with more than one address
-	ctx         context.Context // of the sweep goroutine and of pending connects
+	ctx         context.Context // of the sweep goroutine and of pending connects; Close cancels it
 	cancel      context.CancelFunc
 	goroutines  sync.WaitGroup
 
@@ -83,7 +85,7 @@
 	openConns        int
 	poolFullLoggedAt time.Time // time of the latest pool-full log line
 	closed           bool
-	writtenAttempts  atomic.Int64  // attempts written to the socket whole
+	writtenAttempts  atomic.Int64  // attempts whose frame has been written to the socket whole
 	frameTimeout     time.Duration // frameWriteTimeout unless a test changes it; writeStallTimeout then changes by as much
 }
 
@@ -99,8 +101,8 @@
 	lastReadAt      time.Time     // time of the latest read, on any connection
 	exclusiveUntil  time.Time     // until then no two parts share a connection
 
-	malformedLoggedAt time.Time // time of the latest log line about a malformed frame
-	unloggedMalformed int       // malformed frames since then that were not logged
+	malformedLoggedAt time.Time // time of the latest log line about malformed frames
+	unloggedMalformed int       // malformed frames since that log line
 }
 
 // New returns a running client; Close stops it.
@@ -123,7 +125,8 @@
 	return c
 }
 
-// Close stops the client and closes its connections.
+// Close stops the client, closes its connections and waits for its goroutines. Attempts that
+// are still open get an outcome.
 func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
@@ -158,7 +161,7 @@
 		n.multiAddr = c.multiDialer.SetAddrs(listed.ID, listed.Addrs)
 	}
 	for id, n := range c.nodes {
-		if !n.listed && n.multiAddr { // it is not dialled again
+		if !n.listed && n.multiAddr { // it is not dialed again
 			c.multiDialer.SetAddrs(id, nil)
 		}
 		if !n.listed && len(n.conns) == 0 {
@@ -174,8 +177,8 @@
 	c.sendTo(id, attempts, 0)
 }
 
-// sendTo starts attempts that leave in one call, and that have already been resent so many
-// times; c.mu is held.
+// sendTo starts attempts that leave in one call. resends is how often they have already been
+// resent. c.mu is held.
 func (c *Client) sendTo(id string, attempts []broker.Attempt, resends int) {
 	n := c.nodes[id]
 	if n == nil || c.closed {
@@ -210,7 +213,7 @@
 	}
 }
 
-// failUnsent ends attempts that were not sent. The outcome NotSent, as for a full pool,
+// failUnsent ends attempts that were not sent. The outcome decide.NotSent, for a full pool,
 // says nothing about the node.
 func (c *Client) failUnsent(attempts []broker.Attempt, outcome decide.Outcome) {
 	for i := range attempts {
@@ -243,8 +246,8 @@
 	return true
 }
 
-// dial starts to open a connection to the node; nil if the pool is full and no connection
-// is idle. c.mu is held.
+// dial starts to open a connection to the node and returns it; nil if the pool is full and no
+// connection is idle. c.mu is held.
 func (c *Client) dial(n *node) *conn {
 	if !c.makeRoom() {
 		if now := time.Now(); now.Sub(c.poolFullLoggedAt) >= warnLogInterval { // otherwise every part would log a line
@@ -274,7 +277,8 @@
 	return cn
 }
 
-// newConn registers a connection that is about to be opened; c.mu is held.
+// newConn returns a new connection to a node that is about to be opened, and counts it
+// against MaxConns; c.mu is held.
 func (c *Client) newConn(n *node) *conn {
 	c.openConns++
 	now := time.Now()
@@ -289,15 +293,16 @@
 	return cn
 }
 
-// SetMaxConns changes the connection limit over all nodes. Connections beyond a lowered
-// limit stay open until they are idle.
+// SetMaxConns changes the connection limit over all nodes, which is at least 1. A lowered
+// limit closes no connection: those beyond it stay open until they end for another reason.
 func (c *Client) SetMaxConns(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.opts.MaxConns = max(1, limit)
 }
 
-// WrittenAttempts returns the number of attempts that have been written to sockets whole.
+// WrittenAttempts returns the number of attempts so far whose frame has been written to a
+// socket whole.
 func (c *Client) WrittenAttempts() int64 { return c.writtenAttempts.Load() }
 
 // Cancel implements broker.NodeClient.
@@ -332,7 +337,7 @@
 	cn.abortIfUndelivered(att)
 	cn.lastUsedAt = time.Now()
 	if len(cn.attempts) == 0 && !cn.isSilent(cn.lastUsedAt) {
-		cn.unansweredSince = time.Time{} // the node need not answer anything more
+		cn.unansweredSince = time.Time{} // no answer is expected any more
 	}
 	cn.cancelled[att.partID] = att.ID
 	if c.opts.DisableCancel {
@@ -382,8 +387,8 @@
 	}
 }
 
-// sweep checks the state of all connections at each interval, and starts the tests of
-// suspected addresses that are due.
+// sweep checks the state of all connections every sweepInterval, and starts the tests of
+// suspected addresses that are due, until the client is closed.
 func (c *Client) sweep() {
 	defer c.goroutines.Done()
 	tick := time.NewTicker(sweepInterval)
--- a/nodeclient/conn.go
+++ b/nodeclient/conn.go
@@ -15,41 +15,41 @@
 type conn struct {
 	client            *Client
 	node              *node
-	addr              string
-	sock              *netio.Conn // nil while the connection is being opened
-	closed            bool
-	holdsSlot         bool // it counts against the client's MaxConns
-	buf               []byte
+	addr              string                      // the node's address that it leads to; "": connecting to one of several
+	sock              *netio.Conn                 // nil while the connection is being opened
+	closed            bool                        // terminate was called
+	holdsSlot         bool                        // it counts against the client's MaxConns
+	buf               []byte                      // received bytes that are no whole frame yet
 	attempts          map[string]*openAttempt     // by part id
 	cancelled         map[string]broker.AttemptID // cancelled parts whose answer may still arrive
 	dialedAt          time.Time                   // when connecting began
 	frameBeganAt      time.Time                   // when the first byte of the frame in buf arrived
-	probesSentAt      []time.Time
-	lastUsedAt        time.Time
-	writeBlockedSince time.Time // since when written bytes have waited for the socket; zero: none wait
-	lastReadAt        time.Time // time of the latest read
-	unansweredSince   time.Time // since when attempts have waited with nothing read; zero: none wait
-	unusable          bool      // nothing more is sent on it
-	closedLocally     bool      // closed by this client, not by the node
-	silenceReported   bool      // the address planner has been told of the current silence
-	onProbation       bool      // its address is being tested after a suspicion; it carries no parts yet
-	localFailure      bool      // it could not be opened because of a failure on this machine
-	lastAnswerID      string    // part id of the latest answer
+	probesSentAt      []time.Time                 // when each probe without an answer was requested
+	lastUsedAt        time.Time                   // time of the latest read, call, cancel or probe
+	writeBlockedSince time.Time                   // since when written bytes have waited for the socket; zero: none wait
+	lastReadAt        time.Time                   // time of the latest read
+	unansweredSince   time.Time                   // since when attempts have waited with nothing read; zero: none wait
+	unusable          bool                        // nothing more is sent on it
+	closedLocally     bool                        // closed by this client, not by the node
+	silenceReported   bool                        // the address planner has been told of the current silence
+	onProbation       bool                        // its address is being tested after a suspicion; it carries no parts yet
+	localFailure      bool                        // it could not be opened because of a failure on this machine
+	lastAnswerID      string                      // part id of the latest answer
 }
 
 // openAttempt is one attempt that has no outcome yet.
 type openAttempt struct {
 	broker.Attempt
-	sentAt      time.Time
+	sentAt      time.Time // when its frame was queued
 	partID      string
 	conn        *conn
 	frameStart  int64     // stream position before the first byte of its frame
 	frameEnd    int64     // stream position of the last byte of its frame; 0 before it is queued
-	requestedAt time.Time // when the broker core asked for it
-	resends     int       // how often it was resent to another address, with nothing written before
-	written     bool      // its frame has been written whole, and that is counted
-	// pendingCall has all attempts of a call that waits for the connection; only the first
-	// of them has it.
+	requestedAt time.Time // when it was passed to the client, or resent
+	resends     int       // how often it was resent on another connection, with nothing written before
+	written     bool      // its frame has been written whole and counted in writtenAttempts
+	// pendingCall holds all attempts of a call that waits for the connection. It is set at
+	// one of them, the first that has not been cancelled, and nil at the others.
 	pendingCall []broker.Attempt
 }
 
@@ -61,9 +61,10 @@
 	}
 }
 
-// pickConn chooses a connection that the node has not closed, and closes those that it has.
-// A node may close a connection right after its last answer: a part sent there would end in
-// a reset, and may then not be retried. The client's mu is held.
+// pickConn chooses a connection like findConn that the node has not closed, and closes those
+// that it has; nil if there is none. A node may close a connection right after its last
+// answer: a part sent there would end in a reset, and could then not be retried. The client's
+// mu is held.
 func (n *node) pickConn(streams int, attempts []broker.Attempt, exclusive bool) *conn {
 	for {
 		cn := n.findConn(streams, attempts, exclusive)
@@ -75,15 +76,16 @@
 	}
 }
 
-// findConn finds a connection with room, preferring open ones to those being opened. It
-// skips connections that carry the same part or have cancelled it, as the answers could not
-// be told apart, and those with bytes waiting for the socket, as they may be closed. It
-// also skips silent ones and those to a suspected address, where a part would probably only
-// time out: they are used again once the node answers there, or if there are so many of
-// them that the node itself must be silent.
+// findConn finds a connection with room for the attempts among at most streams, preferring
+// open ones to those being opened; a call of more attempts gets a connection that carries no
+// others. It skips connections that carry the same part or have cancelled it, as the answers
+// could not be told apart, and those with bytes waiting for the socket, as they may be
+// closed. It also skips silent ones and those to a suspected address, where a part would
+// probably only time out: they are used again once the node answers there, or if there are
+// so many of them that the node itself must be silent.
 //
-// exclusive asks for a connection that carries nothing at all: if a node closes connections
-// after an answer, everything else waiting there is lost.
+// exclusive asks for a connection that carries no part and has no cancelled one: if a node
+// closes connections after an answer, everything else waiting there is lost.
 func (n *node) findConn(streams int, attempts []broker.Attempt, exclusive bool) *conn {
 	var best, silentConn *conn
 	silentCount, now := 0, time.Now()
@@ -121,13 +123,14 @@
 	return best
 }
 
-// isSilent reports whether attempts have waited on the connection for unusually long with
-// nothing read.
+// isSilent reports whether the connection counts as silent: attempts have waited on it for
+// unusually long with nothing read (see silenceFactor).
 func (cn *conn) isSilent(now time.Time) bool {
 	return cn.sock != nil && !cn.unansweredSince.IsZero() && now.Sub(cn.unansweredSince) > max(minSilence, silenceFactor*cn.node.smoothedLatency)
 }
 
-// established takes the opened socket and sends what waited for it.
+// established sets the socket of a connection that has been opened, and sends the probes and
+// calls that waited for it. It closes the socket if the connection is no longer wanted.
 func (cn *conn) established(sock *netio.Conn) {
 	cn.client.mu.Lock()
 	defer cn.client.mu.Unlock()
@@ -139,7 +142,7 @@
 	if cn.onProbation && !cn.beginProbation() {
 		return
 	}
-	if !cn.addrIsListed() || !cn.node.listed { // no listed node may be there any more
+	if !cn.addrIsListed() || !cn.node.listed { // the address may no longer be that of a listed node
 		cn.closedLocally = true
 		sock.Close()
 		return
@@ -162,9 +165,9 @@
 	}
 }
 
-// writeCall queues one frame with those of the attempts that may still begin. On an error
-// it closes the socket; terminate then ends the attempts according to how much of the frame
-// was written. The client's mu is held.
+// writeCall queues one frame with those of the attempts that may still begin, and ends the
+// others. On an error it closes the socket; terminate then ends the attempts according to how
+// much of the frame was written. The client's mu is held.
 func (cn *conn) writeCall(attempts []broker.Attempt) {
 	now := time.Now()
 	live := attempts[:0:0]
@@ -252,9 +255,9 @@
 }
 
 // frameIsUnwanted reports whether the frame of a cancelled part still waits for a full
-// socket and carries nothing else that is wanted: once written, the part would begin for
-// nobody. Closing the connection then costs little, as the other parts hang at a node that
-// reads nothing anyway.
+// socket and carries no other open part: if it were written, the part would begin although it
+// is no longer wanted. Closing the connection then costs little, as the other parts on it wait
+// for a node that reads nothing anyway.
 func (cn *conn) frameIsUnwanted(att *openAttempt) bool {
 	if att.frameEnd <= cn.sock.Written() {
 		return false
@@ -316,7 +319,7 @@
 // closeMalformed closes a connection whose stream cannot be parsed any further; the
 // client's mu is held. None of the open attempts will be answered, and any of them may have
 // run: one is reported as failed by the node, the others as cancelled. If no attempt is
-// open, the malformed bytes followed a valid answer and nothing is reported.
+// open, the malformed bytes followed a valid answer and no outcome is reported.
 func (cn *conn) closeMalformed(err error) {
 	if cn.closed || cn.unusable {
 		return
@@ -332,13 +335,14 @@
 }
 
 // abortSent closes the connection and ends the attempts that had been written whole, all of
-// which may have run: the first with the given outcome and the others as cancelled.
+// which may have run: any one of them with the given outcome and the others as cancelled. The
+// client's mu is held.
 func (cn *conn) abortSent(outcome decide.Outcome) {
 	written := cn.sock.Written()
 	cn.close()
 	for id, att := range cn.attempts {
 		if att.frameEnd == 0 || att.frameEnd > written {
-			continue // not received whole by the node: terminate reports it as such
+			continue // cannot have been received whole: terminate ends it as never run
 		}
 		cn.markWritten(att, time.Now())
 		delete(cn.attempts, id)
@@ -352,7 +356,7 @@
 // parsed any further.
 func (cn *conn) handleFrame(frameType byte, body []byte) error {
 	switch frameType {
-	case 'R':
+	case 'R': // result of a part
 		r, err := parseResult(body)
 		if err != nil {
 			return err
@@ -372,27 +376,27 @@
 		cn.markWritten(att, cn.lastReadAt)
 		delete(cn.attempts, r.partID)
 		delete(cn.client.attempts, att.ID)
-		if took := cn.lastReadAt.Sub(att.sentAt); cn.node.smoothedLatency == 0 {
-			cn.node.smoothedLatency = took
+		if latency := cn.lastReadAt.Sub(att.sentAt); cn.node.smoothedLatency == 0 {
+			cn.node.smoothedLatency = latency
 		} else {
-			cn.node.smoothedLatency += time.Duration(latencySmoothing * float64(took-cn.node.smoothedLatency))
+			cn.node.smoothedLatency += time.Duration(latencySmoothing * float64(latency-cn.node.smoothedLatency))
 		}
 		cn.client.opts.Sink.AttemptOutcome(att.ID, r.outcome, broker.Response{Value: r.value, FirstByteAt: cn.frameBeganAt})
-	case 'H', 'M':
+	case 'H', 'M': // answer to a probe
 		if cn.onProbation {
 			cn.endProbation(string(body) == "done")
 			return nil
 		}
 		if len(cn.probesSentAt) > 0 {
-			sent := cn.probesSentAt[0]
+			sentAt := cn.probesSentAt[0]
 			cn.probesSentAt = cn.probesSentAt[1:]
 			outcome := decide.Failed
 			if string(body) == "done" {
 				outcome = decide.OK
 			}
-			cn.client.opts.Sink.ProbeOutcome(cn.node.id, outcome, time.Since(sent))
+			cn.client.opts.Sink.ProbeOutcome(cn.node.id, outcome, time.Since(sentAt))
 		}
-	case 'F':
+	case 'F': // the node could not parse a frame
 		return fmt.Errorf("the node rejected a frame: %.200q", body)
 	default:
 		return errMalformedFrame
@@ -403,8 +407,9 @@
 // Closed implements netio.Handler.
 func (cn *conn) Closed(error) { cn.terminate() }
 
-// terminate ends a connection and all attempts open on it. A frame whose last byte the kernel
-// had not taken cannot have been received whole, so it never ran; any other may have.
+// terminate ends a connection and all attempts and probes open on it; it may be called again.
+// A frame whose last byte the kernel had not taken cannot have been received whole, so its
+// parts never ran; any other may have run.
 func (cn *conn) terminate() {
 	cn.client.mu.Lock()
 	defer cn.client.mu.Unlock()
@@ -429,30 +434,31 @@
 		cn.node.exclusiveUntil = now.Add(exclusivePeriod)
 	}
 	if brokenByPeer && cn.node.multiAddr {
-		cn.client.multiDialer.ReportReset(cn.node.id, cn.addr, time.Now())
+		cn.client.multiDialer.ReportConnectionBroken(cn.node.id, cn.addr, time.Now())
 	}
 	for _, att := range cn.attempts {
 		if cn.sock != nil {
 			cn.markWritten(att, time.Now())
 		}
 		delete(cn.client.attempts, att.ID)
-		ruling := reach.DispositionOf(reach.ClassifyClose(att.frameStart, att.frameEnd, written))
-		if ruling.TryOtherAddress && cn.sock != nil && cn.resend(att) {
+		disposition := reach.DispositionOf(reach.ClassifyClose(att.frameStart, att.frameEnd, written))
+		if disposition.TryOtherAddress && cn.sock != nil && cn.resend(att) {
 			continue
 		}
 		if cn.localFailure { // says nothing about the node
-			ruling.Outcome = decide.NotSent
+			disposition.Outcome = decide.NotSent
 		}
-		cn.client.opts.Sink.AttemptOutcome(att.ID, ruling.Outcome, broker.Response{})
+		cn.client.opts.Sink.AttemptOutcome(att.ID, disposition.Outcome, broker.Response{})
 	}
-	for _, sent := range cn.probesSentAt {
-		cn.client.opts.Sink.ProbeOutcome(cn.node.id, decide.Unreachable, time.Since(sent))
+	for _, sentAt := range cn.probesSentAt {
+		cn.client.opts.Sink.ProbeOutcome(cn.node.id, decide.Unreachable, time.Since(sentAt))
 	}
 	cn.attempts, cn.probesSentAt = nil, nil
 }
 
-// checkState is called at each sweep: it closes the connection if it is silent, stalled,
-// idle for too long or no longer needed; the client's mu is held.
+// checkState is called at each sweep: it closes the connection if it is silent, its stream
+// has stalled in either direction, its address test has timed out, or it is idle and expired
+// or no longer needed. The client's mu is held.
 func (cn *conn) checkState(now time.Time) {
 	if cn.sock == nil || cn.closed || cn.unusable {
 		return
--- a/nodeclient/delivery.go
+++ b/nodeclient/delivery.go
@@ -3,8 +3,8 @@
 import "time"
 
 // deliveryTimeout is how long the node's kernel may take to acknowledge the frame of a
-// cancelled part. Acknowledgements may be delayed by 40 ms, and a part must not begin more
-// than 100 ms after its client has left.
+// cancelled part, counted from the cancellation. Acknowledgements may be delayed by 40 ms,
+// and a part must not begin more than 100 ms after its client has left.
 const deliveryTimeout = 60 * time.Millisecond
 
 // isDelivered reports whether the node's kernel has acknowledged all bytes up to a stream
@@ -15,10 +15,10 @@
 }
 
 // abortIfUndelivered resets the connection if the frame of a cancelled part is not
-// acknowledged in time. The local kernel would keep retransmitting it, and the part would
-// begin for nobody once the link is back or the node reads again. The other attempts on the
-// connection are stuck as well, behind that frame or without an answer that could arrive.
-// The client's mu is held.
+// acknowledged within deliveryTimeout. The local kernel would keep retransmitting it, and the
+// part would begin although it is no longer wanted once the link is back or the node reads
+// again. The other attempts on the connection are blocked as well: their frames are behind
+// that one, or their answers cannot arrive. The client's mu is held.
 func (cn *conn) abortIfUndelivered(att *openAttempt) {
 	end := att.frameEnd
 	if cn.isDelivered(end) {
@@ -34,7 +34,7 @@
 }
 
 // close closes the connection from this side. Bytes that have not reached the node yet are
-// discarded.
+// discarded. The client's mu is held, and the connection has a socket.
 func (cn *conn) close() {
 	cn.closedLocally = true
 	if cn.sock.UnackedBytes() > 0 {
--- a/nodeclient/frame.go
+++ b/nodeclient/frame.go
@@ -12,8 +12,8 @@
 	"onyxsail/decide"
 )
 
-// Bounds on what a node may send, in bytes. A client's whole answer holds at most 64 KiB,
-// so no value of a part may be larger.
+// Limits on what a node may send, in bytes. The whole answer to a client is limited to 64 KiB,
+// so no value of a part may be larger. maxFrameBytes is the limit of a frame's length field.
 const (
 	maxValueBytes = 64 << 10
 	maxLineBytes  = 1 << 10
@@ -30,9 +30,9 @@
 	value   []byte
 }
 
-// nextFrame splits the first whole frame off b. n is the number of bytes consumed; 0 means
-// that more are needed. Malformed frames are reported as early as the bytes at hand allow:
-// an impossible length or type, or a line that does not end.
+// nextFrame splits the first whole frame off b. n is the number of bytes consumed; 0 without
+// an error means that more are needed. body is a part of b. Malformed frames are reported as
+// early as the bytes at hand allow: an impossible length or type, or a line that does not end.
 func nextFrame(b []byte) (frameType byte, body []byte, n int, err error) {
 	if len(b) < 4 {
 		return 0, nil, 0, nil
@@ -64,12 +64,13 @@
 	return frameType, b[5:n], n, nil
 }
 
-// outcomesByWord maps the words of the protocol for how a part ended.
+// outcomesByWord maps the words of the protocol for how a part ended to outcomes.
 var outcomesByWord = map[string]decide.Outcome{"done": decide.OK, "failed": decide.Failed, "full": decide.Rejected}
 
-// parseResult parses the body of an R frame; the value is a copy. Everything in the line
-// but the report must be valid: if one word of an answer is corrupt, its value may be
-// corrupt too and must not be served.
+// parseResult parses the body of an R frame; the value is a copy. Its first line has the part
+// id, the outcome, a number and the load report, and the value follows. Everything in the line
+// but the report must be valid: if one word of an answer is corrupt, its value may be corrupt
+// too and must not be served.
 func parseResult(body []byte) (result, error) {
 	line, value, ok := bytes.Cut(body, []byte{'\n'})
 	words := bytes.SplitN(line, []byte{' '}, 4)
@@ -81,15 +82,15 @@
 		return result{}, fmt.Errorf("%w: result line %.80q", errMalformedFrame, line)
 	}
 	// A value becomes part of a JSON text for the client, so it must be text. If a wrong
-	// length makes the value swallow the next frame, that frame's own length field shows,
-	// as it contains a zero byte.
+	// length makes the value include the next frame, the zero byte in that frame's own length
+	// field shows it.
 	if len(value) > maxValueBytes || !utf8.Valid(value) || bytes.IndexByte(value, 0) >= 0 {
 		return result{}, fmt.Errorf("%w: value of %d bytes is not text", errMalformedFrame, len(value))
 	}
 	return result{string(words[0]), outcome, bytes.Clone(value)}, nil
 }
 
-// partID returns the id of a part in frames.
+// partID returns the id of a part in frames: the query's request id, a dot and the shard.
 func partID(a *broker.Attempt) string { return a.RequestID + "." + strconv.Itoa(a.Shard) }
 
 // appendCall appends one S frame, which carries the parts of one call.
--- a/nodeclient/race.go
+++ b/nodeclient/race.go
@@ -10,8 +10,9 @@
 	"onyxsail/reach"
 )
 
-// Addresses returns the addresses of each node that has several, the preferred one first.
-func (c *Client) Addresses() map[string][]reach.AddressStatus { return c.multiDialer.Views() }
+// Addresses returns the state of the addresses of each node that has several, the preferred
+// one first.
+func (c *Client) Addresses() map[string][]reach.AddressStatus { return c.multiDialer.AddressStatuses() }
 
 // addrIsListed reports whether the connection's address is still one of its node's.
 func (cn *conn) addrIsListed() bool {
@@ -22,13 +23,13 @@
 	return cn.addr == "" || cn.client.multiDialer.HasAddr(n.id, cn.addr) // "": still connecting to several
 }
 
-// addrIsSuspected reports whether the connection's address is under suspicion.
+// addrIsSuspected reports whether the connection's address is suspected.
 func (cn *conn) addrIsSuspected(now time.Time) bool {
 	return cn.node.multiAddr && cn.addr != "" && cn.client.multiDialer.Suspected(cn.node.id, cn.addr, now)
 }
 
-// reportSilence reports each silence on the connection to the address planner once; the
-// client's mu is held.
+// reportSilence reports to the address planner that the connection is silent, once for each
+// silence; the client's mu is held.
 func (cn *conn) reportSilence(now time.Time) {
 	if n := cn.node; n.multiAddr && !cn.silenceReported && cn.isSilent(now) {
 		cn.silenceReported = true
@@ -36,8 +37,8 @@
 	}
 }
 
-// startProbation opens a connection to test a suspected address, if one is due; c.mu is
-// held.
+// startProbation starts to open a connection that tests a suspected address, if the test of
+// one is due and MaxConns allows it; c.mu is held.
 func (c *Client) startProbation(n *node) {
 	if !n.listed || c.closed || c.openConns >= c.opts.MaxConns {
 		return
@@ -67,9 +68,9 @@
 	}()
 }
 
-// beginProbation begins to test the address over an open connection: by a probe if nodes
-// answer them, otherwise having connected is all the proof available. It reports whether
-// the connection is kept. The client's mu is held.
+// beginProbation begins to test the address over an open connection, by a probe. If nodes do
+// not answer probes, the established connection alone passes the test. It reports whether the
+// connection is kept. The client's mu is held.
 func (cn *conn) beginProbation() bool {
 	if !cn.client.opts.ProbesSupported {
 		return cn.endProbation(true)
@@ -81,8 +82,8 @@
 	return true
 }
 
-// endProbation ends the test of an address, and reports whether the connection is kept, for
-// parts from now on; the client's mu is held.
+// endProbation ends the test of an address with its result. It reports whether the connection
+// is kept, in which case it carries parts from now on. The client's mu is held.
 func (cn *conn) endProbation(ok bool) bool {
 	now := time.Now()
 	cn.onProbation = false
@@ -97,7 +98,9 @@
 }
 
 // resend sends a part of which nothing was written over another connection to its node,
-// within the same attempt; it reports whether it could. The client's mu is held.
+// within the same attempt. It reports false, and does nothing, if the node has a single
+// address or is no longer listed, if the client is closed, or if no time or no resend is left.
+// The client's mu is held.
 func (cn *conn) resend(att *openAttempt) bool {
 	n, c := cn.node, cn.client
 	a := att.Attempt
@@ -109,7 +112,7 @@
 	return true
 }
 
-// connect opens the socket of a connection.
+// connect opens the socket of a connection, and sets its address if the node has several.
 func (c *Client) connect(cn *conn, multiAddr bool) (*netio.Conn, error) {
 	var netConn net.Conn
 	var err error
--- a/nodeclient/race_test.go
+++ b/nodeclient/race_test.go
@@ -123,8 +123,8 @@
 			if calls := n.Parts(); len(calls) != 3 {
 				t.Errorf("%d parts ran, want 3", len(calls))
 			}
-			if views := c.Addresses()["n"]; views[0].Text == first || views[0].Reason != "last-good" {
-				t.Errorf("order %+v", views)
+			if statuses := c.Addresses()["n"]; statuses[0].Text == first || statuses[0].Reason != "last-good" {
+				t.Errorf("order %+v", statuses)
 			}
 		})
 	}
@@ -182,7 +182,7 @@
 }
 
 // An address that is removed from the list gets no more parts, and a node that is removed
-// is not dialled.
+// is not dialed.
 func TestRemovedAddressGetsNoParts(t *testing.T) {
 	c, s := newClient(t, 1, 0)
 	old, n := testkit.NewNode(t, "n", false), testkit.NewNode(t, "n", false)
