--- a/discovery/discovery_test.go
+++ b/discovery/discovery_test.go
@@ -23,7 +23,7 @@
 // decoded in full.
 func TestParseListRejectsInvalidEntries(t *testing.T) {
 	zones, kinds := []string{"neihu", "banqiao"}, []string{"std-2c"}
-	for _, c := range []struct{ in, fault string }{
+	for _, c := range []struct{ in, wantErr string }{
 		{`{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"banqiao","kind":"std-2c","cell":2,"state":"terminating","weight":1.5,"started_ms":1500}]}`, ""},
 		{`{"version":1,"full":false,"servers":[]}`, ""},
 		{`{"version":1,"full":false,"servers":[{"id":"a","zone":"neihu","state":"terminated"}]}`, ""},
@@ -35,12 +35,12 @@
 		{`{"version":1,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"neihu","state":"up"}]}`, "servers[0].state"},
 	} {
 		l, err := ParseList([]byte(c.in), zones, kinds)
-		if (err != nil) != (c.fault != "") || err != nil && !strings.Contains(err.Error(), c.fault) {
-			t.Errorf("%s: got %v", c.in, err)
+		if (err != nil) != (c.wantErr != "") || err != nil && !strings.Contains(err.Error(), c.wantErr) {
+			t.Errorf("%s: got error %v, want one with the name of the invalid field, none if all are valid", c.in, err)
 		} else if err == nil && len(l.Nodes) == 1 && l.Nodes[0].Weight == 1.5 {
 			n := l.Nodes[0]
 			if n.Zone != 1 || n.Cell != 2 || n.State != decide.Draining || !n.Started.Equal(time.UnixMilli(1500)) {
-				t.Errorf("decoded %+v", n)
+				t.Errorf("%+v is not what the answer says", n)
 			}
 		}
 	}
@@ -49,7 +49,7 @@
 // A node's addrs are parsed strictly; one that cannot be used is reported and does not
 // affect the others.
 func TestUnusableAddressKeepsTheOthers(t *testing.T) {
-	for _, c := range []struct{ addr, addrs, want, faults string }{
+	for _, c := range []struct{ addr, addrs, wantAddrs, wantFields string }{
 		{"127.0.0.1:1", `["[::1]:1","unix:/n","127.0.0.1:1"]`, "[::1]:1 unix:/n 127.0.0.1:1", ""},
 		{"127.0.0.1:1", `["[::1]:1","[0::1]:1"]`, "127.0.0.1:1 [::1]:1", ""},
 		{"127.0.0.1:1", `["127.0.0.1:1"]`, "", ""},
@@ -64,12 +64,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var faults []string
+		var errorFields []string
 		for _, f := range l.AddressErrors {
-			faults = append(faults, f.Node, f.Field)
+			errorFields = append(errorFields, f.Node, f.Field)
 		}
-		if got := strings.Join(l.Nodes[0].Addrs, " "); got != c.want || strings.Join(faults, " ") != c.faults || l.Nodes[0].Addr != c.addr {
-			t.Errorf("%s: %q, address errors %q", in, got, faults)
+		if got := strings.Join(l.Nodes[0].Addrs, " "); got != c.wantAddrs || strings.Join(errorFields, " ") != c.wantFields || l.Nodes[0].Addr != c.addr {
+			t.Errorf("%s: got addresses %q and errors of %q", in, got, errorFields)
 		}
 	}
 }
@@ -114,16 +114,17 @@
 		state decide.State
 	}{{decide.ListFull, decide.Ready}, {decide.ListDelta, decide.Draining}, {decide.ListDelta, decide.Removed}} {
 		if r := got[i]; r.Kind != want.kind || len(r.Nodes) != 1 || r.Nodes[0].State != want.state || r.Version != int64(i+1) {
-			t.Errorf("roster %d: %+v", i, r)
+			t.Errorf("roster %d: got %+v", i, r)
 		}
 	}
 	if calls := d.Requests(); calls[0] != "/v1/endpoints" || !strings.Contains(calls[1], "after=1") ||
 		!strings.Contains(strings.Join(calls[2:], " "), "after=2") {
-		t.Errorf("calls %q", calls)
+		t.Errorf("requests %q, want the full list and then watches after the latest version", calls)
 	}
 }
 
-// runClient runs a client until the test ends, from a known version if there is one.
+// runClient runs a client until the test ends and returns the rosters that it delivers. It
+// starts from the known version; nil: from no list.
 func runClient(t *testing.T, addr string, known *int64) <-chan broker.Roster {
 	t.Helper()
 	got := make(chan broker.Roster, 8)
@@ -141,9 +142,8 @@
 	return got
 }
 
-// A watch that has fallen silent looks like one without changes: it must time out and be
-// reopened soon, or the broker goes on using nodes that are long gone. With more brokers
-// sharing discovery it is reopened more seldom.
+// A watch that has gone silent looks like one without changes: it must time out and be
+// reopened soon, or the broker continues to use nodes that have been removed long ago.
 func TestSilentWatchIsReopened(t *testing.T) {
 	n := testkit.NewNode(t, "s-1", false)
 	d := testkit.NewDiscovery(t, n.Entry())
@@ -157,9 +157,9 @@
 	d.Update(e)
 	began := time.Now()
 	r := <-got
-	// The platform allows 6 s after the watch fell silent.
+	// The platform allows 6 s after the watch has gone silent.
 	if took := time.Since(began); r.Version != 2 || r.Nodes[0].State != decide.Draining || took > 5*time.Second {
-		t.Errorf("got %+v after %v", r, took)
+		t.Errorf("got %+v after %v, want the change within 5 s", r, took)
 	}
 }
 
@@ -214,10 +214,10 @@
 	got := runClient(t, d.Addr, &known)
 	r := <-got
 	if r.Kind != decide.ListDelta || r.Version != 2 || len(r.Nodes) != 1 || r.Nodes[0].State != decide.Draining {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want only the change", r)
 	}
 	if calls := d.Requests(); !strings.Contains(calls[0], "after=1") {
-		t.Errorf("calls %q", calls)
+		t.Errorf("requests %q, want a watch after the known version first", calls)
 	}
 }
 
@@ -233,7 +233,7 @@
 		}
 		for _, n := range l.Nodes {
 			if n.ID == "" || n.Kind < 0 || n.Addr == "" && n.State != decide.Removed {
-				t.Errorf("%q: got %+v", data, n)
+				t.Errorf("%q: got invalid node %+v", data, n)
 			}
 		}
 	})
--- a/discovery/pace_test.go
+++ b/discovery/pace_test.go
@@ -14,8 +14,8 @@
 	idleAt                    time.Duration // when it will have processed all requests so far
 }
 
-// request returns the time at which the caller hears of a request sent at the given time,
-// and whether it got an answer rather than a refusal.
+// request returns the time at which a request sent at the given time is answered or refused,
+// and whether it is answered.
 func (s *overloadedServer) request(at time.Duration) (time.Duration, bool) {
 	s.idleAt = max(s.idleAt, at) + s.serviceTime
 	if s.idleAt-at > s.queueTimeout {
@@ -24,8 +24,8 @@
 	return s.idleAt, true
 }
 
-// runUntilAnswered lets brokers send requests until all are answered or a minute is over;
-// it returns the times of the answers.
+// runUntilAnswered lets one broker for each backoff send requests until all are answered or a
+// minute is over; it returns the times of the answers.
 func runUntilAnswered(server *overloadedServer, backoffs []*Backoff) []time.Duration {
 	type scheduled struct {
 		at      time.Duration
@@ -50,9 +50,10 @@
 	return answered
 }
 
-// 56 of 80 brokers restart at the same moment, and discovery can answer some 13 requests a
-// second. If all of them sent their request at once, and retried together when refused,
-// discovery would process only requests that nobody waits for any more.
+// 56 of 80 brokers restart at the same moment, and discovery can answer some 7, 13 or 100
+// requests a second. All of them must get an answer: if they sent their requests at once, and
+// retried together when refused, discovery would process only requests that no broker waits
+// for any more.
 func TestAllBrokersAreAnsweredAfterMassRestart(t *testing.T) {
 	for _, c := range []struct {
 		serviceTime time.Duration
@@ -75,7 +76,7 @@
 	for _, brokers := range []int{0, 1, 3, unpacedBrokers} {
 		backoff := NewBackoff(brokers, 5*time.Second, 7)
 		if d := backoff.StartDelay(); d != 0 {
-			t.Errorf("%d brokers: the first request is delayed by %v", brokers, d)
+			t.Errorf("%d brokers: the first request is delayed by %v, want no delay", brokers, d)
 		}
 		if d := backoff.NextPause(false); d > 2*defaultInitialPause {
 			t.Errorf("%d brokers: the first pause is %v", brokers, d)
@@ -89,10 +90,10 @@
 			t.Error("an answer does not reset the pauses")
 		}
 	}
-	for range 20 { // with many brokers the limit bounds each pause
+	for range 20 { // with many brokers the limit bounds the start delay and the first pause
 		backoff := NewBackoff(1000, 5*time.Second, 3)
 		if a, b := backoff.StartDelay(), backoff.NextPause(false); a > 5*time.Second || b > 8*time.Second {
-			t.Errorf("1,000 brokers: start delay %v, first pause %v", a, b)
+			t.Errorf("1,000 brokers: start delay %v, first pause %v, want 5 s and 8 s at most", a, b)
 		}
 	}
 }
--- a/discovery/told_test.go
+++ b/discovery/told_test.go
@@ -35,7 +35,7 @@
 		for seed := range uint64(50) {
 			backoff := NewBackoff(brokers, maxPauseFor(propagationLimit), seed)
 			if d := backoff.StartDelay() + requestTimeout + propagationMargin; d > propagationLimit {
-				t.Fatalf("%d brokers: the first answer after %v", brokers, d)
+				t.Fatalf("%d brokers: the first answer comes after %v", brokers, d)
 			}
 			for i := range 12 {
 				if d := requestTimeout + backoff.NextPause(i < toleratedRefusals || brokers <= 30) + propagationMargin; d > propagationLimit {
@@ -55,7 +55,7 @@
 		backoff := NewBackoff(350, maxPauseFor(limit), 1)
 		for range 12 {
 			if d := backoff.NextPause(false); d > max(limit/4, limit-requestTimeout-propagationMargin) {
-				t.Errorf("limit of %v: pause of %v", limit, d)
+				t.Errorf("limit of %v: pause of %v exceeds its bound", limit, d)
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 		backoff := NewBackoff(350, maxPauseFor(propagationLimit), 1)
 		for range 12 {
 			if got := isQueueOverload(c.err, c.took); got != c.want {
-				t.Fatalf("%v after %v: got %v", c.err, c.took, got)
+				t.Fatalf("%v after %v: counts as overload: got %v", c.err, c.took, got)
 			}
 			if d := requestTimeout + backoff.NextPause(isQueueOverload(c.err, c.took)) + propagationMargin; !c.want && d > propagationLimit {
 				t.Errorf("%v after %v: the next answer comes after %v", c.err, c.took, d)
@@ -86,8 +86,8 @@
 	}
 }
 
-// scriptedServer is a discovery whose requests are answered by a function of the test, in
-// their order.
+// scriptedServer is a discovery whose requests are answered by a function of the test. It
+// records the query string of each request and its time of arrival.
 type scriptedServer struct {
 	addr       string
 	mu         sync.Mutex
@@ -95,8 +95,8 @@
 	receivedAt []time.Time
 }
 
-// newScriptedServer starts one; answer gets the number of each request and its connection,
-// which it may keep.
+// newScriptedServer starts a scriptedServer, which runs until the test ends. answer is called
+// for each request with its number, counted from 1, and its connection, and may send nothing.
 func newScriptedServer(t *testing.T, answer func(n int, conn net.Conn)) *scriptedServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -158,7 +158,7 @@
 	return len(s.queries)
 }
 
-// oneNodeList returns a list of one node.
+// oneNodeList returns the JSON text of a list of one node.
 func oneNodeList(version int, full bool, state string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[{"id":"a","addr":"127.0.0.1:1","zone":"neihu","state":%q}]}`, version, full, state)
 }
@@ -168,7 +168,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// runClientWith runs a client with these options until the test ends.
+// runClientWith runs a client with these options until the test ends and returns the rosters
+// that it delivers.
 func runClientWith(t *testing.T, o Options) <-chan broker.Roster {
 	t.Helper()
 	got := make(chan broker.Roster, 16)
@@ -192,15 +193,15 @@
 	return got
 }
 
-// A request that hangs, one whose answer trickles in past its time-out, and one that is
-// refused must be followed by another soon enough: the bounds computed in
-// TestPausesStayWithinPropagationLimit, over real sockets.
+// A request that hangs, one whose answer arrives too slowly to finish within its time-out, and
+// one that is refused must be followed by another within the propagation limit. This checks
+// the bounds of TestPausesStayWithinPropagationLimit over real sockets.
 func TestChangeIsKnownInTimeAfterFailedCalls(t *testing.T) {
 	for _, brokers := range []int{0, 3, 350} {
 		for name, fail := range map[string]func(net.Conn){
 			"hangs":   func(net.Conn) {},
 			"refused": func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") },
-			"drips": func(c net.Conn) {
+			"slow": func(c net.Conn) {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n")
 				for range 200 {
 					if _, err := io.WriteString(c, " "); err != nil {
@@ -212,12 +213,12 @@
 		} {
 			t.Run(fmt.Sprint(brokers, name), func(t *testing.T) {
 				t.Parallel()
-				var reached atomic.Pointer[time.Time]
+				var reachableSince atomic.Pointer[time.Time]
 				s := newScriptedServer(t, func(n int, c net.Conn) {
 					switch {
 					case n == 1: // discovery can be reached from now on
 						now := time.Now()
-						reached.Store(&now)
+						reachableSince.Store(&now)
 						fail(c)
 					case n == 2:
 						_, _ = io.WriteString(c, httpAnswer(oneNodeList(2, true, "terminating")))
@@ -225,18 +226,18 @@
 				})
 				got := runClientWith(t, Options{Addr: s.addr, Brokers: brokers})
 				if r := <-got; r.Nodes[0].State != decide.Draining {
-					t.Errorf("got %+v", r)
+					t.Errorf("got %+v, want the node draining", r)
 				}
-				if took := time.Since(*reached.Load()); took > propagationLimit {
-					t.Errorf("change known after %v", took)
+				if took := time.Since(*reachableSince.Load()); took > propagationLimit {
+					t.Errorf("the change is known after %v, which exceeds the propagation limit", took)
 				}
 			})
 		}
 	}
 }
 
-// With fewer brokers on a discovery of limited capacity watches are shorter, so that a
-// silent one is noticed sooner, after a failed request as before it.
+// The fewer brokers share a discovery of limited capacity, the shorter a watch is, so that a
+// silent one is noticed sooner. A failed request does not change its length.
 func TestWatchIsShortWithFewBrokers(t *testing.T) {
 	t.Parallel()
 	for brokers, want := range map[int]string{3: "3000", 30: "6000", 350: "20000"} {
@@ -271,12 +272,12 @@
 	known := int64(1)
 	got := runClientWith(t, Options{Addr: s.addr, Brokers: unpacedBrokers, KnownVersion: &known})
 	if r := <-got; r.Version != 2 {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want version 2", r)
 	}
 	_, silent := s.query(2)
-	_, anew := s.query(3)
-	if gap := anew.Sub(silent); gap < minWatch || gap > minWatch+2*time.Second {
-		t.Errorf("reopened after %v", gap)
+	_, reopened := s.query(3)
+	if gap := reopened.Sub(silent); gap < minWatch || gap > minWatch+2*time.Second {
+		t.Errorf("the watch is reopened %v after it began, want its wait and 2 s at most", gap)
 	}
 }
 
@@ -298,7 +299,7 @@
 		})
 		got := runClientWith(t, Options{Addr: s.addr})
 		if r := <-got; reset != (r.Version == 5) {
-			t.Errorf("reset %v: got %+v", reset, r)
+			t.Errorf("reset %v: got %+v, want version 5 after a reset and 4 otherwise", reset, r)
 		}
 	}
 }
@@ -317,10 +318,10 @@
 	known := int64(41)
 	got := runClientWith(t, Options{Addr: s.addr, KnownVersion: &known})
 	if r := <-got; r.Kind != decide.ListFull || r.Version != 3 {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want the full list of version 3", r)
 	}
 	if q, _ := s.query(2); q.Get("after") != "" {
-		t.Errorf("the second request has the query %v", q)
+		t.Errorf("the second request is a watch with the query %v, want the full list", q)
 	}
 }
 
@@ -338,7 +339,7 @@
 	for i := range 20 {
 		r := <-got
 		if now := time.Now(); r.Version != int64(i+1) || i > 0 && now.Sub(last) > 5*time.Second {
-			t.Errorf("version %d after %v", r.Version, now.Sub(last))
+			t.Errorf("got version %d after %v, want the next version within 5 s", r.Version, now.Sub(last))
 		}
 		last = time.Now()
 	}
@@ -418,6 +419,6 @@
 	}
 	testkit.Eventually(t, "the next request", func() bool { return s.count() > 4 })
 	if q, _ := s.query(5); q.Get("after") != huge {
-		t.Errorf("the next request asks for changes after %q", q.Get("after"))
+		t.Errorf("the next request is for changes after %q, want the latest version", q.Get("after"))
 	}
 }
--- a/flightnode/client_test.go
+++ b/flightnode/client_test.go
@@ -41,7 +41,7 @@
 		{errors.New("schema"), nil, decide.ConnectionLost},
 	} {
 		if got := classify(c.err, c.trailer); got != c.want {
-			t.Errorf("%v, %v: got %d, want %d", c.err, c.trailer, got, c.want)
+			t.Errorf("error %v, trailer %v: got outcome %d, want %d", c.err, c.trailer, got, c.want)
 		}
 	}
 }
@@ -86,8 +86,8 @@
 		t.Fatal(err)
 	}
 	defer silent.Close()
-	scheme := func(l net.Listener) string { return broker.FlightScheme + l.Addr().String() }
-	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}, {ID: "dead", Addr: scheme(dead)}, {ID: "mute", Addr: scheme(silent)}})
+	flightAddr := func(l net.Listener) string { return broker.FlightScheme + l.Addr().String() }
+	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}, {ID: "dead", Addr: flightAddr(dead)}, {ID: "silent", Addr: flightAddr(silent)}})
 	id := broker.AttemptID(0)
 	send := func(node string, shard int, wait time.Duration) broker.AttemptID {
 		id++
@@ -109,14 +109,14 @@
 	}
 	expect(send("n", 0, time.Minute), decide.OK)
 	if call := n.Parts()[0]; s.value != testkit.ShardValue(0) || call.ID != "q.0" || call.Key != "k" || call.Query != "x\x00y" {
-		t.Errorf("value %q, call %+v", s.value, call)
+		t.Errorf("got value %q from part %+v, want the node's value and the fields that were sent", s.value, call)
 	}
 	expect(send("n", 1, time.Minute), decide.Failed)
 	expect(send("n", 2, time.Minute), decide.Rejected)
 	expect(send("n", 3, time.Minute), decide.ConnectionLost) // the value had arrived, the end of the stream had not
 	expect(send("n", 4, 300*time.Millisecond), decide.TimedOut)
 	expect(send("dead", 0, time.Minute), decide.Unreachable)
-	expect(send("mute", 0, time.Minute), decide.Unreachable)
+	expect(send("silent", 0, time.Minute), decide.Unreachable)
 	expect(send("unlisted", 0, time.Minute), decide.Unreachable)
 	cancelled := send("n", 4, time.Minute)
 	n.WaitFor(t, "the part", func() bool { return len(n.Parts()) == 6 })
@@ -146,7 +146,7 @@
 	s := &sink{outcomes: map[broker.AttemptID][]decide.Outcome{}}
 	c := New(Options{Sink: s, ConnectTimeout: time.Second, MaxConns: 2, Log: zerolog.New(io.Discard)})
 	defer c.Close()
-	var list []broker.Node
+	var listed []broker.Node
 	for i := range 5 {
 		n := testkit.NewNode(t, fmt.Sprint(i), true)
 		n.SetResponder(func(call testkit.Part) string {
@@ -155,13 +155,13 @@
 			}
 			return testkit.Done
 		})
-		list = append(list, broker.Node{ID: n.ID, Addr: n.Addr})
+		listed = append(listed, broker.Node{ID: n.ID, Addr: n.Addr})
 	}
-	c.Update(list)
+	c.Update(listed)
 	send := func(node, shard int, want decide.Outcome) {
 		t.Helper()
 		id := broker.AttemptID(shard + 1)
-		c.Send(list[node].ID, []broker.Attempt{{ID: id, RequestID: "q", Shard: shard, Text: []byte("x"), Timeout: 20 * time.Second}})
+		c.Send(listed[node].ID, []broker.Attempt{{ID: id, RequestID: "q", Shard: shard, Text: []byte("x"), Timeout: 20 * time.Second}})
 		if shard >= 100 && want == decide.OK {
 			return // it stays open
 		}
--- a/flightnode/late_test.go
+++ b/flightnode/late_test.go
@@ -16,7 +16,7 @@
 )
 
 // gatedAddr returns an address that forwards to a node only once open is called: until then
-// connections come up, but the node's SETTINGS frame does not arrive.
+// connections are accepted, but the node's SETTINGS frame does not arrive.
 func gatedAddr(t *testing.T, to *testkit.Node) (addr string, open func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -26,19 +26,19 @@
 	opened := make(chan struct{})
 	var once sync.Once
 	open = func() { once.Do(func() { close(opened) }) }
-	var all sync.WaitGroup
+	var goroutines sync.WaitGroup
 	t.Cleanup(func() {
 		l.Close()
 		open()
-		all.Wait()
+		goroutines.Wait()
 	})
-	all.Go(func() {
+	goroutines.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			all.Go(func() {
+			goroutines.Go(func() {
 				defer c.Close()
 				<-opened
 				node, err := net.Dial("tcp", strings.TrimPrefix(to.Addr, broker.FlightScheme))
@@ -100,7 +100,7 @@
 		}
 	}
 	if calls := nodes[0].Parts(); len(calls) != 1 || calls[0].Shard != 2 || len(nodes[1].Parts())+len(nodes[2].Parts()) != 0 {
-		t.Errorf("the nodes got %+v, %+v, %+v", calls, nodes[1].Parts(), nodes[2].Parts())
+		t.Errorf("the nodes got %+v, %+v, %+v, want part 2 at the first and nothing else", calls, nodes[1].Parts(), nodes[2].Parts())
 	}
 }
 
@@ -126,6 +126,6 @@
 	})
 	calls := n.Parts()
 	if len(calls) != 1 || calls[0].Timeout > time.Minute-waited || calls[0].Timeout < time.Minute-time.Since(sent)-time.Millisecond {
-		t.Errorf("the node got %+v, after %v", calls, waited)
+		t.Errorf("the node got %+v after a wait of %v, want one part with the time that remained", calls, waited)
 	}
 }
--- a/flightnode/paths_test.go
+++ b/flightnode/paths_test.go
@@ -43,8 +43,8 @@
 	return got[0]
 }
 
-// A node whose first address is dead is reached over its Unix socket; once the list no
-// longer has that, over the remaining address, and not at all once the node is removed.
+// A node whose first address refuses connects must be reached over its Unix socket, over the
+// remaining address once the list no longer has the socket, and not at all once it is removed.
 func TestDeadAndRemovedAddressesAreAvoided(t *testing.T) {
 	c, send := newTestClient(t)
 	dead, err := net.Listen("tcp", "[::1]:0")
@@ -54,7 +54,7 @@
 	dead.Close()
 	n := testkit.NewNode(t, "n", true)
 	sock := n.AddAddress(t, "unix", filepath.Join(t.TempDir(), "n"))
-	gone := broker.FlightScheme + dead.Addr().String()
+	refusing := broker.FlightScheme + dead.Addr().String()
 	list := func(addrs ...string) {
 		if len(addrs) == 0 {
 			c.Update(nil)
@@ -62,15 +62,15 @@
 		}
 		c.Update([]broker.Node{{ID: "n", Addr: addrs[0], Addrs: addrs}})
 	}
-	list(gone, sock, n.Addr)
+	list(refusing, sock, n.Addr)
 	send(1, time.Minute, decide.OK)
-	if views := c.Addresses()["n"]; len(views) != 3 || views[0].Text != sock || views[0].Reason != "last-good" || views[2].Text != gone {
-		t.Errorf("order %+v", views)
+	if statuses := c.Addresses()["n"]; len(statuses) != 3 || statuses[0].Text != sock || statuses[0].Reason != "last-good" || statuses[2].Text != refusing {
+		t.Errorf("got addresses %+v, want the Unix socket first and the dead one last", statuses)
 	}
-	list(gone, n.Addr)
+	list(refusing, n.Addr)
 	send(2, time.Minute, decide.OK)
-	if views := c.Addresses()["n"]; len(views) != 2 || views[0].Text != n.Addr {
-		t.Errorf("order %+v", views)
+	if statuses := c.Addresses()["n"]; len(statuses) != 2 || statuses[0].Text != n.Addr {
+		t.Errorf("got addresses %+v, want 2 with the TCP address of the node first", statuses)
 	}
 	if len(n.Parts()) != 2 {
 		t.Errorf("%d parts ran, want 2", len(n.Parts()))
@@ -110,6 +110,6 @@
 	send(1, 50*time.Millisecond, decide.TimedOut)
 	send(2, time.Minute, decide.OK)
 	if len(stalled.Parts()) != 1 || len(good.Parts()) != 1 {
-		t.Errorf("%d and %d parts, want one each", len(stalled.Parts()), len(good.Parts()))
+		t.Errorf("%d parts at the stalled address and %d at the other, want one each", len(stalled.Parts()), len(good.Parts()))
 	}
 }
--- a/internal/netio/failures_test.go
+++ b/internal/netio/failures_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// blockReads runs f while the engine's goroutine is blocked and so reads no connection.
+// blockReads runs f while the engine's goroutine is blocked, so that it does not read c.
 func (l *Loop) blockReads(t *testing.T, c *Conn, f func()) {
 	t.Helper()
 	other, _, peer := attachPair(t, l, listen(t))
--- a/internal/netio/listen_test.go
+++ b/internal/netio/listen_test.go
@@ -56,7 +56,7 @@
 	deadline time.Time
 }
 
-func (o expiredContext) Deadline() (time.Time, bool) { return o.deadline, true }
+func (c expiredContext) Deadline() (time.Time, bool) { return c.deadline, true }
 
 // A dial for which this machine has no descriptor until the deadline must return that error and
 // not a time-out, even if net.Dialer notices the deadline before the context's timer fires.
--- a/nodeclient/client_test.go
+++ b/nodeclient/client_test.go
@@ -49,7 +49,7 @@
 	} {
 		frameType, _, n, err := nextFrame(c.in)
 		if frameType != c.frameType || n != c.n || (err != nil) != c.bad {
-			t.Errorf("%s: got %q %d %v", c.name, frameType, n, err)
+			t.Errorf("%s: got frame type %q, %d bytes consumed, error %v", c.name, frameType, n, err)
 		}
 	}
 	for in, want := range map[string]*result{
@@ -61,17 +61,17 @@
 	} {
 		got, err := parseResult([]byte(in))
 		if (err != nil) != (want == nil) || want != nil && !reflect.DeepEqual(got, *want) {
-			t.Errorf("%q: got %+v %v", in, got, err)
+			t.Errorf("parseResult(%q): got %+v, error %v", in, got, err)
 		}
 	}
 	a := broker.Attempt{RequestID: "9b1f", Shard: 3, IdempotencyKey: "5c", Text: []byte("c41e\n7d"), Timeout: 240500 * time.Microsecond}
 	b := broker.Attempt{RequestID: "9b1f", Shard: 4, Text: []byte("x"), Timeout: time.Microsecond}
 	want := frame("S9b1f.3 3 d=240,k=5c 7\nc41e\n7d9b1f.4 4 d=1 1\nx")
 	if got := appendCall(nil, []broker.Attempt{a, b}); string(got) != string(want) {
-		t.Errorf("got %q, want %q", got, want)
+		t.Errorf("call frame: got %q, want %q", got, want)
 	}
 	if got := appendProbe(appendCancel(nil, "9b1f.3")); string(got) != string(frame("C9b1f.3"))+string(frame("H")) {
-		t.Errorf("got %q", got)
+		t.Errorf("cancel and probe frames: got %q", got)
 	}
 }
 
@@ -86,8 +86,8 @@
 func (s *sink) AttemptOutcome(id broker.AttemptID, o decide.Outcome, _ broker.Response) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, had := s.outcomes[id]
-	s.outcomes[id], s.duplicate = o, s.duplicate || had
+	_, ended := s.outcomes[id]
+	s.outcomes[id], s.duplicate = o, s.duplicate || ended
 }
 
 func (s *sink) ProbeOutcome(_ string, o decide.Outcome, _ time.Duration) {
@@ -112,15 +112,16 @@
 }
 
 // newClient returns a client of 4 connections at most, with a connect timeout of 200 ms,
-// and its sink.
-func newClient(t *testing.T, streams int, idle time.Duration) (*Client, *sink) {
+// and its sink. Each connection carries up to streams attempts; idleTimeout is that of the
+// servers.
+func newClient(t *testing.T, streams int, idleTimeout time.Duration) (*Client, *sink) {
 	t.Helper()
 	loop, err := netio.New(64 << 20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &sink{outcomes: map[broker.AttemptID]decide.Outcome{}}
-	c := New(Options{Loop: loop, Sink: s, StreamsPerConn: streams, ServerIdleTimeout: idle, ConnectTimeout: 200 * time.Millisecond,
+	c := New(Options{Loop: loop, Sink: s, StreamsPerConn: streams, ServerIdleTimeout: idleTimeout, ConnectTimeout: 200 * time.Millisecond,
 		MaxConns: 4, Log: zerolog.New(io.Discard)})
 	t.Cleanup(func() {
 		c.Close()
@@ -129,6 +130,7 @@
 	return c, s
 }
 
+// attempt returns an attempt whose id and shard are the given number.
 func attempt(id int) broker.Attempt {
 	return broker.Attempt{ID: broker.AttemptID(id), RequestID: "q", Shard: id, Text: []byte("x"), Timeout: time.Minute}
 }
@@ -181,7 +183,7 @@
 	again.ID = 15
 	c.send("n", again)
 	if c.connCount() != before+1 {
-		t.Errorf("%d connections, want one more than %d", c.connCount(), before)
+		t.Errorf("%d connections, want one more than %d, as the part is still cancelled on the first", c.connCount(), before)
 	}
 	n.WaitFor(t, "the new attempt", func() bool { return len(n.Parts()) == 6 })
 	n.ResetConnections()
@@ -246,11 +248,11 @@
 	}
 }
 
-// A frame whose last byte had not been written when the connection broke never ran; one
-// that was written whole may have run.
+// The part of a frame whose last byte had not been written when the connection broke never
+// ran; one whose frame was written whole may have run.
 func TestPartiallyWrittenFrameCountsAsNeverRan(t *testing.T) {
 	_, s, _, _ := clientWithBlockedFrame(t)
-	// Its bytes are not taken by the socket, so the connection is closed.
+	// The socket takes no more of the big frame, so the connection is closed.
 	s.expect(t, 2, decide.Unreachable)
 	s.expect(t, 1, decide.ConnectionLost)
 }
@@ -259,15 +261,15 @@
 // more, because the class's window is over or the node is draining: the connection is
 // closed by then, and a node that reads again gets no more of the frame.
 func TestNoFrameIsWrittenPastItsLatestStart(t *testing.T) {
-	for _, within := range []time.Duration{frameWriteTimeout, time.Hour} { // by the frame timeout, and by the latest start alone
+	for _, frameTimeout := range []time.Duration{frameWriteTimeout, time.Hour} { // by the frame timeout, and by the latest start alone
 		c, s, peer, _ := clientOfNonReadingNode(t)
 		c.mu.Lock()
-		c.frameTimeout = within
+		c.frameTimeout = frameTimeout
 		c.mu.Unlock()
 		big := attempt(2)
 		big.Text = []byte(strings.Repeat("x", 32<<20)) // more than the socket buffers hold
 		big.LatestStart = time.Now().Add(2 * time.Second)
-		if within == frameWriteTimeout {
+		if frameTimeout == frameWriteTimeout {
 			big.LatestStart = time.Time{}
 		}
 		c.send("n", big)
@@ -294,11 +296,11 @@
 	s.expect(t, 1, decide.ConnectionLost)
 }
 
-// A frame has been taken by the local kernel but not by the node, whose link is down or
-// which reads nothing, and its client leaves. The kernel goes on sending the frame, so the
-// part used to begin whenever the node's kernel accepted bytes again, however much later.
-// An attempt that begins 0.1 s after its client has left counts as a lost request (row 30
-// of the audit).
+// A part must not begin if its client leaves after the local kernel has taken the frame but
+// before the node has, because its link is down or it reads nothing. The kernel goes on
+// sending the frame, so without a reset of the connection the part would begin whenever the
+// node's kernel accepts bytes again, however much later. An attempt that begins more than
+// 0.1 s after its client has left counts as a lost request.
 func TestUndeliveredCancelledPartDoesNotRun(t *testing.T) {
 	c, s, peer, cn := clientOfNonReadingNode(t)
 	big := attempt(2)
@@ -313,15 +315,15 @@
 	s.expect(t, 1, decide.ConnectionLost)
 }
 
-// Another server may answer at a node's address after another process has got the port: a
-// web server, an echo server, a Flight server. Nothing it sends may count as an answer, and
-// each part gets an outcome.
+// Another server may answer at a node's address once another process uses the port, such as a
+// web server, an echo server or a Flight server. Nothing that it sends may count as an answer,
+// and each part gets an outcome.
 func TestForeignServerAtANodesAddress(t *testing.T) {
 	for name, serve := range map[string]func(net.Conn){
-		"web server":             func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n") },
-		"echo server":            func(c net.Conn) { _, _ = io.Copy(c, c) },
-		"Flight server":          func(c net.Conn) { _, _ = c.Write([]byte{0, 0, 6, 4, 0, 0, 0, 0, 0, 0, 5, 0, 0, 64, 0}) }, // an HTTP/2 SETTINGS frame
-		"a server that hangs up": func(net.Conn) {},
+		"web server":     func(c net.Conn) { _, _ = io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n") },
+		"echo server":    func(c net.Conn) { _, _ = io.Copy(c, c) },
+		"Flight server":  func(c net.Conn) { _, _ = c.Write([]byte{0, 0, 6, 4, 0, 0, 0, 0, 0, 0, 5, 0, 0, 64, 0}) }, // an HTTP/2 SETTINGS frame
+		"closing server": func(net.Conn) {},
 	} {
 		c, s := newClient(t, 8, 0)
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -355,15 +357,15 @@
 		s.mu.Lock()
 		for id, got := range s.outcomes {
 			if got != decide.Failed && got != decide.ConnectionLost && got != decide.Cancelled {
-				t.Errorf("%s, attempt %d: %v", name, id, got)
+				t.Errorf("%s, attempt %d: outcome %v, want failed, connection lost or cancelled", name, id, got)
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// The pool opens no more than its connections, idle ones are closed before the server would
-// do so, and a node that has moved is reached at its new address.
+// The pool opens no more connections than its limit, idle ones are closed before the server
+// would do so, and a node that has moved is reached at its new address.
 func TestPoolLimitAndIdleClose(t *testing.T) {
 	c, s := newClient(t, 2, 200*time.Millisecond)
 	n := testkit.NewNode(t, "n", false)
@@ -374,7 +376,7 @@
 	}
 	n.WaitFor(t, "all parts", func() bool { return len(n.Parts()) == 8 })
 	if c.connCount() != 4 {
-		t.Errorf("%d connections, want 4", c.connCount())
+		t.Errorf("%d connections for 8 parts of 2 per connection, want 4", c.connCount())
 	}
 	c.send("n", attempt(8)) // the pool is full, which is not the node's fault
 	s.expect(t, 8, decide.NotSent)
@@ -413,11 +415,11 @@
 	testkit.Eventually(t, "closed connections are no longer tracked", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		held := 0
+		tracked := 0
 		for _, n := range c.nodes {
-			held += len(n.conns)
+			tracked += len(n.conns)
 		}
-		return held == 4 && c.openConns == 4
+		return tracked == 4 && c.openConns == 4
 	})
 }
 
@@ -574,7 +576,7 @@
 	cn := c.nodes["n"].pickConn(8, []broker.Attempt{attempt(2)}, false)
 	c.mu.Unlock()
 	if cn != nil {
-		t.Error("the closed connection was chosen")
+		t.Error("a connection that the node has closed was chosen")
 	}
 	c.send("n", attempt(2))
 	s.expect(t, 2, decide.OK)
@@ -587,15 +589,15 @@
 	n := testkit.NewNode(t, "n", false)
 	n.SetResponse(testkit.NeverAnswer)
 	c.Update([]broker.Node{{ID: "n", Addr: n.Addr}})
-	send := func(from int) {
-		for id := from; id < from+2; id++ {
+	send := func(firstID int) {
+		for id := firstID; id < firstID+2; id++ {
 			c.send("n", attempt(id))
 		}
-		n.WaitFor(t, "both parts", func() bool { return len(n.Parts()) == from+1 })
+		n.WaitFor(t, "both parts", func() bool { return len(n.Parts()) == firstID+1 })
 	}
 	send(1)
 	if c.connCount() != 1 {
-		t.Fatalf("%d connections for two parts, want 1", c.connCount())
+		t.Fatalf("%d connections for two parts before the break, want 1", c.connCount())
 	}
 	n.ResetConnections()
 	s.expect(t, 1, decide.ConnectionLost)
--- a/nodeclient/local_test.go
+++ b/nodeclient/local_test.go
@@ -21,7 +21,7 @@
 // sent once the failure has passed. A failure that lasts is reported as the node's only if
 // its address may be the cause.
 func TestLocalDialFailuresAreNotBlamedOnTheNode(t *testing.T) {
-	const longer = 1 << 20 // more failures than dials fit into the connect timeout
+	const lasting = 1 << 20 // more failures than dials fit into the connect timeout
 	for _, c := range []struct {
 		name  string
 		err   syscall.Errno
@@ -34,8 +34,8 @@
 		{"ENOMEM", syscall.ENOMEM, 3, decide.OK},
 		{"EADDRNOTAVAIL", syscall.EADDRNOTAVAIL, 3, decide.OK},
 		{"ENETUNREACH", syscall.ENETUNREACH, 3, decide.OK},
-		{"lasting EMFILE", syscall.EMFILE, longer, decide.NotSent},
-		{"lasting ENETUNREACH", syscall.ENETUNREACH, longer, decide.Unreachable},
+		{"lasting EMFILE", syscall.EMFILE, lasting, decide.NotSent},
+		{"lasting ENETUNREACH", syscall.ENETUNREACH, lasting, decide.Unreachable},
 		{"ECONNREFUSED", syscall.ECONNREFUSED, 1, decide.Unreachable},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 			client.send("n", attempt(1))
 			s.expect(t, 1, c.want)
 			if calls := n.Parts(); c.want != decide.OK && len(calls) != 0 {
-				t.Errorf("the node got %+v", calls)
+				t.Errorf("the node got %+v, want nothing", calls)
 			}
 		})
 	}
--- a/nodeclient/race_test.go
+++ b/nodeclient/race_test.go
@@ -16,7 +16,7 @@
 	"onyxsail/internal/testkit"
 )
 
-// refusingAddr returns an address on which nobody listens.
+// refusingAddr returns an address at which connects are refused, as nobody listens there.
 func refusingAddr(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "[::1]:0")
@@ -94,8 +94,8 @@
 	c.Update([]broker.Node{{ID: "n", Addr: addrs[0], Addrs: addrs}})
 }
 
-// A first address that refuses, black-holes or is a stale path must delay a part only
-// little and not make it run twice; the working address is preferred from then on.
+// A first address that refuses connects, drops them or is a stale socket path must delay a
+// part only briefly and not make it run twice; the working address is preferred from then on.
 func TestDeadFirstAddressIsSkipped(t *testing.T) {
 	dir := t.TempDir()
 	stale, plain := filepath.Join(dir, "stale"), filepath.Join(dir, "plain")
@@ -124,7 +124,7 @@
 				t.Errorf("%d parts ran, want 3", len(calls))
 			}
 			if statuses := c.Addresses()["n"]; statuses[0].Text == first || statuses[0].Reason != "last-good" {
-				t.Errorf("order %+v", statuses)
+				t.Errorf("the dead address is still preferred: %+v", statuses)
 			}
 		})
 	}
@@ -176,8 +176,8 @@
 		c.send("n", attempt(100+int(time.Now().UnixNano()%1e6)))
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		o, ok := s.outcomes[1]
-		return ok && o == decide.Cancelled
+		outcome, ok := s.outcomes[1]
+		return ok && outcome == decide.Cancelled
 	})
 }
 
@@ -202,12 +202,12 @@
 	c.send("n", attempt(5))
 	s.expect(t, 5, decide.Unreachable)
 	testkit.Eventually(t, "its connections are closed", func() bool { return c.connCount() == 0 })
-	if views := c.Addresses()["n"]; views != nil {
-		t.Errorf("removed node still has addresses: %v", views)
+	if statuses := c.Addresses()["n"]; statuses != nil {
+		t.Errorf("the removed node still has addresses: %+v", statuses)
 	}
 }
 
-// A node with one address is not handed to the address planner.
+// A node with one address must not be passed to the address planner.
 func TestSingleAddressNodeBypassesThePlanner(t *testing.T) {
 	c, s := newClient(t, 1, 0)
 	n := testkit.NewNode(t, "n", false)
@@ -231,13 +231,13 @@
 	c.setAddrs("unix:"+path, n.Addr) // nobody listens on the path yet
 	c.send("n", attempt(1))
 	s.expect(t, 1, decide.OK)
-	if views := c.Addresses()["n"]; views[1].Reason != "in-doubt" {
-		t.Fatalf("order %+v", views)
+	if statuses := c.Addresses()["n"]; statuses[1].Reason != "in-doubt" {
+		t.Fatalf("the address at which nobody listens is not suspected: %+v", statuses)
 	}
 	n.AddAddress(t, "unix", path)
 	testkit.Eventually(t, "the suspected address passes its test", func() bool { return c.Addresses()["n"][1].Reason == "proven" })
-	if views := c.Addresses()["n"]; views[0].Text != n.Addr || len(n.Parts()) != 1 {
-		t.Errorf("order %+v after %d parts", views, len(n.Parts()))
+	if statuses := c.Addresses()["n"]; statuses[0].Text != n.Addr || len(n.Parts()) != 1 {
+		t.Errorf("got addresses %+v after %d parts, want the working one first and 1 part", statuses, len(n.Parts()))
 	}
 	c.send("n", attempt(2))
 	s.expect(t, 2, decide.OK)
--- a/nodeclient/wait_test.go
+++ b/nodeclient/wait_test.go
@@ -69,11 +69,11 @@
 		s.expect(t, id, want)
 	}
 	if calls := n.Parts(); len(calls) != 1 || calls[0].Shard != 2 {
-		t.Errorf("the node got %+v", calls)
+		t.Errorf("the node got %+v, want only the part that may still begin", calls)
 	}
 	for _, n := range []*testkit.Node{drained, gone, moved, elsewhere} {
 		if calls := n.Parts(); len(calls) != 0 {
-			t.Errorf("%s got %+v", n.ID, calls)
+			t.Errorf("node %s got %+v, want nothing", n.ID, calls)
 		}
 	}
 	late.ID = 6
@@ -127,7 +127,7 @@
 			return len(s.probes) == 1
 		})
 		if calls := n.Parts(); len(calls) != 2 {
-			t.Errorf("the node got %+v", calls)
+			t.Errorf("the node got %+v, want each of the two parts once", calls)
 		}
 	}
 }
