--- a/dial/dial.go
+++ b/dial/dial.go
@@ -189,7 +189,7 @@
 
 // Dial connects to a node: it dials the addresses as the planner decides, takes the first
 // connection that is established, and cancels the other dials. All dials have ended when it
-// returns. text is the address that was reached. It fails at once if the node is not known
+// returns. text is the address that was reached. Dial fails at once if the node is not known
 // here or too many dials are in progress.
 func (d *Dialer) Dial(ctx context.Context, id string) (conn net.Conn, text string, err error) {
 	d.mu.Lock()
--- a/discovery/client.go
+++ b/discovery/client.go
@@ -40,8 +40,8 @@
 	uncontendedWatch      = time.Second
 	uncontendedWatchGrace = 500 * time.Millisecond
 	// Where brokers do share it, a watch waits for watchPerBroker times their number, from
-	// minWatch to maxWatch. A silent watch of minWatch is noticed and reopened less than 6
-	// s after it began.
+	// minWatch to maxWatch. A silent watch of minWatch is noticed and reopened less than
+	// 6 s after it began.
 	watchPerBroker = 200 * time.Millisecond
 	minWatch       = 3 * time.Second
 	// propagationMargin is the part of the propagation limit that is reserved for the
--- a/internal/netio/conn.go
+++ b/internal/netio/conn.go
@@ -20,9 +20,9 @@
 	loop          *Loop
 	nbConn        *nbio.Conn
 	handler       Handler
-	acceptedBytes atomic.Int64 // passed to Write so far
-	writtenBytes  atomic.Int64 // passed to the kernel so far
-	closed        atomic.Bool
+	acceptedBytes atomic.Int64           // passed to Write so far
+	writtenBytes  atomic.Int64           // passed to the kernel so far
+	closed        atomic.Bool            // set by markClosed
 	closing       atomic.Bool            // Close was called
 	attaching     atomic.Bool            // being added to the engine
 	delivered     bool                   // the last read returned data; used only by the engine's goroutine
@@ -33,9 +33,9 @@
 }
 
 // Write writes b, or queues a copy of what the system does not take at once, and returns the
-// position in the stream after its last byte. An error closes the connection, also if more than
-// the loop's maxWrite bytes would be queued; Written then returns how much was written. Only one
-// goroutine may write at a time.
+// position in the stream after its last byte. If the system reports an error, or more than the
+// loop's maxWrite bytes would be queued, it returns an error and closes the connection; Written
+// then returns how much was written. Only one goroutine may write at a time.
 func (c *Conn) Write(b []byte) (end int64, err error) {
 	end = c.acceptedBytes.Add(int64(len(b)))
 	rest := b
--- a/nodeclient/client.go
+++ b/nodeclient/client.go
@@ -1,6 +1,6 @@
-// Package nodeclient sends attempts to shard servers in length-prefixed frames over TCP. It
-// keeps a pool of connections per node, multiplexes attempts over each of them, and
-// distinguishes attempts that cannot have run from those that may have.
+// Package nodeclient sends attempts to nodes in length-prefixed frames over TCP or Unix
+// sockets. It keeps a pool of connections per node, multiplexes attempts over each of them,
+// and distinguishes attempts that cannot have run from those that may have.
 package nodeclient
 
 import (
@@ -43,11 +43,13 @@
 	// silentConnTimeout is how long a silent connection may carry attempts while its node
 	// answers on another one, and how long it stays open without any.
 	silentConnTimeout = 250 * time.Millisecond
-	// silentConnThreshold is the number of silent connections from which on the node itself
-	// counts as silent: opening more of them would not help.
+	// silentConnThreshold is the number of connections that are silent, or lead to a
+	// suspected address, from which on the node itself counts as silent: opening more of
+	// them would not help.
 	silentConnThreshold = 2
 	// exclusivePeriod is how long each part gets a connection of its own after a node has
-	// closed a connection on which several parts were waiting.
+	// closed a connection on which several parts were waiting, or any connection within
+	// such a period.
 	exclusivePeriod  = 5 * time.Second
 	latencySmoothing = 0.1 // smoothing factor of a node's answer latency
 	// idleTimeoutFraction is the fraction of the server's idle timeout after which the
--- a/nodeclient/conn.go
+++ b/nodeclient/conn.go
@@ -61,10 +61,10 @@
 	}
 }
 
-// pickConn chooses a connection like findConn that the node has not closed, and closes those
-// that it has; nil if there is none. A node may close a connection right after its last
-// answer: a part sent there would end in a reset, and could then not be retried. The client's
-// mu is held.
+// pickConn returns a connection as found by findConn that the node has not closed, nil if
+// there is none. It closes those that the node has closed: a node may do so right after its
+// last answer, and a part sent there would end in a reset and could not be retried. The
+// client's mu is held.
 func (n *node) pickConn(streams int, attempts []broker.Attempt, exclusive bool) *conn {
 	for {
 		cn := n.findConn(streams, attempts, exclusive)
@@ -76,19 +76,20 @@
 	}
 }
 
-// findConn finds a connection with room for the attempts among at most streams, preferring
-// open ones to those being opened; a call of more attempts gets a connection that carries no
-// others. It skips connections that carry the same part or have cancelled it, as the answers
-// could not be told apart, and those with bytes waiting for the socket, as they may be
-// closed. It also skips silent ones and those to a suspected address, where a part would
-// probably only time out: they are used again once the node answers there, or if there are
-// so many of them that the node itself must be silent.
+// findConn returns a connection that carries at most streams attempts together with the
+// new ones, preferring open connections to those being opened; nil if there is none. A
+// call of more than streams attempts gets a connection without others. It skips
+// connections that carry the same part or have cancelled it, as the answers could not be
+// told apart, and those with bytes waiting for the socket, as they may be closed. It also
+// skips silent ones and those to a suspected address, where a part would probably only
+// time out: they are used again once the node answers there, or if there are so many of
+// them that the node itself must be silent.
 //
 // exclusive asks for a connection that carries no part and has no cancelled one: if a node
 // closes connections after an answer, everything else waiting there is lost.
 func (n *node) findConn(streams int, attempts []broker.Attempt, exclusive bool) *conn {
-	var best, silentConn *conn
-	silentCount, now := 0, time.Now()
+	var best, suspectConn *conn
+	suspectCount, now := 0, time.Now()
 	for _, cn := range n.conns {
 		if cn.closed || cn.unusable || cn.onProbation || !cn.addrIsListed() {
 			continue
@@ -96,7 +97,7 @@
 		cn.reportSilence(now)
 		suspect := cn.isSilent(now) || cn.addrIsSuspected(now)
 		if suspect {
-			silentCount++
+			suspectCount++
 		}
 		if len(cn.attempts)+len(attempts) > max(streams, len(attempts)) ||
 			len(cn.cancelled) >= maxCancelledParts || cn.sock != nil && cn.sock.Backlog() > 0 ||
@@ -112,13 +113,13 @@
 		switch {
 		case clash:
 		case suspect:
-			silentConn = cn // the latest one
+			suspectConn = cn // the latest one
 		case best == nil || best.sock == nil && cn.sock != nil:
 			best = cn
 		}
 	}
-	if best == nil && silentCount >= silentConnThreshold {
-		return silentConn
+	if best == nil && suspectCount >= silentConnThreshold {
+		return suspectConn
 	}
 	return best
 }
