--- a/discovery/client.go
+++ b/discovery/client.go
@@ -30,8 +30,9 @@
 	// after a wait in discovery's queue, rather than at once.
 	queuedRefusalTime = requestTimeout / 2
 	// A watch may go silent and deliver nothing for the rest of its wait. A change that it
-	// misses must be known 2 s after the end of the wait: the watch times out watchGrace
-	// after its wait, and is reopened within maxReopenDelay of that.
+	// misses counts as delivered 2 s after the end of the wait, so a new watch must be open
+	// by then: the silent one times out watchGrace after its wait, and is reopened within
+	// maxReopenDelay of that.
 	watchGrace     = time.Second
 	maxReopenDelay = 100 * time.Millisecond
 	// Where brokers do not share a discovery of limited capacity, a watch asks to wait for
