--- a/tracing/config.go
+++ b/tracing/config.go
@@ -11,14 +11,14 @@
 	// Dir is the spool directory, on persistent storage. If it is empty, traces
 	// are kept in memory only.
 	Dir          string  `json:"dir"`
-	BudgetPerS   int     `json:"budget_per_s"`   // traces kept per second; default 50
-	MemoryKB     int     `json:"memory_kb"`      // memory for undecided, recent and unsent traces; default 4096
-	GoodShare    float64 `json:"good_share"`     // fraction of good queries whose traces are kept; default 0.01
-	AskedPerS    int     `json:"asked_per_s"`    // traces kept per second because the caller requested one; default 5
+	BudgetPerS   int     `json:"budget_per_s"`   // maximum number of traces kept per second; default 50
+	MemoryKB     int     `json:"memory_kb"`      // memory for undecided, recent, unwritten and unsent traces, in KiB; default 4096
+	GoodShare    float64 `json:"good_share"`     // fraction of good queries whose traces are kept, above 0 and up to 1; default 0.01
+	AskedPerS    int     `json:"asked_per_s"`    // maximum number of traces kept per second because the caller requested them; default 5
 	SlowQuantile float64 `json:"slow_quantile"`  // quantile of the class's latencies above which a query is slow; default 0.99
-	SpoolMB      int     `json:"spool_mb"`       // total size of all segments; default 64
-	SegmentKB    int     `json:"segment_kb"`     // size of one segment; default 4096
-	OpenQueries  int     `json:"open_queries"`   // open queries that can be reported after a kill; default 256
+	SpoolMB      int     `json:"spool_mb"`       // maximum size of all segments together, in MiB; default 64
+	SegmentKB    int     `json:"segment_kb"`     // maximum size of one segment, in KiB; default 4096
+	OpenQueries  int     `json:"open_queries"`   // maximum number of open queries that can be reported after a kill; default 256
 	OTLP         *OTLP   `json:"otlp,omitempty"` // nil disables the export
 }
 
@@ -27,8 +27,8 @@
 	Endpoint  string `json:"endpoint"`   // host:port, plain HTTP
 	Queue     int    `json:"queue"`      // maximum number of queued traces; default 1024
 	Batch     int    `json:"batch"`      // maximum number of traces per request; default 64
-	WaitMs    int    `json:"wait_ms"`    // longest time a trace waits for its batch to fill; default 1000
-	TimeoutMs int    `json:"timeout_ms"` // timeout of one request; default 3000
+	WaitMs    int    `json:"wait_ms"`    // longest time to wait for a batch to fill, in milliseconds; default 1000
+	TimeoutMs int    `json:"timeout_ms"` // timeout of one request, in milliseconds; default 3000
 	Tries     int    `json:"tries"`      // maximum number of requests per batch; default 8
 }
 
@@ -51,14 +51,14 @@
 
 // FieldError reports a configuration field with an invalid value.
 type FieldError struct {
-	Field string
-	Err   error
+	Field string // as in the JSON form of Config, such as "otlp.queue"
+	Err   error  // what is wrong with the value
 }
 
-// Error returns the field's name and what is wrong with its value.
+// Error implements error. It returns the field's name and what is wrong with its value.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns the underlying error.
+// Unwrap returns Err.
 func (e *FieldError) Unwrap() error { return e.Err }
 
 func orDefault[T int | float64](value, defaultValue T) T {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// Backoff limits of the spool and the exporter.
+// Backoff limits of the spool and the exporter after failures of the disk or collector.
 const (
 	initialBackoff = 500 * time.Millisecond
 	maxBackoff     = 30 * time.Second
--- a/tracing/critical/path.go
+++ b/tracing/critical/path.go
@@ -1,6 +1,7 @@
-// Package critical computes the critical path of a query: the part that ended
-// last, the attempts that delayed it, and how the time divides into phases. It
-// does no I/O and reads no clock.
+// Package critical computes the critical path of a query: the part that determined its
+// end, the attempts that delayed that part, and how the time divides into phases. It
+// also attributes the time that bad queries lost to phases, nodes, cells and reasons of
+// attempts. It does no I/O and reads no clock.
 package critical
 
 import (
@@ -16,18 +17,18 @@
 // The phases, in the order in which a query passes through them.
 const (
 	PhaseQueue         Phase = "queue"   // from the arrival of its last byte until the core dequeued it
-	PhasePlacement     Phase = "place"   // in the core, until the first attempt of the part
-	PhaseStalled       Phase = "stalled" // at an earlier attempt that was still pending, until a copy was sent: the copy came too late
+	PhasePlacement     Phase = "place"   // in the core, until the first attempt of the part was opened
+	PhaseStalled       Phase = "stalled" // at an earlier attempt that was still pending, until the next one was opened: a copy that came too late
 	PhaseFailedAttempt Phase = "lost"    // at an earlier attempt that ended without an answer
-	PhaseRetryDelay    Phase = "again"   // in the core, from that end until the next attempt
+	PhaseRetryDelay    Phase = "again"   // in the core, from the end of an earlier attempt until the next one was opened
 	PhaseConnect       Phase = "connect" // waiting for a connection to be established
 	PhaseSend          Phase = "send"    // until the last byte of the part was sent
 	PhaseNode          Phase = "node"    // at the node, until the first byte of its answer
 	PhaseRead          Phase = "read"    // until the core had the complete answer
-	PhaseFinish        Phase = "finish"  // in the core, from the end of the last part to the end of the query
+	PhaseFinish        Phase = "finish"  // in the core, from the end of the decisive attempt to the end of the query
 )
 
-// Phases returns all phases in their order.
+// Phases returns all phases, in the order in which a query passes through them.
 func Phases() []Phase {
 	return []Phase{PhaseQueue, PhasePlacement, PhaseStalled, PhaseFailedAttempt, PhaseRetryDelay, PhaseConnect, PhaseSend, PhaseNode, PhaseRead, PhaseFinish}
 }
@@ -46,8 +47,8 @@
 // Path is the critical path of one query. Its segments are contiguous from the
 // arrival of the query to its end, and none is empty.
 type Path struct {
-	Shard           int       `json:"shard"`    // of the part that ended last; -1 if no attempt was ever opened
-	DecisiveAttempt int       `json:"decisive"` // the attempt that ended that part, as an index into the trace's attempts; -1: none
+	Shard           int       `json:"shard"`    // of the part that determined the end of the query; -1 if no attempt did
+	DecisiveAttempt int       `json:"decisive"` // the attempt that determined it, as an index into the trace's attempts; -1: none
 	Segments        []Segment `json:"segments"`
 }
 
@@ -65,11 +66,11 @@
 // pathBuilder builds a path of contiguous segments.
 type pathBuilder struct {
 	path Path
-	at   time.Duration
-	end  time.Duration
+	at   time.Duration // end of the path so far, since the arrival of the query
+	end  time.Duration // end of the query
 }
 
-// extendTo extends the path up to a time, which is limited to the end of the
+// extendTo extends the path by a segment up to a time, but not beyond the end of the
 // query. A time before the end of the path adds nothing: the times were read in
 // several goroutines and need not be in order.
 func (b *pathBuilder) extendTo(until time.Duration, phase Phase, attempt int) {
@@ -151,8 +152,8 @@
 	b.extendTo(a.Opened.Duration(), phase, -1)
 }
 
-// nextAttempt returns the attempt of the same part that follows earlier, at the
-// latest the decisive one.
+// nextAttempt returns the attempt of the same part that follows earlier, if it was opened
+// no later than the decisive one, else the decisive one.
 func nextAttempt(t *record.Trace, earlier, decisive *record.Attempt) *record.Attempt {
 	for i := range t.Attempts {
 		if candidate := &t.Attempts[i]; candidate.Shard == earlier.Shard && candidate != earlier && candidate.Number > earlier.Number && candidate.Opened <= decisive.Opened {
@@ -163,8 +164,10 @@
 }
 
 // decisiveAttempt returns the index of the attempt that determined the end of the
-// query, -1 if there is none: of the part that was answered or given up last, the
-// attempt that won or, if none did, the one that ended last.
+// query, -1 if there is none. The part is the one that ended last: of the answered ones
+// if the query was served, else of those without an answer, if there are any. Of that
+// part it is the attempt that won or, if none did, the one that ended last. end is the
+// end of the query.
 func decisiveAttempt(t *record.Trace, end time.Duration) int {
 	best, bestEndedAt, bestAnswered := -1, time.Duration(-1), true
 	seen := map[int]bool{}
@@ -175,8 +178,9 @@
 		}
 		seen[shard] = true
 		endedAt, index, answered := partEnd(t, shard, end)
-		// A part without an answer takes precedence over any answered part, as
-		// the query had no answer for want of it, unless it was served without.
+		// A part without an answer takes precedence over any answered part, as it
+		// left the query without an answer. A query that was served did not wait
+		// for such a part.
 		served := t.Ended.IsSet() && t.Verdict == 0
 		switch {
 		case served && !answered:
@@ -188,8 +192,9 @@
 	return best
 }
 
-// partEnd returns when a part was answered or, if it never was, when its last
-// attempt ended, the index of that attempt, and whether the part was answered.
+// partEnd returns when a part was answered or, if it never was, when its last attempt
+// ended, the index of that attempt, and whether the part was answered. No time is later
+// than end, the end of the query, which stands in for a missing end of an attempt.
 func partEnd(t *record.Trace, shard int, end time.Duration) (endedAt time.Duration, index int, answered bool) {
 	index, endedAt = -1, -1
 	for i := range t.Attempts {
--- a/tracing/critical/why.go
+++ b/tracing/critical/why.go
@@ -23,7 +23,7 @@
 // Row is the lost time that is attributed to a Key.
 type Row struct {
 	Key
-	LostTime   time.Duration `json:"lost"`    // estimate for all queries, with or without a kept trace
+	LostTime   time.Duration `json:"lost"`    // estimate for all bad queries, with or without a kept trace
 	Share      float64       `json:"share"`   // of the total lost time, 0 to 1
 	Queries    float64       `json:"queries"` // estimated number of affected queries
 	KeptTraces int           `json:"kept"`    // number of traces that the estimate is based on
@@ -32,10 +32,10 @@
 // LostTimeReport attributes the lost time of a set of traces to phases, nodes,
 // cells and reasons of attempts.
 type LostTimeReport struct {
-	Traces    int            `json:"traces"`
-	BadTraces int            `json:"bad"`
+	Traces    int            `json:"traces"`  // number of all traces
+	BadTraces int            `json:"bad"`     // number of traces of bad queries
 	Queries   float64        `json:"queries"` // estimated number of bad queries
-	LostTime  time.Duration  `json:"lost"`
+	LostTime  time.Duration  `json:"lost"`    // estimate for all bad queries
 	Reasons   map[string]int `json:"reasons"` // number of bad traces by reason; one may have several
 	// BaselineTraces is the number of good traces from which the mean time of
 	// each phase is computed.
@@ -51,7 +51,7 @@
 // that would exceed it are left out.
 const maxRows = 1 << 12
 
-// rowSum accumulates a row.
+// rowSum accumulates the values of a Row.
 type rowSum struct {
 	lostNs     float64
 	queries    float64
@@ -60,8 +60,9 @@
 }
 
 // AttributeLostTime sums up where bad queries lost time. The mean time that a phase
-// takes in good queries of the same class does not count as lost. Each trace
-// stands for 1/Probability queries (the Horvitz-Thompson estimator).
+// takes in good queries of the same class does not count as lost. Each trace stands for
+// 1/Probability queries (the Horvitz-Thompson estimator), or for one if the probability
+// is unknown.
 func AttributeLostTime(traces []*record.Trace) LostTimeReport {
 	report := LostTimeReport{Reasons: map[string]int{}}
 	baseline := meanBaselineTimes(traces, &report.BaselineTraces)
@@ -123,8 +124,8 @@
 	return report
 }
 
-// meanBaselineTimes returns the mean time of each phase in the good queries of each
-// class, and adds the number of these queries to baselineTraces.
+// meanBaselineTimes returns the mean time of each phase in the good traces of each
+// class, and adds the number of these traces to baselineTraces.
 func meanBaselineTimes(traces []*record.Trace, baselineTraces *int) map[string]map[Phase]time.Duration {
 	sums, counts := map[string]map[Phase]time.Duration{}, map[string]int{}
 	for _, tr := range traces {
@@ -148,7 +149,8 @@
 	return sums
 }
 
-// sortedRows returns the rows by lost time, in descending order.
+// sortedRows returns the rows by lost time, in descending order. totalNs is the total
+// lost time, of which Row.Share is a fraction.
 func sortedRows(sums map[Key]*rowSum, totalNs float64) []Row {
 	rows := make([]Row, 0, len(sums))
 	for k, s := range sums {
--- a/tracing/export/exporter.go
+++ b/tracing/export/exporter.go
@@ -23,7 +23,7 @@
 // Options configure an Exporter.
 type Options struct {
 	Endpoint string // host:port of a collector that accepts OTLP over plain HTTP
-	Broker   string // the instance's name
+	Broker   string // name of the broker instance
 	Limits   Limits
 	Timeout  time.Duration // of one request
 	Seed     uint64        // of the backoff's jitter
@@ -42,17 +42,18 @@
 
 	mu           sync.Mutex
 	scheduler    *Scheduler
-	queue        []*record.Trace
-	loggedResult Result // last result, so that only changes are logged
+	queue        []*record.Trace // the traces whose sizes scheduler holds, in the same order
+	loggedResult Result          // last result, so that only changes are logged
 }
 
-// responseRecorder is a transport that records the collector's last response. The
-// OTLP client returns the status and Retry-After of a failure only as error text.
+// responseRecorder is a transport that records the collector's response to the last
+// request, as the OTLP client returns status and Retry-After of a failure only in an
+// error text.
 type responseRecorder struct {
 	next          http.RoundTripper
-	status        atomic.Int64 // 0 without a response
-	retryAfterNs  atomic.Int64
-	rejectedSpans atomic.Int64 // of an accepted request
+	status        atomic.Int64 // HTTP status; 0 if there was no response
+	retryAfterNs  atomic.Int64 // delay that the response asked for; 0 if none
+	rejectedSpans atomic.Int64 // spans of the request that the collector did not accept
 }
 
 // maxResponseBytes bounds how much of a collector's response body is read.
@@ -80,7 +81,7 @@
 }
 
 // parseRetryAfter parses a Retry-After header (RFC 9110, section 10.2.3): seconds or
-// a date. It returns 0 if the header is missing or malformed.
+// a date. It returns 0 if the header is missing or malformed or the date is past.
 func parseRetryAfter(header string, now time.Time) time.Duration {
 	if seconds, err := strconv.ParseUint(header, 10, 31); err == nil {
 		return time.Duration(seconds) * time.Second
@@ -111,8 +112,9 @@
 	return e, nil
 }
 
-// Enqueue queues a trace, which must not be modified any more, or drops it if the
-// queue is full. It does not wait for the collector.
+// Enqueue queues a trace, which must not be modified any more, or drops and counts it
+// if the queue is full. It does not wait for the collector. It must not be called after
+// Close.
 func (e *Exporter) Enqueue(t *record.Trace) {
 	e.mu.Lock()
 	if e.scheduler.Enqueue(e.opts.Now(), t.MemoryBytes()) {
@@ -125,7 +127,7 @@
 	}
 }
 
-// Counts returns the totals and the present size of the queue.
+// Counts returns the totals since the start and the current size of the queue.
 func (e *Exporter) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -178,8 +180,8 @@
 	}
 }
 
-// sendBatch sends a batch if one is due. Otherwise wakeAt is when to call again, or
-// 0 if not before a trace is queued.
+// sendBatch sends a batch if one is due, and reports whether it tried to. If not, wakeAt
+// is when to call again, or 0 if not before a trace is queued.
 func (e *Exporter) sendBatch(ctx context.Context) (sent bool, wakeAt time.Duration) {
 	e.mu.Lock()
 	n, wakeAt := e.scheduler.NextBatch(e.opts.Now())
@@ -206,15 +208,16 @@
 	return true, 0
 }
 
-// classifyResponse interprets the recorded response as specified by OTLP 1.x,
-// section "OTLP/HTTP Response". rejected is a number of traces.
+// classifyResponse interprets the recorded response to a request of the given numbers of
+// spans and traces, as specified by OTLP 1.x, section "OTLP/HTTP Response". rejected is
+// the number of traces that count as rejected.
 func (e *Exporter) classifyResponse(spans, traces int) (result Result, retryAfter time.Duration, rejected int) {
 	switch status := e.recorder.status.Load(); {
 	case status == 0:
 		return NoResponse, 0, 0
 	case status >= 200 && status < 300:
-		// The collector counts rejected spans. The number of traces is estimated
-		// from it, rounded up.
+		// The collector reports the number of rejected spans. The number of traces
+		// is estimated in proportion, rounded up.
 		rejectedSpans := min(int(e.recorder.rejectedSpans.Load()), spans)
 		return Accepted, 0, (rejectedSpans*traces + spans - 1) / max(1, spans)
 	case status == http.StatusTooManyRequests || status == http.StatusBadGateway ||
--- a/tracing/export/otlp.go
+++ b/tracing/export/otlp.go
@@ -13,7 +13,8 @@
 	"onyxsail/tracing/record"
 )
 
-// serviceName is the name of the service and of the instrumentation scope.
+// serviceName is the service.name of the resource and the name of the instrumentation
+// scope.
 const serviceName = "gannetchute"
 
 func stringAttribute(key, value string) *commonpb.KeyValue {
@@ -32,9 +33,9 @@
 	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_DoubleValue{DoubleValue: value}}}
 }
 
-// Spans converts traces to OTLP. A query becomes a server span, each of its attempts
-// a client span below it, and the steps of an attempt on its connection events of its
-// span.
+// Spans converts the traces of a broker instance to OTLP. A query becomes a server span
+// and each of its attempts a client span below it. The steps of an attempt, such as the
+// sending of its last byte, become events of its span.
 func Spans(instance string, traces []*record.Trace) []*tracepb.ResourceSpans {
 	var spans []*tracepb.Span
 	for _, t := range traces {
@@ -51,12 +52,14 @@
 	}}
 }
 
-// unixNano returns the wall-clock time of an offset from the query's arrival.
+// unixNano returns the wall-clock time at an offset from the query's arrival, in
+// nanoseconds since the Unix epoch.
 func unixNano(t *record.Trace, offset time.Duration) uint64 {
 	return uint64(max(0, t.Received.Add(offset).UnixNano()))
 }
 
-// querySpan returns the server span of a query.
+// querySpan returns the server span of a query. Its status is unset if the client left,
+// as that is no error of the broker.
 func querySpan(t *record.Trace) *tracepb.Span {
 	span := &tracepb.Span{
 		TraceId: append([]byte(nil), t.ID[:]...), SpanId: append([]byte(nil), t.Span[:]...), TraceState: t.TraceState,
@@ -91,8 +94,8 @@
 	return &tracepb.Span_Event{Name: name, TimeUnixNano: unixNano(t, offset.Duration())}
 }
 
-// attemptSpan returns the client span of an attempt. An attempt without an outcome
-// ends with its query.
+// attemptSpan returns the client span of an attempt. The span of an attempt without an
+// outcome ends with its query. The status of a cancelled attempt is unset.
 func attemptSpan(t *record.Trace, attempt *record.Attempt) *tracepb.Span {
 	end := attempt.Ended.Duration()
 	if !attempt.Ended.IsSet() {
--- a/tracing/export/plan.go
+++ b/tracing/export/plan.go
@@ -9,17 +9,17 @@
 // Limits bounds an Exporter's queue, batches and retries.
 type Limits struct {
 	MaxTraces      int           // queued traces
-	MaxBytes       int           // size of the queued traces
+	MaxBytes       int           // size of the queued traces, in bytes
 	MaxBatch       int           // traces per request
-	MaxBatchDelay  time.Duration // longest time a trace waits for its batch to fill
+	MaxBatchDelay  time.Duration // longest time to wait for a batch to fill
 	InitialBackoff time.Duration // backoff after the first failure, doubled after each further one
 	MaxBackoff     time.Duration // longest backoff
 	// MaxRetryAfter is the longest delay accepted from a collector's Retry-After.
 	MaxRetryAfter time.Duration
-	MaxAttempts   int // requests per batch
+	MaxAttempts   int // requests per batch, the first included
 }
 
-// DropCause says why a trace was not delivered.
+// DropCause says why a trace was dropped.
 type DropCause string
 
 // The causes for which traces are dropped.
@@ -36,10 +36,10 @@
 
 // The outcomes of an export request.
 const (
-	Accepted       Result = iota
-	RetryableError        // a status that OTLP defines as retryable: 429, 502, 503 or 504
-	NoResponse            // connection failed or reset, or request timed out
-	PermanentError        // any other status
+	Accepted       Result = iota // status 2xx, even if the collector rejected some spans
+	RetryableError               // a status that OTLP defines as retryable: 429, 502, 503 or 504
+	NoResponse                   // connection failed or reset, or request timed out; retried as well
+	PermanentError               // any other status
 )
 
 // Scheduler decides when batches are sent, how large they are, when they are retried
@@ -48,26 +48,27 @@
 type Scheduler struct {
 	limits       Limits
 	rng          *rand.Rand
-	sizes        []int // of the queued traces, in order
-	bytes        int
-	waitingSince time.Duration // start of the MaxBatchDelay of the next batch
+	sizes        []int         // of the queued traces, in bytes, in order
+	bytes        int           // sum of sizes
+	waitingSince time.Duration // when the MaxBatchDelay of the next batch began
 	inFlight     int           // queued traces in the request that is in flight
 	attempts     int           // requests made for the current batch
 	batchSize    int           // traces in the current batch, the same for all its attempts
-	backoff      time.Duration // current backoff, before jitter
+	backoff      time.Duration // current backoff, before jitter; 0 after an accepted batch
 	notBefore    time.Duration // earliest time of the next request
 	dropped      map[DropCause]int64
-	sent         int64
-	retries      int64
+	sent         int64 // traces that the collector accepted
+	retries      int64 // failed requests whose batch was retried
 }
 
-// NewScheduler returns a Scheduler with an empty queue.
+// NewScheduler returns a Scheduler with an empty queue. seed determines the jitter of
+// the backoff.
 func NewScheduler(limits Limits, seed uint64) *Scheduler {
 	return &Scheduler{limits: limits, rng: rand.New(rand.NewPCG(seed, 0x6f746c70)), dropped: map[DropCause]int64{}}
 }
 
-// Enqueue reports whether a trace of the given size in bytes fits into the queue,
-// and adds it. If it does not fit, it counts as dropped.
+// Enqueue adds a trace of the given size in bytes to the queue and returns true. If the
+// trace does not fit, Enqueue counts it as dropped and returns false.
 func (s *Scheduler) Enqueue(now time.Duration, size int) bool {
 	if len(s.sizes) >= s.limits.MaxTraces || s.bytes+size > s.limits.MaxBytes {
 		s.dropped[QueueFull]++
@@ -102,10 +103,10 @@
 	return s.inFlight, 0
 }
 
-// Complete reports the result of the batch in flight. retryAfter is the delay that
-// the collector asked for, or 0; rejected is the number of traces of an accepted
-// batch that it did not accept. Complete returns how many traces to remove from the
-// front of the queue: none if they are to be retried.
+// Complete records the result of the batch in flight. retryAfter is the delay that
+// the collector asked for with a RetryableError, or 0; rejected is the number of traces
+// of an Accepted batch that it did not accept. Complete returns how many traces to
+// remove from the front of the queue: none if they are to be retried.
 func (s *Scheduler) Complete(now time.Duration, result Result, retryAfter time.Duration, rejected int) (removed int) {
 	removed = s.inFlight
 	s.inFlight = 0
@@ -138,28 +139,29 @@
 	return removed
 }
 
-// Stop drops all queued traces.
+// Stop drops all queued traces and counts them as Stopped.
 func (s *Scheduler) Stop() {
 	s.drop(Stopped, len(s.sizes))
 	s.sizes, s.bytes, s.inFlight, s.batchSize = nil, 0, 0, 0
 }
 
+// drop counts n dropped traces.
 func (s *Scheduler) drop(cause DropCause, n int) {
 	if n > 0 {
 		s.dropped[cause] += int64(n)
 	}
 }
 
-// Counts holds totals since the start and the present size of the queue.
+// Counts holds totals since the start and the current size of the queue.
 type Counts struct {
-	Sent    int64               `json:"sent"`
-	Retries int64               `json:"again"` // failed requests whose batch was retried
-	Queued  int                 `json:"waiting"`
-	Bytes   int                 `json:"bytes"` // size of the queued traces
-	Dropped map[DropCause]int64 `json:"dropped,omitempty"`
+	Sent    int64               `json:"sent"`              // traces that the collector accepted
+	Retries int64               `json:"again"`             // failed requests whose batch was retried
+	Queued  int                 `json:"waiting"`           // traces, including those in flight
+	Bytes   int                 `json:"bytes"`             // size of the queued traces
+	Dropped map[DropCause]int64 `json:"dropped,omitempty"` // traces
 }
 
-// Counts returns the totals and the present size of the queue.
+// Counts returns the totals since the start and the current size of the queue.
 func (s *Scheduler) Counts() Counts {
 	c := Counts{Sent: s.sent, Retries: s.retries, Queued: len(s.sizes), Bytes: s.bytes, Dropped: map[DropCause]int64{}}
 	for cause, n := range s.dropped {
--- a/tracing/owed.go
+++ b/tracing/owed.go
@@ -9,18 +9,19 @@
 type spoolRecord struct {
 	kind    spool.Kind
 	payload []byte
-	cause   spool.DropCause // why it has not been written yet
+	cause   spool.DropCause // counted for it while it is queued, and if it is evicted
 }
 
 // writeQueue holds the records that have not yet been written to the spool's disk,
 // oldest first, up to maxBytes. Only the tracer's writer goroutine uses it.
 type writeQueue struct {
 	records  []spoolRecord
-	bytes    int
-	maxBytes int
+	bytes    int // size of the payloads
+	maxBytes int // upper bound of bytes
 }
 
-// push appends a record and returns the oldest records, removed to stay within maxBytes.
+// push appends a record. To stay within maxBytes it removes the oldest records, which may
+// include the new one, and returns them.
 func (q *writeQueue) push(r spoolRecord) (evicted []spoolRecord) {
 	q.records = append(q.records, r)
 	q.bytes += len(r.payload)
@@ -30,7 +31,7 @@
 	return evicted
 }
 
-// popOldest removes and returns the oldest record.
+// popOldest removes and returns the oldest record. The queue must not be empty.
 func (q *writeQueue) popOldest() spoolRecord {
 	r := q.records[0]
 	q.records[0] = spoolRecord{} // so that the backing array does not retain the payload
@@ -39,28 +40,30 @@
 	return r
 }
 
-// isTransient reports whether a record that failed to be written may be written later.
+// isTransient reports whether a record that was not written for this cause may be
+// written later.
 func isTransient(cause spool.DropCause) bool {
 	return cause == spool.DropPaused || cause == spool.DropFailed
 }
 
-// writeToSpool writes traces and notes to the spool, after the records still queued
-// from an earlier disk failure.
-func (t *Tracer) writeToSpool(traces []*record.Trace, notes []record.LateOutcome) {
+// writeToSpool writes traces and late outcomes to the spool, after the records still
+// queued from an earlier disk failure. What cannot be written now is queued.
+func (t *Tracer) writeToSpool(traces []*record.Trace, lateOutcomes []record.LateOutcome) {
 	for _, tr := range traces {
 		if data, err := record.Encode(tr); err == nil {
 			t.queueWrite(spoolRecord{kind: spool.KindTrace, payload: data})
 		}
 	}
-	for _, note := range notes {
-		if data, err := spool.EncodeLateOutcome(note); err == nil {
+	for _, late := range lateOutcomes {
+		if data, err := spool.EncodeLateOutcome(late); err == nil {
 			t.queueWrite(spoolRecord{kind: spool.KindLateOutcome, payload: data})
 		}
 	}
 	t.flushQueue()
 }
 
-// queueWrite appends a record to the write queue.
+// queueWrite appends a record to the write queue and counts what the queue evicts for it
+// as dropped.
 func (t *Tracer) queueWrite(r spoolRecord) {
 	r.cause = spool.DropPaused
 	for _, evicted := range t.spoolQueue.push(r) {
@@ -68,7 +71,8 @@
 	}
 }
 
-// flushQueue writes queued records to the spool until the queue is empty or the disk fails.
+// flushQueue writes queued records to the spool until the queue is empty or a write fails
+// for a transient cause. Records that can never be written are dropped and counted.
 func (t *Tracer) flushQueue() {
 	for len(t.spoolQueue.records) > 0 {
 		oldest := &t.spoolQueue.records[0]
@@ -86,8 +90,8 @@
 	}
 }
 
-// spoolCounts returns the spool's counts. Queued records count as dropped, as they are
-// not on disk.
+// spoolCounts returns the spool's counts. Queued records count as dropped as long as
+// they are not on disk.
 func (t *Tracer) spoolCounts() spool.Counts {
 	c := t.spool.Counts()
 	for _, r := range t.spoolQueue.records {
--- a/tracing/record/filter.go
+++ b/tracing/record/filter.go
@@ -13,9 +13,9 @@
 	AttemptNode string    `json:"node,omitempty"`   // some attempt went to this node
 	Since       time.Time `json:"since,omitzero"`   // received at this time or later
 	Until       time.Time `json:"until,omitzero"`   // received before this time
-	MinDuration int64     `json:"longer,omitempty"` // lower bound of the elapsed time, in nanoseconds
+	MinDuration int64     `json:"longer,omitempty"` // lower bound of Elapsed, in nanoseconds
 	BadOnly     bool      `json:"bad,omitempty"`    // only queries with a reason other than Requested and Baseline
-	Limit       int       `json:"limit,omitempty"`  // the number of latest traces to return; 0: all
+	Limit       int       `json:"limit,omitempty"`  // maximum number of traces, of which the latest are returned; 0: unlimited
 }
 
 // Match reports whether a trace satisfies every condition except Limit.
@@ -41,7 +41,8 @@
 	return false
 }
 
-// Latest returns the last Limit of the traces, which must be in order of arrival.
+// Latest returns the last Limit of the traces, which must be in order of arrival, or all
+// if Limit is 0.
 func (f Filter) Latest(traces []*Trace) []*Trace {
 	if f.Limit > 0 && len(traces) > f.Limit {
 		return traces[len(traces)-f.Limit:]
--- a/tracing/record/record.go
+++ b/tracing/record/record.go
@@ -23,7 +23,7 @@
 // The reasons, in order of decreasing severity.
 const (
 	Interrupted   Reasons = 1 << iota // the broker process ended before the query did
-	Failed                            // given up; it may or may not have taken effect
+	Failed                            // given up, and may have taken effect; or a duplicate of an open query
 	Expired                           // its deadline passed
 	Refused                           // refused by the broker, with no effect
 	Late                              // answered after its class's latency objective
@@ -31,11 +31,12 @@
 	Partial                           // answered, but incompletely
 	Recovered                         // a copy (hedged request) or a retry supplied an answer that it needed
 	SuspectNode                       // an attempt went to a suspected node, or its node became suspected meanwhile
-	Slow                              // within the objective, but unusually slow for its class
+	Slow                              // served, but unusually slow for its class, within the objective or not
 	Requested                         // the caller requested the trace
-	Baseline                          // a good query, sampled at the configured rate for comparison
+	Baseline                          // a good query, kept for comparison with bad ones
 )
 
+// reasonNames are the names of the reasons, by bit number.
 var reasonNames = []string{
 	"interrupted", "failed", "expired", "refused", "late", "left-late", "partial", "saved", "doubted", "slow", "asked", "usual",
 }
@@ -53,7 +54,7 @@
 	}
 }
 
-// String returns the names of the reasons, joined by "+".
+// String returns the names of the reasons, joined by "+"; "" for the empty set.
 func (r Reasons) String() string {
 	var names []string
 	for i, name := range reasonNames {
@@ -67,7 +68,7 @@
 // MarshalText implements encoding.TextMarshaler.
 func (r Reasons) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It parses the form of String.
 func (r *Reasons) UnmarshalText(text []byte) error {
 	*r = 0
 	if len(text) == 0 {
@@ -83,6 +84,7 @@
 	return nil
 }
 
+// indexOf returns the index of a name, -1 if it is not among the names.
 func indexOf(names []string, name string) int {
 	for i, candidate := range names {
 		if candidate == name {
@@ -114,9 +116,11 @@
 	return parseName("verdict", verdictNames, text, func(i int) { *v = Verdict(i) })
 }
 
-// AttemptReason is a broker.Reason that is encoded by its name.
+// AttemptReason is a broker.AttemptReason that is encoded by its name.
 type AttemptReason broker.AttemptReason
 
+// attemptReasonNames are the names of the values of broker.AttemptReason, in their
+// order.
 var attemptReasonNames = []string{"first", "copy", "retry", "trial"}
 
 // String returns the name of the reason.
@@ -136,6 +140,8 @@
 // OutcomePending is the outcome of an attempt that has not ended.
 const OutcomePending = Outcome(decide.NotSent + 1)
 
+// outcomeNames are the names of the values of decide.Outcome, in their order, and of
+// OutcomePending.
 var outcomeNames = []string{
 	"ok", "failed", "rejected", "timed-out", "unreachable", "broken", "cancelled", "not-sent", "out",
 }
@@ -151,6 +157,7 @@
 	return parseName("outcome", outcomeNames, text, func(i int) { *o = Outcome(i) })
 }
 
+// nameOf returns the i-th name, or a placeholder that no name parses from.
 func nameOf(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
@@ -158,6 +165,7 @@
 	return fmt.Sprintf("unknown-%d", i)
 }
 
+// parseName calls set with the index of the name that text is. Its error names field.
 func parseName(field string, names []string, text []byte, set func(int)) error {
 	i := indexOf(names, string(text))
 	if i < 0 {
@@ -194,6 +202,7 @@
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (s *SpanID) UnmarshalText(text []byte) error { return parseHex("span id", s[:], text) }
 
+// parseHex decodes text, which must be hexadecimal and fill dst. Its error names field.
 func parseHex(field string, dst, text []byte) error {
 	if len(text) != 2*len(dst) {
 		return fmt.Errorf("%s: got %d characters, want %d", field, len(text), 2*len(dst))
@@ -205,8 +214,8 @@
 }
 
 // AttemptSpan derives the span ID of an attempt from its query's span ID and the
-// attempt's ID, with the finalizer of SplitMix64 (Steele, Lea and Flood, 2014),
-// so that it need not be stored.
+// attempt's ID, with the finalizer of SplitMix64 (Steele, Lea and Flood, 2014). So
+// the table of open queries need not store it.
 func AttemptSpan(query SpanID, attempt uint64) SpanID {
 	z := binary.BigEndian.Uint64(query[:]) + (attempt+1)*0x9e3779b97f4a7c15
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
@@ -234,13 +243,13 @@
 
 // Attempt is one attempt of one part.
 type Attempt struct {
-	ID          uint64        `json:"id"`
-	Span        SpanID        `json:"span"`
-	Shard       int           `json:"shard"`
-	Number      int           `json:"n"` // counts the attempts of the part, from 0
+	ID          uint64        `json:"id"`    // the core's broker.AttemptID
+	Span        SpanID        `json:"span"`  // derived by AttemptSpan
+	Shard       int           `json:"shard"` // the shard of its part
+	Number      int           `json:"n"`     // counts the attempts of the part, from 0
 	Node        string        `json:"node,omitempty"`
 	Cell        int           `json:"cell"`
-	Addr        string        `json:"addr,omitempty"`
+	Addr        string        `json:"addr,omitempty"`  // the address that it was sent to; "": not known
 	Reason      AttemptReason `json:"why"`             // why it was opened
 	Suspected   bool          `json:"doubt,omitempty"` // its node was suspected when it opened or became so before it ended
 	Opened      Offset        `json:"opened"`
@@ -249,19 +258,19 @@
 	Sent        Offset        `json:"gone,omitempty"`    // when its last byte was sent
 	FirstByte   Offset        `json:"answer,omitempty"`  // when the first byte of the answer was received
 	Abandoned   Offset        `json:"gave_up,omitempty"` // when the broker cancelled it
-	Ended       Offset        `json:"ended,omitempty"`
+	Ended       Offset        `json:"ended,omitempty"`   // when its outcome was known
 
 	Outcome       Outcome `json:"outcome"`
 	EndedByBroker bool    `json:"ours,omitempty"`    // ended by the broker, not by the node
 	MayStillRun   bool    `json:"may_run,omitempty"` // the node may still execute it
 
-	LateAt      Offset   `json:"late_at,omitempty"`      // when its outcome arrived after it had been given up
+	LateAt      Offset   `json:"late_at,omitempty"`      // when an outcome arrived after it had been cancelled
 	LateOutcome *Outcome `json:"late_outcome,omitempty"` // that outcome; nil: none arrived
 }
 
 // End records the outcome of the attempt. byBroker says that the broker ended it
-// rather than the node. Unless the outcome rules that out, an attempt whose last
-// byte was sent may still run.
+// rather than the node. An attempt whose last byte was sent may still run, unless its
+// outcome rules that out.
 func (a *Attempt) End(outcome decide.Outcome, byBroker bool, at Offset) {
 	a.Ended, a.Outcome, a.EndedByBroker = at, Outcome(outcome), byBroker
 	switch outcome {
@@ -274,37 +283,38 @@
 
 // Trace is the trace of one query.
 type Trace struct {
-	ID         TraceID `json:"trace"`
-	Span       SpanID  `json:"span"`
+	ID         TraceID `json:"trace"`             // the caller's or, without one, random
+	Span       SpanID  `json:"span"`              // the span of the query
 	Parent     SpanID  `json:"parent,omitzero"`   // the span of the caller; zero: none
 	TraceState string  `json:"state,omitempty"`   // the tracestate header of the caller
 	Sampled    bool    `json:"sampled,omitempty"` // the sampled flag of the caller
 
-	Broker    string        `json:"broker"`
-	Query     string        `json:"query"`
+	Broker    string        `json:"broker"` // name of the broker instance
+	Query     string        `json:"query"`  // the request ID
 	Class     string        `json:"class"`
 	Received  time.Time     `json:"came"`            // when the query arrived
 	Objective time.Duration `json:"wanted"`          // latency objective, in nanoseconds, like every duration here
 	Budget    time.Duration `json:"budget"`          // time from arrival to the deadline
 	Retry     bool          `json:"retry,omitempty"` // the client marked the query as a retry
-	Parts     int           `json:"parts"`
-	Accepted  Offset        `json:"taken"` // when the core dequeued it
+	Parts     int           `json:"parts"`           // number of parts
+	Accepted  Offset        `json:"taken"`           // when the core dequeued it, or it was turned away
 	Ended     Offset        `json:"ended,omitempty"`
 
 	Verdict    Verdict       `json:"verdict"`
 	Complete   bool          `json:"whole,omitempty"`       // the answer is complete, not partial
-	RetryAfter time.Duration `json:"retry_after,omitempty"` // the delay before a retry that the client was told
+	RetryAfter time.Duration `json:"retry_after,omitempty"` // the delay before a retry that the client was told; 0: none
 
 	Reasons     Reasons `json:"reasons"`
 	KeepReason  Reasons `json:"kept"`             // the single reason for which the trace is kept
 	Probability float64 `json:"probability"`      // sampling probability of a query like this one; 0: unknown
 	Unrecorded  int     `json:"unseen,omitempty"` // number of further attempts of which no details were stored
 
-	Attempts []Attempt `json:"attempts,omitempty"`
+	Attempts []Attempt `json:"attempts,omitempty"` // in the order in which they were opened
 }
 
-// Elapsed returns how long the query took. For a query that has not ended it is
-// the time of the last known event.
+// Elapsed returns how long the query took. For a query that has not ended, it is the
+// time of the last event among its acceptance and the opening, sending and end of its
+// attempts.
 func (t *Trace) Elapsed() time.Duration {
 	elapsed := t.Ended.Duration()
 	if !t.Ended.IsSet() {
@@ -317,9 +327,10 @@
 	return elapsed
 }
 
-// CompleteInterrupted completes the trace of a query that was in the table of
-// open queries when the broker was killed. A query that had ended by then lacks
-// only the decision of the sampler.
+// CompleteInterrupted completes the trace of a query that was in the table of open
+// queries when the broker was killed: it sets MayStillRun of pending attempts, and the
+// reasons and the probability in place of the sampler. The trace of a query that had
+// ended by then lacks only the latter.
 func (t *Trace) CompleteInterrupted() {
 	t.Probability = 1
 	t.Reasons = t.DeriveReasons()
@@ -334,7 +345,8 @@
 	t.KeepReason = t.Reasons.MostSevere()
 }
 
-// MemoryBytes estimates the memory that the trace uses, in bytes.
+// MemoryBytes estimates the memory that the trace uses, in bytes: a fixed size for each
+// struct, and the lengths of the longer texts.
 func (t *Trace) MemoryBytes() int {
 	size := 400 + len(t.Query) + len(t.TraceState) + len(t.Broker)
 	for i := range t.Attempts {
@@ -358,8 +370,8 @@
 	return data, nil
 }
 
-// Decode parses the output of Encode. Errors name the field. An unknown field is
-// an error, so that no data is lost silently.
+// Decode parses the output of Encode and validates the trace. Errors name the field.
+// An unknown field is an error, so that no data is lost silently.
 func Decode(data []byte) (*Trace, error) {
 	t := new(Trace)
 	dec := json.NewDecoder(strings.NewReader(string(data)))
@@ -405,8 +417,8 @@
 	return nil
 }
 
-// LateOutcome is the outcome of an attempt that arrived after the trace of its
-// query had been written.
+// LateOutcome is the outcome of an attempt that arrived after the trace of its query
+// had been collected. It is stored separately.
 type LateOutcome struct {
 	ID      TraceID `json:"trace"`
 	Span    SpanID  `json:"span"`    // the query's span: several queries may share a trace ID
@@ -415,7 +427,7 @@
 	Outcome Outcome `json:"outcome"`
 }
 
-// DecodeLateOutcome parses the JSON encoding of a late outcome.
+// DecodeLateOutcome parses the JSON encoding of a late outcome and validates it.
 func DecodeLateOutcome(data []byte) (LateOutcome, error) {
 	var late LateOutcome
 	dec := json.NewDecoder(strings.NewReader(string(data)))
@@ -429,8 +441,8 @@
 	return late, nil
 }
 
-// Apply stores the late outcome in the trace and reports whether it belongs to
-// one of the attempts of that trace.
+// Apply stores the late outcome in the trace and returns true. It returns false if the
+// late outcome belongs to no attempt of that trace.
 func (l LateOutcome) Apply(t *Trace) bool {
 	if t.ID != l.ID || t.Span != l.Span {
 		return false
@@ -445,8 +457,8 @@
 	return false
 }
 
-// DeriveReasons returns the reasons that follow from the trace alone. The sampler
-// adds Slow, Requested and Baseline.
+// DeriveReasons returns the reasons that follow from the trace alone, 0 for a good
+// query. The sampler adds Slow, Requested and Baseline.
 func (t *Trace) DeriveReasons() Reasons {
 	var reasons Reasons
 	elapsed := t.Elapsed()
@@ -483,8 +495,8 @@
 	return reasons
 }
 
-// Winner returns the attempt whose answer was used for a shard: the first that
-// succeeded, nil if none did.
+// Winner returns the attempt whose answer was used for a shard, that is, the one that
+// succeeded first; nil if none did.
 func (t *Trace) Winner(shard int) *Attempt {
 	var winner *Attempt
 	for i := range t.Attempts {
@@ -495,9 +507,9 @@
 	return winner
 }
 
-// WorstNode returns the node at which the query lost the most time: that of the
-// longest attempt among those without an answer or, if all were answered, among
-// all attempts.
+// WorstNode returns the node at which the query lost the most time: that of the longest
+// attempt among those that did not succeed or, if all succeeded, among all attempts. It
+// returns "" if there is no attempt at a known node.
 func (t *Trace) WorstNode() string {
 	node, longest, worstFailed := "", time.Duration(-1), false
 	for i := range t.Attempts {
--- a/tracing/sample/sample.go
+++ b/tracing/sample/sample.go
@@ -3,14 +3,15 @@
 // and the same seed and inputs give the same decisions.
 //
 // Decisions are made per time window. Candidate traces are held until the window
-// ends. If they exceed the limit of traces or of bytes, the fullest reservoir
-// drops a trace: the reason with the most held traces is chosen, then its class
-// with the most, then that class's node with the most. So a reason with few traces
-// never loses one to a reason with many (max-min fairness). Within a reservoir each
-// trace is given a random priority once, and the traces of lowest priority are kept.
-// This is a uniform sample without replacement of all traces that the reservoir saw
-// (bottom-k sampling; Cohen and Kaplan, 2007), so held divided by seen is the
-// sampling probability, by whose inverse estimates weight a trace.
+// ends, grouped into reservoirs by reason, class and node. If they exceed the limit of
+// traces or of bytes, the fullest reservoir drops a trace: the reason with the most
+// held traces is chosen, then its class with the most, then that class's node with the
+// most. So a reason with few traces never loses one to a reason with many (max-min
+// fairness). Within a reservoir each trace is given a random priority once, and the
+// traces with the lowest values are kept. This is a uniform sample without replacement
+// of all traces that the reservoir saw (bottom-k sampling; Cohen and Kaplan, 2007), so
+// held divided by seen is the sampling probability. Estimates weight a trace by its
+// inverse.
 package sample
 
 import (
@@ -32,7 +33,8 @@
 	maxReservoirs = 4096
 	// Each class has a sliding-window histogram of its latencies, made up of
 	// histogramIntervals intervals of histogramInterval each. Latencies are
-	// recorded in multiples of latencyUnit, up to maxLatency.
+	// recorded in multiples of latencyUnit, up to maxLatency, with a precision of
+	// significantDigits decimal digits.
 	latencyUnit        = 100 * time.Microsecond
 	maxLatency         = time.Minute
 	histogramInterval  = 10 * time.Second
@@ -44,16 +46,16 @@
 type Config struct {
 	Window       time.Duration // length of a window; 0 means one second
 	MaxTraces    int           // traces kept per window
-	MaxBytes     int           // size of the traces held per window
-	GoodRate     float64       // fraction of the good queries that is kept
-	MaxRequested int           // traces kept per window because the caller requested one
+	MaxBytes     int           // size of the traces held at once, in bytes
+	GoodRate     float64       // probability that a good query becomes a candidate
+	MaxRequested int           // candidates per window because the caller requested a trace
 	Classes      int           // number of query classes
 	// SlowQuantile is the quantile of its class's recent latencies above which a
 	// query counts as slow, once SlowMinSamples latencies are known. 0 disables the
 	// detection.
 	SlowQuantile   float64
 	SlowMinSamples int
-	Seed           uint64
+	Seed           uint64 // of all random choices
 }
 
 // Query describes a query that has ended.
@@ -61,10 +63,10 @@
 	Key       uint64        // identifies the trace to the caller
 	EndedAt   time.Duration // since an origin of the caller's choice; a step back is ignored
 	Class     int           // index of the class
-	Node      string        // the node that most of the time was lost at
+	Node      string        // the node at which the query lost the most time; "": none
 	Latency   time.Duration
 	Served    bool
-	Reasons   record.Reasons // as returned by record.Trace.Judge
+	Reasons   record.Reasons // as returned by record.Trace.DeriveReasons; 0: a good query
 	Requested bool           // the caller requested a trace
 	Size      int            // of the trace, in bytes
 }
@@ -74,36 +76,37 @@
 	Key         uint64
 	Reasons     record.Reasons // all reasons that apply
 	Reason      record.Reasons // the one for which it was kept
-	Probability float64        // of being kept, among queries with that reason, class and node
+	Probability float64        // sampling probability of the queries with that Reason, class and node
 }
 
 // Counts holds totals since the start.
 type Counts struct {
-	Seen, Bad, Kept int64
-	Shed            map[string]int64 // bad queries not kept, by reason; "size" counts traces above MaxBytes
-	AskedOver       int64            // requested traces beyond MaxRequested
+	Seen, Bad, Kept int64            // queries offered, those with a reason or slow, and traces selected
+	Shed            map[string]int64 // bad queries not kept, by reason; "size" counts any query whose trace alone exceeds MaxBytes
+	AskedOver       int64            // requests for a trace beyond MaxRequested
 }
 
 // Sampler decides which traces are kept. It is not safe for concurrent use.
 type Sampler struct {
 	cfg             Config
 	rng             *rand.Rand
-	now             time.Duration
+	now             time.Duration // the latest time passed in
 	windowEnd       time.Duration
 	reservoirs      map[reservoirKey]*reservoir
-	held            int
-	bytes           int
-	requested       int
-	reasonFrequency [reasonBits]float64 // occurrences of each reason, halved at each window
+	held            int                 // traces held
+	bytes           int                 // their size
+	requested       int                 // queries of this window that are candidates on request
+	reasonFrequency [reasonBits]float64 // occurrences of each reason, halved at the end of each window
 	reasons         [reasonBits]*reasonTotals
 	classes         []classLatency
-	counts          Counts
+	counts          Counts // without Shed
 	shedByReason    [reasonBits]int64
-	oversized       int64
+	oversized       int64    // Counts.Shed["size"]
 	dropped         []uint64 // result buffer of Offer
 }
 
-// reservoirKey is what traces are grouped by.
+// reservoirKey is what traces are grouped by. node is "" for traces without a node, and
+// for those beyond maxReservoirs.
 type reservoirKey struct {
 	reason record.Reasons
 	class  int
@@ -126,15 +129,15 @@
 // window, as a heap whose top has the highest priority value: the next to be dropped.
 type reservoir struct {
 	reservoirKey
-	seen int
+	seen int // traces of this window, including dropped ones
 	held []heldTrace
 }
 
 // heldTrace is a trace that is held until its window ends.
 type heldTrace struct {
 	key      uint64
-	priority float64
-	size     int
+	priority float64 // random, from 0 to 1; the trace with the highest value is dropped first
+	size     int     // in bytes
 	reasons  record.Reasons
 }
 
@@ -152,9 +155,9 @@
 type classLatency struct {
 	histogram     *hdrhistogram.WindowedHistogram
 	rotatedAt     time.Duration // when the current interval began
-	sinceUpdate   int           // latencies recorded since slowThreshold was computed
+	sinceUpdate   int           // latencies recorded since slowThreshold was last due
 	total         int64         // latencies recorded since the start
-	slowThreshold time.Duration // 0 until SlowMinSamples latencies are known
+	slowThreshold time.Duration // the SlowQuantile; 0 until SlowMinSamples latencies are known
 }
 
 // New returns a sampler. Its first window begins at time 0.
@@ -173,9 +176,9 @@
 }
 
 // Offer submits a query that has ended. If hold is true, its trace is held as a
-// candidate: a later call either drops it or, at the end of the window, selects it.
-// dropped lists the keys that were held until now and are not kept. It never has the
-// offered key, and is valid until the next call.
+// candidate: a later call of Offer drops it, or the end of the window selects it.
+// Otherwise it is not kept. dropped lists the keys that were held until now and are not
+// kept. It never contains the offered key, and is valid until the next call.
 func (s *Sampler) Offer(query Query) (hold bool, dropped []uint64) {
 	s.dropped = s.dropped[:0]
 	s.now = max(s.now, query.EndedAt)
@@ -229,9 +232,9 @@
 	return hold, s.dropped
 }
 
-// rarestReason returns the reason with the fewest recent occurrences, and of equals
-// the more severe one. Under its most common reason, a trace of a rare failure would
-// be lost among those of common ones.
+// rarestReason returns the reason of a non-empty set with the fewest recent occurrences,
+// of equals the most severe one, and counts an occurrence of each. Under its most common
+// reason, a trace of a rare failure would be lost among those of common ones.
 func (s *Sampler) rarestReason(reasons record.Reasons) record.Reasons {
 	var rarest record.Reasons
 	reasons.ForEach(func(reason record.Reasons) {
@@ -243,7 +246,7 @@
 	return rarest
 }
 
-// reasonIndex returns the bit number of a single reason.
+// reasonIndex returns the bit number of a single reason, from 0.
 func reasonIndex(r record.Reasons) int {
 	for i := range reasonBits {
 		if r == 1<<i {
@@ -254,7 +257,7 @@
 }
 
 // reservoirFor returns the reservoir of a reason, class and node, and creates it if
-// needed.
+// needed. With maxReservoirs reached, a new one is shared by all nodes.
 func (s *Sampler) reservoirFor(reason record.Reasons, class int, node string) *reservoir {
 	key := reservoirKey{reason, class, node}
 	if s.reservoirs[key] == nil && len(s.reservoirs) >= maxReservoirs {
@@ -316,7 +319,7 @@
 }
 
 // observeLatency records a latency and reports whether it is above its class's
-// SlowQuantile.
+// SlowQuantile, which is computed anew after each SlowMinSamples latencies.
 func (s *Sampler) observeLatency(class int, latency time.Duration) bool {
 	if class < 0 || class >= len(s.classes) || s.cfg.SlowQuantile <= 0 {
 		return false
@@ -356,6 +359,7 @@
 // key order.
 func (s *Sampler) Flush() []Selection { return s.endWindow() }
 
+// endWindow returns the traces that are held, in key order, and starts a new window.
 func (s *Sampler) endWindow() []Selection {
 	var selected []Selection
 	for i := range s.reasons {
@@ -380,7 +384,7 @@
 	return selected
 }
 
-// startWindow discards all held traces and starts a new window.
+// startWindow forgets all held traces and starts a new window at time s.now.
 func (s *Sampler) startWindow() {
 	clear(s.reservoirs)
 	clear(s.reasons[:])
--- a/tracing/sample/sample_test.go
+++ b/tracing/sample/sample_test.go
@@ -143,13 +143,13 @@
 	if !offer(0, 200*time.Millisecond) {
 		t.Error("a query of 200 ms in a class of at most 20 ms is not held")
 	}
-	k := s.Flush()
-	if len(k) != 1 || k[0].Reasons != record.Slow {
-		t.Errorf("kept %+v, want one query, as slow", k)
+	selections := s.Flush()
+	if len(selections) != 1 || selections[0].Reasons != record.Slow {
+		t.Errorf("kept %+v, want one query, as slow", selections)
 	}
 	offer(1, 505*time.Millisecond)
-	for _, k := range s.Flush() {
-		if k.Reasons&record.Slow != 0 {
+	for _, selections := range s.Flush() {
+		if selections.Reasons&record.Slow != 0 {
 			t.Error("a query of 505 ms in a class of 500 to 509 ms is kept as slow")
 		}
 	}
--- a/tracing/slots.go
+++ b/tracing/slots.go
@@ -2,12 +2,13 @@
 
 // directMap is a map for sequentially assigned keys of which few are in use at
 // once. An entry is stored in an array at the index given by the key's low bits,
-// and in an overflow map only if that index is still taken by an older key. A
-// plain map would account for most of the cost of tracing on the core's path.
+// and in an overflow map only if that index is still taken by an older key. Keys are
+// above 0. A plain map would account for most of the time that tracing costs the
+// core's goroutine.
 type directMap[V any] struct {
 	entries  []directMapEntry[V]
 	overflow map[uint64]V
-	count    int
+	count    int // entries in both
 }
 
 type directMapEntry[V any] struct {
@@ -20,6 +21,7 @@
 	return directMap[V]{entries: make([]directMapEntry[V], size), overflow: map[uint64]V{}}
 }
 
+// get returns the value of a key, and whether the key is present.
 func (m *directMap[V]) get(key uint64) (v V, ok bool) {
 	if e := &m.entries[key&uint64(len(m.entries)-1)]; e.key == key {
 		return e.value, true
@@ -40,6 +42,7 @@
 	m.overflow[key] = v
 }
 
+// remove removes a key; it does nothing if the key is not present.
 func (m *directMap[V]) remove(key uint64) {
 	if e := &m.entries[key&uint64(len(m.entries)-1)]; e.key == key {
 		*e = directMapEntry[V]{}
--- a/tracing/spool/frame.go
+++ b/tracing/spool/frame.go
@@ -14,7 +14,7 @@
 	segmentMagic      = "gchtrc1\n"
 	segmentHeaderSize = len(segmentMagic) + 8
 	recordHeaderSize  = 4 + 1 + 4
-	maxPayloadBytes   = 4 << 20
+	maxPayloadBytes   = 4 << 20 // longer payloads are neither written nor read
 )
 
 // Kind is the type of a record's payload.
@@ -32,20 +32,24 @@
 // The states of a segment.
 const (
 	Intact  SegmentState = iota // every record is valid
-	Torn                        // the last record is incomplete, as after an interrupted write
-	Corrupt                     // an invalid record is followed by further data
+	Torn                        // an interrupted write explains the end: an incomplete or damaged last record, or zeros only
+	Corrupt                     // an invalid record that an interrupted write does not explain
 )
 
+// castagnoli is the table of the CRC-32C.
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// checksum returns the CRC-32C of a record's kind and payload.
 func checksum(kind Kind, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum([]byte{byte(kind)}, castagnoli), castagnoli, payload)
 }
 
+// appendSegmentHeader appends the header of the segment seq to dst.
 func appendSegmentHeader(dst []byte, seq uint64) []byte {
 	return binary.LittleEndian.AppendUint64(append(dst, segmentMagic...), seq)
 }
 
+// appendRecord appends a record to dst.
 func appendRecord(dst []byte, kind Kind, payload []byte) []byte {
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(payload)))
 	dst = append(dst, byte(kind))
@@ -69,8 +73,8 @@
 }
 
 // scanRecords calls visit with each record of a segment until it meets an invalid
-// one. data is the content of the segment, its header included. intactBytes is
-// the length of the valid prefix.
+// one. data is the content of the segment; its header must be valid, or data empty.
+// intactBytes is the length of the valid prefix, the header included.
 func scanRecords(data []byte, visit func(Kind, []byte)) (intactBytes int, state SegmentState) {
 	at := segmentHeaderSize
 	for at < len(data) {
--- a/tracing/spool/open.go
+++ b/tracing/spool/open.go
@@ -21,8 +21,8 @@
 // The table of open queries is a memory-mapped file of fixed-size slots, one per
 // query. A write takes a few stores, and what was stored is in the file even if
 // the process is killed right afterwards. A slot holds the query and up to
-// attemptsPerSlot attempts; further attempts are only counted. Sizes are in
-// bytes.
+// attemptsPerSlot attempts; further attempts are only counted. Integers are
+// little-endian. Sizes are in bytes.
 const (
 	tableName       = "open.tab"
 	tableMagic      = "gchopen1"
@@ -30,25 +30,25 @@
 	slotHeaderSize  = 192
 	attemptSize     = 64 // a cache line
 	attemptsPerSlot = 61
-	slotSize        = slotHeaderSize + attemptsPerSlot*attemptSize // a page
+	slotSize        = slotHeaderSize + attemptsPerSlot*attemptSize // 4096, the size of a page
 )
 
 // The values of the first word of a slot. Invariants: the word is slotFree unless
 // the whole slot header is written, and the attempt count is increased only after
-// the attempt has been stored. A process that is killed stops between two stores,
-// never within one.
+// the attempt has been stored. A kill takes effect between two stores, never within
+// one.
 const (
 	slotFree = 0
 	slotUsed = 0x7573656e
 )
 
-// Byte offsets in the slot header and maximum text lengths in bytes. Durations
-// are in nanoseconds.
+// Byte offsets in the slot header and maximum text lengths in bytes. Durations are
+// 64-bit, in nanoseconds; accepted and ended are stored as record.Offset.
 const (
 	offSlotState       = 0
-	offAttemptCount    = 4 // uint32
-	offUnrecordedCount = 8 // uint32
-	offParts           = 12
+	offAttemptCount    = 4  // uint32
+	offUnrecordedCount = 8  // uint32
+	offParts           = 12 // uint32
 	offTraceID         = 16
 	offSpan            = 32
 	offParent          = 40
@@ -58,7 +58,7 @@
 	offAccepted        = 72
 	offEnded           = 80
 	offVerdict         = 88
-	offFlags           = 89
+	offFlags           = 89  // bits such as flagRetry
 	offClass           = 90  // length byte, then up to maxClassBytes
 	offQuery           = 123 // length byte, then up to maxQueryBytes
 	maxClassBytes      = 32
@@ -79,12 +79,13 @@
 	offAttemptCell        = 34 // uint16
 	offAttemptReason      = 36
 	offAttemptOutcome     = 37
-	offAttemptFlags       = 38
+	offAttemptFlags       = 38 // bits such as flagSuspected
 	offAttemptNode        = 39 // length byte, then up to maxNodeBytes
 	maxNodeBytes          = attemptSize - offAttemptNode - 1
 )
 
-// encodeOffset converts an offset to the form in which an attempt stores it.
+// encodeOffset converts an offset to the form in which an attempt stores it, 0 if the
+// event did not happen.
 func encodeOffset(o record.Offset) uint32 {
 	if !o.IsSet() {
 		return 0
@@ -92,6 +93,7 @@
 	return uint32(min(o.Duration().Microseconds()+1, math.MaxUint32))
 }
 
+// decodeOffset is the inverse of encodeOffset.
 func decodeOffset(stored uint32) record.Offset {
 	if stored == 0 {
 		return 0
@@ -113,7 +115,9 @@
 	flagMayStillRun
 )
 
-// QueryTable is the table of open queries. It is not safe for concurrent use.
+// QueryTable is the table of open queries. It is not safe for concurrent use. Methods
+// that take a slot ignore a negative one, and once a write has faulted, nothing is
+// stored any more.
 type QueryTable struct {
 	file      *os.File
 	mapped    []byte // nil: the table is closed, or a write to it faulted
@@ -126,7 +130,8 @@
 // directory of a spool, which this process must have locked by Open. It returns
 // the queries that were open, or ended but not yet written to a segment, when an
 // earlier process ended; the old file keeps them until Commit. unreadable counts
-// the slots that cannot be decoded.
+// the slots that cannot be decoded, and 1 for a file that cannot be read. Both are
+// returned even with an error, when table is nil.
 func OpenQueryTable(dir string, slots int) (table *QueryTable, recovered []*record.Trace, unreadable int, err error) {
 	path := filepath.Join(dir, tableName)
 	if old, err := os.ReadFile(path); err == nil {
@@ -169,8 +174,9 @@
 	return table, recovered, unreadable, nil
 }
 
-// Commit replaces the old table file by the new one. The recovered queries must
-// have been stored in a segment or in the new table before.
+// Commit replaces the old table file by the new one, by renaming it. The recovered
+// queries must have been stored in a segment or in the new table before. Commit is
+// called once.
 func (t *QueryTable) Commit() error {
 	path := t.file.Name()
 	if err := os.Rename(path, path[:len(path)-len(".new")]); err != nil {
@@ -187,7 +193,7 @@
 
 // recoverFault, when deferred, handles a memory fault in a store, which occurs
 // for example after the file was truncated: the table is disabled, and the
-// process continues to serve queries.
+// process continues to serve queries. Other panics continue.
 func (t *QueryTable) recoverFault() {
 	if cause := recover(); cause != nil {
 		err, ok := cause.(error)
@@ -199,18 +205,21 @@
 	}
 }
 
+// slotBytes returns the i-th slot.
 func (t *QueryTable) slotBytes(i int) []byte {
 	return t.mapped[tableHeaderSize+i*slotSize : tableHeaderSize+(i+1)*slotSize : tableHeaderSize+(i+1)*slotSize]
 }
 
+// storeUint32 stores a word of a slot in a single store, ordered after earlier ones.
 func storeUint32(slot []byte, off int, value uint32) {
 	atomic.StoreUint32((*uint32)(unsafe.Pointer(&slot[off])), value) // slots and words are aligned
 }
 
-// Add stores a query in a free slot and returns its index, -1 if none is free.
-// TraceState, RetryAfter and, of attempts, Addr, FirstByte, Abandoned and the late
-// outcome are not stored. Times of attempts are rounded down to microseconds, and
-// long names are truncated.
+// Add stores an open query in a free slot and returns its index, -1 if none is free or
+// the table has faulted. Attempts are stored by PutAttempt. The table never holds the
+// broker, TraceState, RetryAfter, the sampler's decision or, of attempts, Addr,
+// FirstByte, Abandoned and the late outcome. Times of attempts are rounded down to
+// microseconds, and long names are truncated.
 func (t *QueryTable) Add(tr *record.Trace) (slot int) {
 	if t.mapped == nil {
 		return -1
@@ -244,7 +253,8 @@
 	return slot
 }
 
-// PutAttempt stores the i-th attempt of a slot, replacing what was stored of it.
+// PutAttempt stores the i-th attempt of a slot, replacing what was stored of it. An
+// attempt beyond attemptsPerSlot is only counted.
 func (t *QueryTable) PutAttempt(slot, i int, a *record.Attempt) {
 	if slot < 0 || t.mapped == nil {
 		return
@@ -274,7 +284,8 @@
 	}
 }
 
-// PutSent stores when the last byte of the i-th attempt of a slot was sent.
+// PutSent stores when the last byte of the i-th attempt of a slot was sent, if the slot
+// holds that attempt.
 func (t *QueryTable) PutSent(slot, i int, at record.Offset) {
 	if slot < 0 || t.mapped == nil || i >= attemptsPerSlot {
 		return
@@ -284,7 +295,8 @@
 	binary.LittleEndian.PutUint32(t.slotBytes(slot)[slotHeaderSize+i*attemptSize+offAttemptSent:], encodeOffset(at))
 }
 
-// PutOutcome stores the outcome of the i-th attempt of a slot.
+// PutOutcome stores the outcome, the flags and the end of the i-th attempt of a slot, if
+// the slot holds that attempt.
 func (t *QueryTable) PutOutcome(slot, i int, a *record.Attempt) {
 	if slot < 0 || t.mapped == nil || i >= attemptsPerSlot {
 		return
@@ -297,8 +309,8 @@
 	binary.LittleEndian.PutUint32(data[offAttemptEnded:], encodeOffset(a.Ended))
 }
 
-// EndQuery stores that a query has ended. Its trace has not yet been written to a
-// segment or dropped.
+// EndQuery stores that a query has ended. Its slot stays in use until Free, as the
+// trace has not yet been written to a segment or dropped.
 func (t *QueryTable) EndQuery(slot int, tr *record.Trace) {
 	if slot < 0 || t.mapped == nil {
 		return
@@ -311,8 +323,8 @@
 	binary.LittleEndian.PutUint64(header[offEnded:], uint64(tr.Ended))
 }
 
-// CarryOver stores a recovered trace again, so that the next process finds it.
-// Its slot is never freed.
+// CarryOver stores a recovered trace again, so that the next process finds it. Its
+// slot is not freed by this process. If no slot is free, the trace is not stored.
 func (t *QueryTable) CarryOver(tr *record.Trace) {
 	slot := t.Add(tr)
 	for i := range tr.Attempts {
@@ -348,10 +360,12 @@
 	return nil
 }
 
+// attemptFlags returns the flags that an attempt stores.
 func attemptFlags(a *record.Attempt) byte {
 	return flagIf(a.Suspected, flagSuspected) | flagIf(a.EndedByBroker, flagEndedByBroker) | flagIf(a.MayStillRun, flagMayStillRun)
 }
 
+// flagIf returns flag if set is true, else 0.
 func flagIf(set bool, flag byte) byte {
 	if set {
 		return flag
@@ -359,9 +373,10 @@
 	return 0
 }
 
-// putText stores a length byte and as much of the text as fits.
+// putText stores a length byte and as much of the text as fits into dst.
 func putText(dst []byte, text string) { dst[0] = byte(copy(dst[1:], text)) }
 
+// getText returns a text that putText stored. It fails if the length byte exceeds src.
 func getText(src []byte) (string, error) {
 	if int(src[0]) >= len(src) {
 		return "", fmt.Errorf("text of %d bytes, want at most %d", src[0], len(src)-1)
@@ -369,9 +384,10 @@
 	return string(src[1 : 1+src[0]]), nil
 }
 
-// ReadOpenQueries returns the queries in the table of a spool's directory: those
-// that a running broker has open or has not yet written to a segment, or had when
-// it ended. unreadable counts the slots that cannot be decoded.
+// ReadOpenQueries returns the queries in the table of a spool's directory. If a broker
+// runs there, these are its open queries and the ended ones that it has not yet written
+// to a segment; otherwise, those that were so when the last broker ended. unreadable
+// counts the slots that cannot be decoded. Without a table there are no queries.
 func ReadOpenQueries(dir string) (open []*record.Trace, unreadable int, err error) {
 	data, err := os.ReadFile(filepath.Join(dir, tableName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -384,7 +400,8 @@
 	return open, unreadable, nil
 }
 
-// decodeTable decodes every readable slot of a table and counts the others.
+// decodeTable decodes every readable slot of a table and counts the others. An invalid
+// table header counts as one slot, and so do all slots that a truncation cut off.
 func decodeTable(data []byte) (queries []*record.Trace, unreadable int) {
 	if len(data) < tableHeaderSize || string(data[:8]) != tableMagic || binary.LittleEndian.Uint32(data[12:]) != slotSize {
 		if len(data) > 0 {
@@ -409,6 +426,7 @@
 	return queries, unreadable
 }
 
+// decodeSlot returns the query in a slot, nil if the slot is free.
 func decodeSlot(data []byte) (*record.Trace, error) {
 	le := binary.LittleEndian
 	switch le.Uint32(data[offSlotState:]) {
@@ -428,11 +446,11 @@
 	copy(t.ID[:], data[offTraceID:])
 	copy(t.Span[:], data[offSpan:])
 	copy(t.Parent[:], data[offParent:])
-	var err1, err2 error
-	t.Class, err1 = getText(data[offClass : offClass+1+maxClassBytes])
-	t.Query, err2 = getText(data[offQuery : offQuery+1+maxQueryBytes])
+	var classErr, queryErr error
+	t.Class, classErr = getText(data[offClass : offClass+1+maxClassBytes])
+	t.Query, queryErr = getText(data[offQuery : offQuery+1+maxQueryBytes])
 	attempts := int(le.Uint32(data[offAttemptCount:]))
-	if err := errors.Join(err1, err2); err != nil {
+	if err := errors.Join(classErr, queryErr); err != nil {
 		return nil, err
 	}
 	if attempts > attemptsPerSlot || broker.Verdict(t.Verdict) > record.VerdictOpen {
@@ -449,6 +467,7 @@
 	return t, t.Validate()
 }
 
+// decodeAttempt decodes a stored attempt, except for its span ID, which is derived.
 func decodeAttempt(data []byte) (record.Attempt, error) {
 	le := binary.LittleEndian
 	a := record.Attempt{
--- a/tracing/spool/plan.go
+++ b/tracing/spool/plan.go
@@ -1,14 +1,14 @@
-// Package spool stores traces on disk: in segment files, which are bounded in
-// size and number, and in a memory-mapped table of the open queries, which
-// survives a process that is killed.
+// Package spool stores traces on disk: in segment files, whose individual and total
+// size is bounded, and in a memory-mapped table of the open queries, whose contents
+// survive a kill of the process.
 package spool
 
 import "time"
 
 // Limits are the bounds of a spool.
 type Limits struct {
-	SegmentBytes int64         // maximum size of a segment
-	TotalBytes   int64         // maximum size of all segments together
+	SegmentBytes int64         // maximum size of a segment, in bytes
+	TotalBytes   int64         // maximum size of all segments together, in bytes
 	MinBackoff   time.Duration // backoff after the first failed write, doubled after each further one
 	MaxBackoff   time.Duration // upper bound of the backoff
 }
@@ -19,9 +19,9 @@
 // The causes of a dropped record.
 const (
 	DropNone    DropCause = ""         // written
-	DropPaused  DropCause = "paused"   // within the backoff after a failed write
+	DropPaused  DropCause = "paused"   // not attempted, as the backoff after a failed write is not over
 	DropFailed  DropCause = "failed"   // the write failed
-	DropTooLong DropCause = "too-long" // larger than a segment may be
+	DropTooLong DropCause = "too-long" // larger than a record or a segment may be
 	DropClosed  DropCause = "closed"   // the spool is closed
 )
 
@@ -43,12 +43,12 @@
 // no clock.
 type SegmentPlanner struct {
 	limits      Limits
-	closed      []Segment // segments that are no longer written, oldest first
-	current     Segment   // the segment that is written; Seq 0: none
-	nextSeq     uint64
-	backoff     time.Duration
+	closed      []Segment     // segments that are no longer written, oldest first
+	current     Segment       // the segment that is written; Seq 0: none
+	nextSeq     uint64        // sequence number of the next segment
+	backoff     time.Duration // the last backoff; 0 after a successful write
 	pausedUntil time.Duration // no write is allowed earlier
-	evicted     bool          // segments were evicted for a full disk since the last successful write
+	evicted     bool          // segments were evicted for a full disk, and the retry has not ended yet
 }
 
 // NewSegmentPlanner returns a planner for a spool that holds the existing
@@ -61,7 +61,7 @@
 	return p
 }
 
-// TotalBytes returns the size of all segments together.
+// TotalBytes returns the size of all segments together, in bytes.
 func (p *SegmentPlanner) TotalBytes() int64 {
 	sum := p.current.Size
 	for _, s := range p.closed {
@@ -70,9 +70,9 @@
 	return sum
 }
 
-// BeforeWrite returns the step that must be taken before n more bytes are
-// written. The planner assumes that the caller takes it and reports a failure of
-// it by WriteFailed.
+// BeforeWrite returns the step that must be taken before n more bytes are written, the
+// header of a new segment included. The planner assumes that the caller takes it and
+// writes, and reports the result by AfterWrite or WriteFailed.
 func (p *SegmentPlanner) BeforeWrite(now time.Duration, n int64) Step {
 	switch {
 	case n > p.limits.SegmentBytes || n > p.limits.TotalBytes:
@@ -96,18 +96,18 @@
 	return step
 }
 
-// AfterWrite records that n bytes were written, including the header of a new
-// segment.
+// AfterWrite records that n bytes were written, the header of a new segment included,
+// and ends the backoff.
 func (p *SegmentPlanner) AfterWrite(n int64) {
 	p.current.Size += n
 	p.backoff, p.evicted = 0, false
 }
 
 // WriteFailed records that n bytes could not be written. The current segment is
-// closed, as its tail may be torn. If the disk is full, the oldest segments that
-// free n bytes are evicted, but never the newest one, and retry says that the
-// write may be repeated at once. If that does not help, or if the disk is not
-// full, writes are suspended for the backoff.
+// closed, as its tail may be torn. If the disk is full, evict lists the oldest
+// segments, as many as free n bytes but never the newest one, and retry says that the
+// write may be repeated once these are deleted. If no segment can be evicted, the
+// retry fails as well or the disk is not full, writes are suspended for the backoff.
 func (p *SegmentPlanner) WriteFailed(now time.Duration, diskFull bool, n int64) (evict []uint64, retry bool) {
 	if p.current.Seq != 0 {
 		p.closed = append(p.closed, p.current)
@@ -130,8 +130,8 @@
 	return nil, false
 }
 
-// PausedUntil returns the time until which writes are suspended, 0 if they are
-// not.
+// PausedUntil returns the time until which writes are suspended, 0 if they are not
+// at time now.
 func (p *SegmentPlanner) PausedUntil(now time.Duration) time.Duration {
 	if now >= p.pausedUntil {
 		return 0
--- a/tracing/spool/spool.go
+++ b/tracing/spool/spool.go
@@ -18,14 +18,14 @@
 	"onyxsail/tracing/record"
 )
 
-// Names of the files in the directory of a spool. An unreadable segment keeps its
-// name, with quarantineSuffix appended.
+// Names of the files in the directory of a spool. An unreadable segment is
+// quarantined: quarantineSuffix is appended to its name.
 const (
 	lockName         = "lock"
 	segmentPrefix    = "trace-"
 	segmentSuffix    = ".seg"
 	quarantineSuffix = ".bad"
-	maxQuarantined   = 4 // number of quarantined files; the oldest are deleted
+	maxQuarantined   = 4 // quarantined files that are kept; older ones are deleted
 )
 
 // Options are the parameters of Open.
@@ -33,10 +33,10 @@
 	Dir    string // the directory of the spool
 	Limits Limits
 	Log    zerolog.Logger
-	// Now returns the time since a fixed point of the caller's choice.
+	// Now returns the time since an origin of the caller's choice.
 	Now func() time.Duration
-	// Write replaces the Write method of the file, for tests of a failing disk;
-	// nil: the method of the file.
+	// Write replaces the file writes in tests of disk failures; nil means the file's
+	// own Write method.
 	Write func(*os.File, []byte) (int, error)
 }
 
@@ -47,13 +47,14 @@
 	lock          *os.File
 	file          *os.File // the current segment; nil: none is open
 	dropped       map[DropCause]int64
-	written       int64
-	failureLogged bool // the ongoing failure has been logged
+	written       int64 // records written since the start
+	failureLogged bool  // the ongoing failure has been logged
 }
 
-// Open locks the directory for this process, creates it if necessary, and repairs
+// Open creates the directory if necessary, locks it for this process, and repairs
 // the segments of earlier processes: torn tails are truncated, and unreadable
-// segments are quarantined. It fails only if the directory cannot be used at all.
+// segments are quarantined. It fails if the directory cannot be created, listed or
+// locked, for example because another process uses it.
 func Open(o Options) (*Spool, error) {
 	if o.Write == nil {
 		o.Write = func(f *os.File, b []byte) (int, error) { return f.Write(b) }
@@ -88,6 +89,7 @@
 	return s, nil
 }
 
+// segmentName returns the file name of a segment, by its sequence number.
 func segmentName(seq uint64) string {
 	return fmt.Sprintf("%s%012d%s", segmentPrefix, seq, segmentSuffix)
 }
@@ -116,8 +118,9 @@
 	return seqs, nil
 }
 
-// repairSegment makes a segment readable to its end and returns its remaining
-// size in bytes, 0 if nothing could be kept.
+// repairSegment makes a segment readable to its end, or quarantines or deletes it.
+// It returns the remaining size in bytes, 0 if the segment no longer exists under its
+// name.
 func (s *Spool) repairSegment(seq uint64) int64 {
 	path := filepath.Join(s.opts.Dir, segmentName(seq))
 	data, err := os.ReadFile(path)
@@ -151,8 +154,8 @@
 	return int64(intactBytes)
 }
 
-// quarantine renames an unreadable segment, and deletes the oldest quarantined
-// segments if there are more than maxQuarantined.
+// quarantine renames an unreadable segment and logs the cause. It deletes the oldest
+// quarantined segments if there are more than maxQuarantined.
 func (s *Spool) quarantine(path string, cause error) {
 	s.opts.Log.Warn().Str("event", "trace-aside").Str("file", path).Err(cause).
 		Msg("trace segment is unreadable; renaming it")
@@ -170,8 +173,8 @@
 	}
 }
 
-// Append writes a record. If that fails, it drops the record, counts the cause and
-// returns it.
+// Append writes a record and returns DropNone. If that fails, it drops the record,
+// counts the cause and returns it.
 func (s *Spool) Append(kind Kind, payload []byte) DropCause {
 	cause := s.TryAppend(kind, payload)
 	if cause != DropNone {
@@ -180,8 +183,9 @@
 	return cause
 }
 
-// TryAppend writes a record, or returns why it could not. The caller then either
-// keeps the record for a later attempt or drops it and calls CountDropped.
+// TryAppend writes a record and returns DropNone, or returns why it could not. The
+// caller then either keeps the record for a later attempt or drops it and calls
+// CountDropped.
 func (s *Spool) TryAppend(kind Kind, payload []byte) DropCause {
 	cause := s.write(kind, payload)
 	if cause == DropNone {
@@ -193,8 +197,8 @@
 // CountDropped counts a record that TryAppend did not write and that is dropped.
 func (s *Spool) CountDropped(cause DropCause) { s.dropped[cause]++ }
 
-// write performs the steps that the planner requires and appends the record. On
-// a full disk it retries once old segments have been evicted.
+// write performs the steps that the planner requires and appends the record. On a
+// full disk it evicts old segments, if the planner allows that, and retries once.
 func (s *Spool) write(kind Kind, payload []byte) DropCause {
 	if s.lock == nil {
 		return DropClosed
@@ -237,7 +241,7 @@
 			if !s.failureLogged {
 				s.failureLogged = true
 				s.opts.Log.Warn().Str("event", "trace-spool").Str("dir", s.opts.Dir).Err(err).
-					Msg("traces cannot be written; they are dropped, and serving goes on")
+					Msg("traces cannot be written to the spool; they are queued in memory or dropped, and serving goes on")
 			}
 			return DropFailed
 		}
@@ -245,7 +249,7 @@
 }
 
 // discardFailedWrite truncates the current segment to its complete records, or
-// deletes it if there are none, and closes it.
+// deletes it if there are none, and closes it. It does nothing if no segment is open.
 func (s *Spool) discardFailedWrite() {
 	if s.file == nil {
 		return
@@ -260,7 +264,8 @@
 	s.file = nil
 }
 
-// startSegment closes the current segment and creates the next one.
+// startSegment syncs and closes the current segment, if one is open, and creates the
+// next one. The caller writes its header.
 func (s *Spool) startSegment(seq uint64) error {
 	if s.file != nil {
 		err := errors.Join(s.file.Sync(), s.file.Close())
@@ -277,6 +282,7 @@
 	return nil
 }
 
+// removeSegments deletes segments. A failure is only logged.
 func (s *Spool) removeSegments(seqs []uint64) {
 	for _, seq := range seqs {
 		if err := os.Remove(filepath.Join(s.opts.Dir, segmentName(seq))); err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -285,12 +291,11 @@
 	}
 }
 
-// Counts are totals since the start, and the current size of all segments in
-// bytes.
+// Counts holds totals since the start and the current size.
 type Counts struct {
-	Written int64               `json:"written"`
-	Dropped map[DropCause]int64 `json:"dropped,omitempty"`
-	Bytes   int64               `json:"bytes"`
+	Written int64               `json:"written"`           // records written
+	Dropped map[DropCause]int64 `json:"dropped,omitempty"` // records dropped
+	Bytes   int64               `json:"bytes"`             // size of all segments
 }
 
 // Counts returns the totals since the start and the current size.
@@ -302,7 +307,8 @@
 	return c
 }
 
-// Close syncs the spool to disk, closes it and releases its lock.
+// Close syncs the spool to disk, closes it and releases its lock. Further records are
+// dropped with DropClosed. A second call does nothing.
 func (s *Spool) Close() error {
 	if s.lock == nil {
 		return nil
@@ -319,20 +325,21 @@
 	return nil
 }
 
+// unlock releases the lock of the directory and marks the spool as closed.
 func (s *Spool) unlock() {
 	_ = s.lock.Close() // releases the lock
 	s.lock = nil
 }
 
-// Unreadable is a record or a segment that Read could not decode.
+// Unreadable is a record or a segment that Read could not read.
 type Unreadable struct {
-	File string
+	File string // name of the segment, without the directory
 	Err  error
 }
 
 // keepLatest drops all but the latest limit traces once there are twice as many,
 // to bound the memory for reading a large spool. It calls discard with each
-// dropped trace.
+// dropped trace. A limit of 0 drops none.
 func keepLatest(traces []*record.Trace, limit int, discard func(*record.Trace)) []*record.Trace {
 	if limit <= 0 || len(traces) < 2*limit {
 		return traces
@@ -352,7 +359,8 @@
 // order of arrival, and of those the latest limit (0: all). It may run while a
 // broker writes there. Late outcomes are merged into their traces, and a trace
 // that was written twice is returned once. Unreadable records and segments are
-// skipped and returned by name.
+// skipped and listed in the second result. An error means that the directory could
+// not be listed.
 func Read(dir string, match func(*record.Trace) bool, limit int) ([]*record.Trace, []Unreadable, error) {
 	seqs, err := listSegments(dir)
 	if err != nil {
@@ -416,7 +424,8 @@
 	return traces, unreadable, nil
 }
 
-// EncodeLateOutcome returns the JSON encoding of a late outcome.
+// EncodeLateOutcome returns the JSON encoding of a late outcome, which
+// record.DecodeLateOutcome parses.
 func EncodeLateOutcome(late record.LateOutcome) ([]byte, error) {
 	data, err := json.Marshal(late)
 	if err != nil {
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -27,59 +27,63 @@
 )
 
 const (
-	// lateOutcomeTimeout is how long the outcome of an attempt is awaited after
-	// its trace was written; maxLateAttempts bounds the attempts awaited at once.
+	// lateOutcomeTimeout is how long, at least, the outcome of an attempt is awaited
+	// after its trace was collected. maxLateAttempts bounds both the attempts awaited
+	// at once and the late outcomes that wait to be written to the spool.
 	lateOutcomeTimeout = 5 * time.Second
 	maxLateAttempts    = 4096
-	// maxOpenQueries bounds the queries traced at once. The core has a lower limit
-	// if one is set in the settings.
+	// maxOpenQueries bounds the open queries traced at once, as the core's own limit
+	// may be higher or absent. Queries beyond it are not traced.
 	maxOpenQueries = 1 << 14
-	maxFreeQueries = 64  // queries pooled for reuse
+	maxFreeQueries = 64  // discarded queries pooled for reuse
 	followerBuffer = 256 // traces buffered for each follower
-	// spoolRetryInterval is how often queued spool writes are retried while no new
-	// trace is kept.
+	// spoolRetryInterval is how often queued spool writes are retried while no trace
+	// is held.
 	spoolRetryInterval = time.Second
 )
 
-// Class describes a query class to the tracer. A query refers to it by index.
+// Class describes a query class to the tracer. A query refers to it by its index in
+// Options.Classes.
 type Class struct {
 	Name         string
 	Objective    time.Duration // an answer within this time is on time
-	WorkFactor   float64       // multiple of the query's estimated work that is added to Objective
-	MaxObjective time.Duration // upper bound of the sum
+	WorkFactor   float64       // multiple of the query's estimated work that is added to Objective; 0: none
+	MaxObjective time.Duration // upper bound of that sum; unused if WorkFactor is 0
 }
 
 // Options configure a Tracer.
 type Options struct {
 	Config  Config // with defaults filled in
-	Broker  string // the instance's name
+	Broker  string // name of the broker instance
 	Classes []Class
 	Log     zerolog.Logger
-	// Write replaces the spool's file writes in tests of disk failures.
+	// Write replaces the spool's file writes in tests of disk failures; nil means
+	// the file's own Write method.
 	Write func(*os.File, []byte) (int, error)
 }
 
 // liveQuery is a query that is open, or has ended and awaits the sampler's decision.
 type liveQuery struct {
 	record.Trace
-	arrived   time.Time // with the monotonic reading, which record.Trace's time lacks
-	class     int
-	tableSlot int // index in the table of open queries; -1 if it has none
+	arrived   time.Time // with the monotonic reading, which Trace.Received lacks
+	class     int       // index in Options.Classes
+	tableSlot int       // index in the table of open queries; -1 if it has none
 	ended     bool
 }
 
-// attemptRef refers to an attempt by its query and its index there.
+// attemptRef refers to an attempt by its query and its index in the query's Attempts.
 type attemptRef struct {
 	query *liveQuery
 	index int
 }
 
-// lateAttempt identifies an attempt that may still answer after its trace was written.
+// lateAttempt identifies an attempt that may still answer although its trace has been
+// collected.
 type lateAttempt struct {
 	traceID   record.TraceID
 	querySpan record.SpanID
-	arrived   time.Time
-	expires   time.Time
+	arrived   time.Time // when its query arrived
+	expires   time.Time // removed by the first collection after this time
 }
 
 // Tracer records, samples, stores and exports the traces of a broker's queries. It
@@ -93,32 +97,33 @@
 
 	spool      *spool.Spool     // used by the writer goroutine only; nil without a spool
 	spoolQueue writeQueue       // used by the writer goroutine only
-	exporter   *export.Exporter // nil without an export
-
-	mu              sync.Mutex
-	rng             *rand.ChaCha8
-	openQueries     directMap[*liveQuery] // by the core's broker.QueryID
-	attempts        directMap[attemptRef] // by the core's broker.AttemptID
-	held            map[uint64]*liveQuery // ended queries that await the sampler's decision, by its key
-	lastKey         uint64
-	freeQueries     []*liveQuery
-	sampler         *sample.Sampler
-	table           *spool.QueryTable // of open queries; nil without one
-	lateAttempts    map[broker.AttemptID]lateAttempt
-	lateQueue       []broker.AttemptID   // keys of lateAttempts by expiry, including removed ones
-	unwrittenNotes  []record.LateOutcome // late outcomes not yet written to the spool
-	recent          recentTraces
-	untracked       int64 // queries not traced because too many were open
-	lateOutcomes    int64 // outcomes known only after their query's end
-	lastSpoolCounts spool.Counts
-	queuedBytes     int // size of spoolQueue at the last write
-	followers       map[chan *record.Trace]bool
-	followerDrops   int64 // traces that slow followers missed
-	tableLossLogged bool
+	exporter   *export.Exporter // nil if no export is configured
+
+	mu                    sync.Mutex
+	rng                   *rand.ChaCha8
+	openQueries           directMap[*liveQuery] // by the core's broker.QueryID
+	attempts              directMap[attemptRef] // of open and held queries, by the core\'s broker.AttemptID
+	held                  map[uint64]*liveQuery // ended queries that await the sampler's decision, by its key
+	lastKey               uint64                // the last key assigned for held
+	freeQueries           []*liveQuery          // discarded ones, for reuse
+	sampler               *sample.Sampler
+	table                 *spool.QueryTable                // of open queries; nil without one
+	lateAttempts          map[broker.AttemptID]lateAttempt // by the core\'s broker.AttemptID
+	lateQueue             []broker.AttemptID               // keys of lateAttempts by expiry, including removed ones
+	unwrittenLateOutcomes []record.LateOutcome             // of lateAttempts, not yet passed to the spool
+	recent                recentTraces
+	untracked             int64                       // queries not traced because maxOpenQueries were open
+	lateOutcomeCount      int64                       // recorded outcomes that arrived after their attempt was cancelled
+	lastSpoolCounts       spool.Counts                // at the end of the last collection that had anything to write
+	queuedBytes           int                         // size of spoolQueue at that time
+	followers             map[chan *record.Trace]bool // nil once EndFollowers was called
+	followerDrops         int64                       // traces that slow followers missed
+	tableLossLogged       bool                        // the failure of the table of open queries has been logged
 }
 
-// Start starts a tracer. If the spool's disk cannot be used, Start logs it and
-// traces are kept in memory only.
+// Start starts a tracer. If the spool cannot be opened, Start logs it and traces are
+// kept in memory only. It fails if no random seed can be read or the exporter cannot
+// be started.
 func Start(opts Options) (*Tracer, error) {
 	var seed [32]byte
 	if _, err := crand.Read(seed[:]); err != nil {
@@ -158,10 +163,12 @@
 	return tracer, nil
 }
 
+// now returns the time since the tracer's start.
 func (t *Tracer) now() time.Duration { return time.Since(t.start) }
 
-// openSpool opens the spool directory and records the queries that a killed broker
-// left open as interrupted.
+// openSpool opens the spool directory and its table of open queries, and writes the
+// traces of the queries that a killed broker left there to the spool. t.spool or
+// t.table stays nil if it cannot be opened.
 func (t *Tracer) openSpool() {
 	cfg, log := t.opts.Config, t.opts.Log
 	opened, err := spool.Open(spool.Options{
@@ -202,14 +209,16 @@
 	}
 }
 
-// writeTrace writes a trace to the spool and reports whether that succeeded.
+// writeTrace writes a trace to the spool, without the write queue, and reports whether
+// that succeeded.
 func (t *Tracer) writeTrace(tr *record.Trace) bool {
 	data, err := record.Encode(tr)
 	return err == nil && t.spool.Append(spool.KindTrace, data) == spool.DropNone
 }
 
-// Close ends the sampler's window early, writes and sends the kept traces and stops
-// the tracer. ctx bounds the export. No method may be called after Close.
+// Close ends the followers and the sampler's window, writes and sends the kept traces
+// and stops the tracer. Traces that the disk does not accept are not stored. ctx bounds
+// the export only. No method may be called after Close.
 func (t *Tracer) Close(ctx context.Context) {
 	t.EndFollowers()
 	close(t.stop)
@@ -221,6 +230,7 @@
 	t.closeSpool()
 }
 
+// closeSpool closes the table of open queries and the spool, if they are open.
 func (t *Tracer) closeSpool() {
 	if t.table != nil {
 		if err := t.table.Close(); err != nil {
@@ -234,13 +244,14 @@
 	}
 }
 
-// runWriter collects kept traces at the end of each of the sampler's windows. It
-// sleeps while no trace is held and nothing waits to be written.
+// runWriter is the writer goroutine. It collects the kept traces at the end of each of
+// the sampler's windows, and sleeps while no trace is held and nothing waits to be
+// written.
 func (t *Tracer) runWriter() {
 	defer t.done.Done()
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	armed := false
+	armed := false // the timer is set for the end of the window
 	for {
 		select {
 		case <-t.stop:
@@ -255,7 +266,7 @@
 		}
 		t.mu.Lock()
 		windowEnd, waiting := t.sampler.WindowEnd()
-		waiting = waiting || len(t.unwrittenNotes) > 0
+		waiting = waiting || len(t.unwrittenLateOutcomes) > 0
 		t.mu.Unlock()
 		switch {
 		case waiting:
@@ -275,10 +286,11 @@
 	}
 }
 
-// collect takes the kept traces from the sampler and passes them to the followers,
-// the exporter and the spool. If final is set, it ends the sampler's window early.
-// Slots of the table of open queries are freed only after their traces were handed
-// to the spool, so that a kill in between loses none.
+// collect takes the kept traces from the sampler, if its window is over, and passes
+// them to the followers, the exporter and the spool. If final is set, it ends the
+// window early. Slots of the table of open queries are freed only after the attempt
+// to write their traces to the spool, so that a kill in between loses none. A trace
+// that the disk does not accept is from then on in memory only.
 func (t *Tracer) collect(final bool) {
 	now := time.Now()
 	t.mu.Lock()
@@ -308,8 +320,8 @@
 		delete(t.lateAttempts, t.lateQueue[0])
 		t.lateQueue = t.lateQueue[1:]
 	}
-	notes := t.unwrittenNotes
-	t.unwrittenNotes = nil
+	lateOutcomes := t.unwrittenLateOutcomes
+	t.unwrittenLateOutcomes = nil
 	if t.table != nil && t.table.Fault() != nil && !t.tableLossLogged {
 		t.tableLossLogged = true
 		t.opts.Log.Warn().Str("event", "trace-spool").Err(t.table.Fault()).
@@ -324,9 +336,9 @@
 	}
 	queuedBefore := len(t.spoolQueue.records)
 	if t.spool != nil {
-		t.writeToSpool(traces, notes)
+		t.writeToSpool(traces, lateOutcomes)
 	}
-	if len(traces)+len(notes)+queuedBefore == 0 {
+	if len(traces)+len(lateOutcomes)+queuedBefore == 0 {
 		return
 	}
 	t.mu.Lock()
@@ -341,8 +353,9 @@
 	}
 }
 
-// expectLateOutcomes moves a kept trace's unanswered attempts to lateAttempts: from
-// now on their outcomes are recorded as separate notes. The caller holds t.mu.
+// expectLateOutcomes removes a kept trace's attempts from t.attempts and adds those
+// that may still run to lateAttempts: from now on their outcomes are written as
+// separate records. The caller holds t.mu.
 func (t *Tracer) expectLateOutcomes(query *liveQuery, now time.Time) {
 	for i := range query.Attempts {
 		attempt := &query.Attempts[i]
@@ -358,8 +371,8 @@
 	}
 }
 
-// newLiveQuery returns the initial trace of a query, reusing a pooled one if there
-// is any. The caller holds t.mu.
+// newLiveQuery returns the initial trace of a query that the core accepted or turned
+// away at time at. It reuses a pooled one if there is any. The caller holds t.mu.
 func (t *Tracer) newLiveQuery(q *broker.Query, at time.Time) *liveQuery {
 	var query *liveQuery
 	if n := len(t.freeQueries); n > 0 {
@@ -396,7 +409,8 @@
 	return query
 }
 
-// Taken implements broker.Observer. It starts the trace of an accepted query.
+// QueryReceived implements broker.Observer. It starts the trace of a query, unless too
+// many are open.
 func (t *Tracer) QueryReceived(id broker.QueryID, q *broker.Query, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -411,7 +425,7 @@
 	}
 }
 
-// TurnedAway implements broker.Observer. It records a query that was refused
+// QueryTurnedAway implements broker.Observer. It records a query that was refused
 // because the core's queue was full.
 func (t *Tracer) QueryTurnedAway(q *broker.Query, at time.Time) {
 	t.mu.Lock()
@@ -420,26 +434,27 @@
 	t.endQuery(query, &broker.Reply{Verdict: broker.Refused}, at)
 }
 
-// Opened implements broker.Observer. It adds an attempt to its query's trace.
-func (t *Tracer) AttemptOpened(opening broker.AttemptInfo) {
+// AttemptOpened implements broker.Observer. It adds an attempt to its query's trace.
+func (t *Tracer) AttemptOpened(info broker.AttemptInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	query, _ := t.openQueries.get(uint64(opening.QueryID))
+	query, _ := t.openQueries.get(uint64(info.QueryID))
 	if query == nil {
 		return
 	}
 	query.Attempts = append(query.Attempts, record.Attempt{
-		ID: uint64(opening.ID), Span: record.AttemptSpan(query.Span, uint64(opening.ID)), Shard: opening.Shard, Number: opening.Index, Node: opening.Node, Cell: opening.Cell,
-		Reason: record.AttemptReason(opening.Reason), Suspected: opening.Suspected, Opened: record.OffsetOf(opening.OpenedAt.Sub(query.arrived)), Outcome: record.OutcomePending,
+		ID: uint64(info.ID), Span: record.AttemptSpan(query.Span, uint64(info.ID)), Shard: info.Shard, Number: info.Index, Node: info.Node, Cell: info.Cell,
+		Reason: record.AttemptReason(info.Reason), Suspected: info.Suspected, Opened: record.OffsetOf(info.OpenedAt.Sub(query.arrived)), Outcome: record.OutcomePending,
 	})
 	index := len(query.Attempts) - 1
-	t.attempts.put(uint64(opening.ID), attemptRef{query, index})
+	t.attempts.put(uint64(info.ID), attemptRef{query, index})
 	if query.tableSlot >= 0 {
 		t.table.PutAttempt(query.tableSlot, index, &query.Attempts[index])
 	}
 }
 
-// Cancelled implements broker.Observer. It records when the core cancelled an attempt.
+// AttemptCancelled implements broker.Observer. It records when the core cancelled an
+// attempt.
 func (t *Tracer) AttemptCancelled(id broker.AttemptID, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -448,8 +463,9 @@
 	}
 }
 
-// Ended implements broker.Observer. It records the outcome of an attempt.
-func (t *Tracer) AttemptEnded(id broker.AttemptID, outcome decide.Outcome, cause broker.EndCause, answerStart, at time.Time) {
+// AttemptEnded implements broker.Observer. It records the outcome of an attempt, unless
+// the query has ended before.
+func (t *Tracer) AttemptEnded(id broker.AttemptID, outcome decide.Outcome, cause broker.EndCause, firstByteAt, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	ref, ok := t.attempts.get(uint64(id))
@@ -457,8 +473,8 @@
 		return // endQuery has ended it
 	}
 	attempt := &ref.query.Attempts[ref.index]
-	if !answerStart.IsZero() {
-		attempt.FirstByte = record.OffsetOf(answerStart.Sub(ref.query.arrived))
+	if !firstByteAt.IsZero() {
+		attempt.FirstByte = record.OffsetOf(firstByteAt.Sub(ref.query.arrived))
 	}
 	attempt.End(outcome, cause != broker.EndedByNode, record.OffsetOf(at.Sub(ref.query.arrived)))
 	if ref.query.tableSlot >= 0 {
@@ -466,10 +482,10 @@
 	}
 }
 
-// Doubted implements broker.Observer. It marks the open attempts at a node that
+// NodeSuspected implements broker.Observer. It marks the open attempts at a node that
 // becomes suspected.
-func (t *Tracer) NodeSuspected(node string, doubted bool, _ time.Time) {
-	if !doubted {
+func (t *Tracer) NodeSuspected(node string, suspected bool, _ time.Time) {
+	if !suspected {
 		return
 	}
 	t.mu.Lock()
@@ -481,7 +497,7 @@
 	})
 }
 
-// Final implements broker.Observer. It ends the trace of a query.
+// QueryEnded implements broker.Observer. It ends the trace of a query.
 func (t *Tracer) QueryEnded(id broker.QueryID, reply *broker.Reply, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -499,7 +515,7 @@
 	query.Verdict, query.Complete, query.RetryAfter = record.Verdict(reply.Verdict), reply.Whole, reply.RetryAfter
 	for i := range query.Attempts {
 		if attempt := &query.Attempts[i]; !attempt.Ended.IsSet() {
-			// No answer came: the core has cancelled it, but the node may still
+			// No answer came: the core cancels the attempt, but the node may still
 			// execute it.
 			attempt.End(decide.Cancelled, true, query.Ended)
 		}
@@ -532,7 +548,8 @@
 	}
 }
 
-// discard frees a query whose trace is not kept. The caller holds t.mu.
+// discard frees the table slot of a query whose trace is not kept and returns the query
+// to the pool. The caller holds t.mu.
 func (t *Tracer) discard(query *liveQuery) {
 	for i := range query.Attempts {
 		t.attempts.remove(query.Attempts[i].ID)
@@ -545,8 +562,8 @@
 	}
 }
 
-// Wire implements broker.WireObserver. It records when an attempt's connection was dialed or
-// established, or its request sent.
+// PhaseReached implements broker.WireObserver. It records an attempt's address, and when
+// its connection was dialed or established or its last byte sent.
 func (t *Tracer) PhaseReached(id broker.AttemptID, phase broker.WirePhase, addr string, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -573,31 +590,33 @@
 	}
 }
 
-// Late implements broker.WireObserver. It records an outcome that arrived after the attempt was
-// given up: in the trace until that is written, as a separate note afterwards.
+// LateOutcome implements broker.WireObserver. It records an outcome that arrived after
+// the attempt was cancelled: in the trace until that is collected, afterwards as a
+// separate record and in the copy of the trace in memory.
 func (t *Tracer) LateOutcome(id broker.AttemptID, lateOutcome decide.Outcome, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if ref, ok := t.attempts.get(uint64(id)); ok {
 		attempt, outcome := &ref.query.Attempts[ref.index], record.Outcome(lateOutcome)
 		attempt.LateAt, attempt.LateOutcome = record.OffsetOf(at.Sub(ref.query.arrived)), &outcome
-		t.lateOutcomes++
+		t.lateOutcomeCount++
 		return
 	}
 	if ref, ok := t.lateAttempts[id]; ok {
 		delete(t.lateAttempts, id) // its entry in lateQueue is removed on expiry
-		note := record.LateOutcome{ID: ref.traceID, Span: ref.querySpan, Attempt: uint64(id), At: record.OffsetOf(at.Sub(ref.arrived)), Outcome: record.Outcome(lateOutcome)}
-		t.recent.applyNote(note)
-		t.lateOutcomes++
-		if t.spool != nil && len(t.unwrittenNotes) < maxLateAttempts {
-			t.unwrittenNotes = append(t.unwrittenNotes, note)
+		late := record.LateOutcome{ID: ref.traceID, Span: ref.querySpan, Attempt: uint64(id), At: record.OffsetOf(at.Sub(ref.arrived)), Outcome: record.Outcome(lateOutcome)}
+		t.recent.applyLateOutcome(late)
+		t.lateOutcomeCount++
+		if t.spool != nil && len(t.unwrittenLateOutcomes) < maxLateAttempts {
+			t.unwrittenLateOutcomes = append(t.unwrittenLateOutcomes, late)
 			t.wakeWriter()
 		}
 	}
 }
 
-// Carry implements broker.WireObserver. It returns the W3C trace context headers of an
-// attempt's request, with the attempt as the parent.
+// TraceHeaders implements broker.WireObserver. It returns the W3C trace context headers
+// of an attempt's request, with the attempt as the parent; both are empty if the attempt
+// is not traced.
 func (t *Tracer) TraceHeaders(id broker.AttemptID) (traceparent, tracestate string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/tracing/tracer_test.go
+++ b/tracing/tracer_test.go
@@ -39,8 +39,8 @@
 	return tracer
 }
 
-func newQuery(name string, came time.Time) *broker.Query {
-	return &broker.Query{RequestID: name, Parts: []broker.Part{{Shard: 3, Share: 1}}, ArrivedAt: came, Budget: 2 * time.Second}
+func newQuery(name string, arrivedAt time.Time) *broker.Query {
+	return &broker.Query{RequestID: name, Parts: []broker.Part{{Shard: 3, Share: 1}}, ArrivedAt: arrivedAt, Budget: 2 * time.Second}
 }
 
 func readKept(t testing.TB, tracer *Tracer, filter record.Filter) []*record.Trace {
@@ -157,9 +157,9 @@
 	tr := startWithoutWriter(t, Config{GoodShare: 1}, io.Discard, nil)
 	now := time.Now()
 	for id := broker.QueryID(1); id <= 3; id++ {
-		came := now.Add(time.Duration(id) * time.Millisecond)
-		tr.QueryReceived(id, newQuery(fmt.Sprintf("q%d", id), came), came)
-		tr.QueryEnded(id, &broker.Reply{Whole: true}, came.Add(time.Microsecond))
+		arrivedAt := now.Add(time.Duration(id) * time.Millisecond)
+		tr.QueryReceived(id, newQuery(fmt.Sprintf("q%d", id), arrivedAt), arrivedAt)
+		tr.QueryEnded(id, &broker.Reply{Whole: true}, arrivedAt.Add(time.Microsecond))
 	}
 	traces := readKept(t, tr, record.Filter{})
 	if len(traces) != 3 {
@@ -356,7 +356,7 @@
 
 // The trace context sent to nodes must have the caller's trace ID, sampled flag and
 // state, with the attempt as the parent.
-func TestCarryPropagatesTraceContext(t *testing.T) {
+func TestTraceHeadersPropagateTraceContext(t *testing.T) {
 	tr := startWithoutWriter(t, Config{}, io.Discard, nil)
 	q := newQuery("q", tr.start)
 	q.Trace = broker.TraceContext{TraceID: [16]byte{0xab}, ParentID: [8]byte{1}, Sampled: true, TraceState: "a=1"}
--- a/tracing/view/view.go
+++ b/tracing/view/view.go
@@ -18,7 +18,7 @@
 
 // The characters of a bar, by what the attempt was waiting for.
 const (
-	markWaiting = '.' // in the core or waiting for a connection
+	markWaiting = '.' // in the broker or waiting for a connection
 	markNode    = '=' // at the node, for the first byte of the answer
 	markRead    = '#' // for the rest of the answer
 	markSending = '~' // until its last byte was sent
@@ -99,7 +99,8 @@
 	return writeTable(w, rows)
 }
 
-// WriteTrace writes one trace as a waterfall, followed by its critical path.
+// WriteTrace writes one trace: its properties, a waterfall of its attempts and its
+// critical path.
 func WriteTrace(w io.Writer, t *record.Trace) error {
 	path := critical.PathOf(t)
 	onPath := map[int]bool{}
@@ -197,7 +198,7 @@
 	return string(columns)
 }
 
-// describeOutcome describes how an attempt ended.
+// describeOutcome describes how an attempt ended, or that it has not ended.
 func describeOutcome(t *record.Trace, a *record.Attempt) string {
 	text := a.Outcome.String()
 	if a.EndedByBroker && a.Ended.IsSet() {
