--- a/tracing/bench_test.go
+++ b/tracing/bench_test.go
@@ -10,8 +10,8 @@
 	"onyxsail/decide"
 )
 
-// BenchmarkGoodQuery measures the tracer's own cost of a good query of four parts, in
-// memory only and with the table of open queries.
+// BenchmarkGoodQuery measures the tracer's own cost of a good query of four parts, once
+// in memory only and once with the table of open queries.
 func BenchmarkGoodQuery(b *testing.B) {
 	for _, c := range []struct {
 		name string
--- a/tracing/critical/critical_test.go
+++ b/tracing/critical/critical_test.go
@@ -11,12 +11,14 @@
 	"onyxsail/tracing/record"
 )
 
+// offsetMs returns the offset of an event, in milliseconds after the query's arrival.
 func offsetMs(ms int) record.Offset { return record.OffsetOf(time.Duration(ms) * time.Millisecond) }
 
 const ok = record.Outcome(decide.OK)
 
 // newAttempt returns an attempt that was sent at once on an established connection.
-// Times are in milliseconds; 0 stands for an event that did not happen.
+// opened, answer (the first byte) and ended are in milliseconds after the query's
+// arrival; an answer or ended of 0 stands for an event that did not happen.
 func newAttempt(shard, number int, node string, reason record.AttemptReason, opened, answer, ended int, outcome record.Outcome) record.Attempt {
 	a := record.Attempt{ID: uint64(100*shard + number), Shard: shard, Number: number, Node: node, Reason: reason, Opened: offsetMs(opened), Sent: offsetMs(opened), Outcome: outcome}
 	if answer > 0 {
@@ -28,10 +30,14 @@
 	return a
 }
 
+// newTrace returns the trace of a query that the core accepted after 1 ms and that ended
+// after the given number of milliseconds.
 func newTrace(ended int, verdict record.Verdict, attempts ...record.Attempt) *record.Trace {
 	return &record.Trace{Class: "screen", Accepted: offsetMs(1), Ended: offsetMs(ended), Verdict: verdict, Probability: 1, Attempts: attempts}
 }
 
+// formatSegments returns a path as text: for each segment its phase, its duration in
+// milliseconds and, after "@", the index of its attempt.
 func formatSegments(p Path) string {
 	text := ""
 	for _, segment := range p.Segments {
@@ -40,7 +46,7 @@
 	return text
 }
 
-// The path follows the part and the attempt that determined the end of the query.
+// The path must follow the part and the attempt that determined the end of the query.
 func TestPathFollowsTheDecisiveAttempt(t *testing.T) {
 	dialed := newAttempt(1, 0, "a", 0, 2, 80, 90, ok)
 	dialed.DialStarted, dialed.Connected, dialed.Sent = offsetMs(0), offsetMs(30), offsetMs(35)
@@ -74,7 +80,7 @@
 	}
 }
 
-// For any offsets, even contradictory ones, the segments are contiguous and add up
+// For any offsets, even contradictory ones, the segments must be contiguous and add up
 // to the elapsed time of the query.
 func TestPathSegmentsAreContiguousAndCoverTheQuery(t *testing.T) {
 	offset := rapid.Custom(func(t *rapid.T) record.Offset { return record.Offset(rapid.Int64Range(0, 60).Draw(t, "offset")) })
@@ -100,7 +106,7 @@
 	})
 }
 
-// Only time beyond the baseline counts as lost; it is weighted by the inverse
+// Only time beyond the baseline may count as lost. It must be weighted by the inverse
 // sampling probability and attributed to the node at which it was spent.
 func TestLostTimeIsWeightedAndAttributedToItsNode(t *testing.T) {
 	baseline := newTrace(22, 0, newAttempt(1, 0, "a", 0, 2, 18, 20, ok))
@@ -110,13 +116,13 @@
 	late.Reasons, late.Probability = record.Late, 0.25
 	report := AttributeLostTime([]*record.Trace{baseline, late})
 	if report.Traces != 2 || report.BadTraces != 1 || report.BaselineTraces != 1 || report.Queries != 4 || report.LostTime != 800*time.Millisecond {
-		t.Fatalf("got %+v", report)
+		t.Fatalf("got report %+v, want a bad and a baseline trace, and 800 ms lost in 4 queries", report)
 	}
 	top := report.Combined[0]
 	if top.Node != "b" || top.Phase != PhaseNode || top.Cell != "2" || top.AttemptReason != "first" || top.LostTime != 800*time.Millisecond || top.Share != 1 {
-		t.Errorf("first combined row: got %+v", top)
+		t.Errorf("first combined row: got %+v, want all 800 ms at node b in cell 2, by a first attempt", top)
 	}
 	if report.Reasons["late"] != 1 || len(report.Nodes) != 1 || report.Cells[0].Queries != 4 {
-		t.Errorf("got %+v", report)
+		t.Errorf("got report %+v, want one late trace, a single node, and 4 queries in the first cell", report)
 	}
 }
--- a/tracing/end_test.go
+++ b/tracing/end_test.go
@@ -31,15 +31,15 @@
 	dir := t.TempDir()
 	broker, nodes := startBroker(t, 1, true, map[string]any{"dir": dir, "good_share": 1}, nil)
 	cases := []struct {
-		name    string
-		parents []string
-		state   string
-		same    bool
+		name           string
+		traceparents   []string
+		tracestate     string
+		continuesTrace bool
 	}{{"good", []string{unsampledParent}, "a=1", true}, {"asked", []string{sampledParent}, "", true}, {"none", nil, "", false},
 		{"malformed", []string{"00-xyz"}, "a=1", false}, {"repeated", []string{sampledParent, sampledParent}, "", false},
 		{"too-long", []string{sampledParent + strings.Repeat("-0", 500)}, "", false}}
 	for _, c := range cases {
-		for front, ask := range map[string]func(testkit.Query) testkit.Reply{
+		for front, sendQuery := range map[string]func(testkit.Query) testkit.Reply{
 			"http": func(q testkit.Query) testkit.Reply {
 				return testkit.QueryHTTP(context.Background(), broker.Addr().String(), q)
 			},
@@ -47,9 +47,9 @@
 				return testkit.QueryFlight(context.Background(), broker.FlightAddr().String(), q)
 			},
 		} {
-			q := testkit.Query{Class: "screen", ID: c.name + "-" + front, Shards: []int{2}, Timeout: 3 * time.Second, Traceparent: c.parents, Tracestate: c.state}
-			if r := ask(q); r.Outcome != "served" {
-				t.Fatalf("%s: %+v", q.ID, r)
+			q := testkit.Query{Class: "screen", ID: c.name + "-" + front, Shards: []int{2}, Timeout: 3 * time.Second, Traceparent: c.traceparents, Tracestate: c.tracestate}
+			if r := sendQuery(q); r.Outcome != "served" {
+				t.Fatalf("%s: got reply %+v, want served", q.ID, r)
 			}
 		}
 	}
@@ -60,14 +60,14 @@
 	for _, tr := range readDir(t, dir) {
 		traces[tr.Query] = tr
 	}
-	calls := map[string]testkit.Part{}
-	for _, call := range nodes[0].Parts() {
-		calls[strings.TrimSuffix(call.ID, ".2")] = call
+	received := map[string]testkit.Part{}
+	for _, part := range nodes[0].Parts() {
+		received[strings.TrimSuffix(part.ID, ".2")] = part
 	}
 	for _, c := range cases {
 		for _, front := range []string{"http", "flight"} {
 			name := c.name + "-" + front
-			tr, call := traces[name], calls[name]
+			tr, part := traces[name], received[name]
 			if tr == nil || len(tr.Attempts) != 1 {
 				t.Fatalf("%s: got trace %+v, want one with a single attempt", name, tr)
 			}
@@ -75,22 +75,23 @@
 			if c.name == "asked" {
 				flag = "01"
 			}
-			if want := fmt.Sprintf("00-%s-%s-%s", tr.ID, tr.Attempts[0].Span, flag); call.Traceparent != want {
-				t.Errorf("%s: the node got %q, want %q", name, call.Traceparent, want)
+			if want := fmt.Sprintf("00-%s-%s-%s", tr.ID, tr.Attempts[0].Span, flag); part.Traceparent != want {
+				t.Errorf("%s: the node got %q, want %q", name, part.Traceparent, want)
 			}
-			if same := tr.ID.String() == sampledParent[3:35]; same != c.same || same && (tr.Parent.String() != sampledParent[36:52] || call.Tracestate != c.state) ||
-				!same && (tr.Parent != record.SpanID{} || call.Tracestate != "") {
-				t.Errorf("%s: wrong trace context: trace %s, parent %s, state %q", name, tr.ID, tr.Parent, call.Tracestate)
+			if same := tr.ID.String() == sampledParent[3:35]; same != c.continuesTrace || same && (tr.Parent.String() != sampledParent[36:52] || part.Tracestate != c.tracestate) ||
+				!same && (tr.Parent != record.SpanID{} || part.Tracestate != "") {
+				t.Errorf("%s: wrong trace context: got trace %s, parent span %s and, at the node, tracestate %q", name, tr.ID, tr.Parent, part.Tracestate)
 			}
-			if asked := tr.Reasons&record.Requested != 0; asked != (c.name == "asked") {
+			if requested := tr.Reasons&record.Requested != 0; requested != (c.name == "asked") {
 				t.Errorf("%s: got reasons %s, want asked only with the sampled flag", name, tr.Reasons)
 			}
 		}
 	}
 }
 
-// Disabled tracing must run no goroutine and report no status. With tracing enabled,
-// the same check must find its goroutines, and none must remain after the stop.
+// With tracing disabled, no goroutine of its packages may run and the status must not
+// contain it. With tracing enabled, the same search must find its goroutines, and none
+// may remain after the stop.
 func TestDisabledTracingStartsNoGoroutine(t *testing.T) {
 	stacks := func() string {
 		b := make([]byte, 1<<20)
@@ -117,7 +118,8 @@
 	}
 }
 
-// A follower's stream must not block the stop of a broker.
+// A broker waits for its clients' streams when it stops. A follower's stream, which
+// would never end by itself, must not make the stop wait.
 func TestFollowersDoNotBlockStop(t *testing.T) {
 	broker, _ := startBroker(t, 1, false, map[string]any{}, nil)
 	root := cli.NewRootCommand(&lockedBuffer{}, &lockedBuffer{})
@@ -133,9 +135,9 @@
 	}
 }
 
-// The trace commands must work against a running broker: list, show with the waterfall,
-// why with the lost time by node, tail with traces as they are kept, and their JSON
-// output. Invalid arguments must be named in the error.
+// The trace commands must work on a running broker: list, show with the waterfall, why
+// with the lost time by node, tail with traces as they are kept, and their JSON output.
+// The error for an invalid argument must name it.
 func TestTraceCommandsOnRunningBroker(t *testing.T) {
 	broker, nodes := startBroker(t, 1, false, map[string]any{"good_share": 1}, shortenClassTimes)
 	addr := broker.FlightAddr().String()
@@ -152,7 +154,7 @@
 	go func() { tailDone <- root.ExecuteContext(ctx) }()
 	nodes[0].SetResponder(func(c testkit.Part) string {
 		if c.Shard == 5 {
-			time.Sleep(objective + objective/2) // a stalled node
+			time.Sleep(objective + objective/2) // simulates a stalled node
 		}
 		return testkit.Done
 	})
@@ -170,26 +172,26 @@
 	}
 	var first record.Trace
 	if err := json.Unmarshal([]byte(strings.SplitN(tail.text(), "\n", 2)[0]), &first); err != nil || first.Reasons&record.Late == 0 {
-		t.Errorf("first line of tail is not a late trace: %q: %v", tail.text(), err)
+		t.Errorf("tail: got %q and error %v, want a late trace in the first line", tail.text(), err)
 	}
 	testkit.Eventually(t, "the fast query in the list", func() bool { stdout, _, _ := command("list"); return strings.Contains(stdout, "fast") })
 	if stdout, stderr, code := command("list", "--reason", "late", "--node", "s-0"); code != 0 || !strings.Contains(stdout, "slow0") || strings.Contains(stdout, "fast") ||
 		!strings.Contains(stdout, "node ") {
-		t.Errorf("list: %s%s", stdout, stderr)
+		t.Errorf("list of late queries at s-0: got %s%s, want only the query slow0, with most time at the node", stdout, stderr)
 	}
 	if stdout, stderr, code := command("show", "slow0"); code != 0 || !strings.Contains(stdout, "late") || !strings.Contains(stdout, "====") || !strings.Contains(stdout, "CRITICAL PATH") ||
 		!strings.Contains(stdout, nodes[0].Addr) {
-		t.Errorf("show: %s%s", stdout, stderr)
+		t.Errorf("show: got %s%s, want a late query with its critical path and the node's bar and address", stdout, stderr)
 	}
 	if stdout, _, code := command("show", "slow0", "--json"); code != 0 || !strings.Contains(stdout, `"critical_path":{"shard":5`) {
-		t.Errorf("show --json: %s", stdout)
+		t.Errorf("show --json: got %s, want a critical path through shard 5", stdout)
 	}
 	if stdout, stderr, code := command("why"); code != 0 || !strings.Contains(stdout, "s-0") || !strings.Contains(stdout, "screen: node s-0 first") {
-		t.Errorf("why: %s%s", stdout, stderr)
+		t.Errorf("why: got %s%s, want a row for first attempts of class screen at node s-0", stdout, stderr)
 	}
-	var table critical.LostTimeReport
-	if stdout, _, code := command("why", "--json"); code != 0 || json.Unmarshal([]byte(stdout), &table) != nil || table.BadTraces == 0 || table.Phases[0].Phase != critical.PhaseNode {
-		t.Errorf("why --json: %s", stdout)
+	var report critical.LostTimeReport
+	if stdout, _, code := command("why", "--json"); code != 0 || json.Unmarshal([]byte(stdout), &report) != nil || report.BadTraces == 0 || report.Phases[0].Phase != critical.PhaseNode {
+		t.Errorf("why --json: got %s, want bad traces that lost most time at the node", stdout)
 	}
 	for _, c := range []struct{ args, want string }{
 		{"list --reason odd", "--reason"}, {"show nothing-like-it", "nothing-like-it"}, {"list --limit 9999", "limit"}, {"list --dir /nowhere/at/all", "--dir"},
@@ -221,10 +223,10 @@
 	return l.buf.String()
 }
 
-// A reduced form of an incident in the operators' records: three of ten nodes stall on
-// one part in five, at random, and one of them never answers those parts. In between
-// they answer quickly, so that the decision module keeps sending them parts. `why` must
-// attribute most of the lost time to these three nodes.
+// Three of ten nodes stall on one part in five, at random, and one of them never answers
+// those parts. In between they answer quickly, so that the decision module keeps sending
+// them parts. This is a reduced form of an incident at the operators'. `why` must
+// attribute at least half of the lost time to these three nodes.
 func TestWhyAttributesLostTimeToStallingNodes(t *testing.T) {
 	dir := t.TempDir()
 	broker, nodes := startBroker(t, 10, false, map[string]any{"dir": dir, "good_share": 0.2, "budget_per_s": 1000}, shortenClassTimes)
@@ -263,19 +265,19 @@
 	if err := broker.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	table := critical.AttributeLostTime(readDir(t, dir))
+	report := critical.AttributeLostTime(readDir(t, dir))
 	var out bytes.Buffer
-	if err := view.WriteLostTime(&out, table, 6); err != nil {
+	if err := view.WriteLostTime(&out, report, 6); err != nil {
 		t.Fatal(err)
 	}
 	t.Logf("\n%s", out.String())
 	share := 0.0
-	for _, r := range table.Nodes {
-		if r.Node == "s-7" || r.Node == "s-8" || r.Node == "s-9" {
-			share += r.Share
+	for _, row := range report.Nodes {
+		if row.Node == "s-7" || row.Node == "s-8" || row.Node == "s-9" {
+			share += row.Share
 		}
 	}
-	if table.BadTraces == 0 || table.BaselineTraces == 0 || share < 0.5 {
+	if report.BadTraces == 0 || report.BaselineTraces == 0 || share < 0.5 {
 		t.Errorf("%.0f%% of the lost time is attributed to the three stalling nodes, want at least half", 100*share)
 	}
 }
--- a/tracing/export/export_test.go
+++ b/tracing/export/export_test.go
@@ -13,6 +13,7 @@
 	"onyxsail/tracing/record"
 )
 
+// startExporter starts an exporter to the collector at addr.
 func startExporter(t *testing.T, addr string, limits Limits) *Exporter {
 	t.Helper()
 	start := time.Now()
@@ -24,8 +25,10 @@
 	return e
 }
 
+// shortLimits have short delays, and attempts for more failures than a test causes.
 var shortLimits = Limits{MaxTraces: 8, MaxBytes: 1 << 20, MaxBatch: 4, MaxBatchDelay: 5 * time.Millisecond, InitialBackoff: 10 * time.Millisecond, MaxBackoff: 40 * time.Millisecond, MaxRetryAfter: time.Minute, MaxAttempts: 6}
 
+// newTrace returns a trace of two spans, that of the query and that of an attempt.
 func newTrace(i int) *record.Trace {
 	return &record.Trace{ID: record.TraceID{1, byte(i)}, Span: record.SpanID{2, byte(i)}, Received: time.Unix(1_800_000_000, 0),
 		Accepted: 1, Ended: 1000, Attempts: []record.Attempt{{ID: 1, Opened: 2, Ended: 900, Span: record.SpanID{3, byte(i)}}}}
@@ -73,7 +76,7 @@
 }
 
 // Without a reachable collector the queue must stay bounded, Enqueue must not block, and
-// Close must return and drop the queue.
+// Close must return, drop the queue and count its traces.
 func TestQueueIsBoundedWithoutCollector(t *testing.T) {
 	limits := shortLimits
 	limits.MaxAttempts = 1000
@@ -82,7 +85,7 @@
 		exporter.Enqueue(newTrace(i))
 	}
 	if got := exporter.Counts(); got.Queued > limits.MaxTraces || got.Dropped[QueueFull] < 50-int64(limits.MaxTraces) {
-		t.Errorf("got counts %+v, want at most 8 traces queued and the others dropped", got)
+		t.Errorf("got counts %+v, want at most 8 traces queued and the others dropped and counted", got)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -107,8 +110,8 @@
 }
 
 // For random events: the limits of the queue, of batches and of backoffs must be kept,
-// Retry-After must be respected, queued traces must have a time to be sent at, and each
-// trace must be counted exactly once.
+// Retry-After must be respected, a wake-up must be due while traces wait in the queue,
+// and each trace must be counted exactly once.
 func TestSchedulerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{MaxTraces: rapid.IntRange(1, 9).Draw(t, "queue"), MaxBytes: rapid.IntRange(20, 90).Draw(t, "bytes"), MaxBatch: rapid.IntRange(1, 5).Draw(t, "batch"),
@@ -128,7 +131,7 @@
 					t.Fatalf("batch of %d at %d, with %d in flight and none allowed before %d", n, now, inFlight, notBefore)
 				}
 				if n == 0 && wakeAt > 0 && (wakeAt <= now || wakeAt > now+max(limits.MaxBatchDelay, limits.MaxRetryAfter)) {
-					t.Fatalf("wakes at %d, outside the limits at time %d", wakeAt, now)
+					t.Fatalf("wakes at %d, want a time after %d within the limits of delays", wakeAt, now)
 				}
 				if n == 0 && wakeAt == 0 && inFlight == 0 && scheduler.Counts().Queued > 0 {
 					t.Fatal("traces are queued, but there is no wake-up time")
@@ -142,7 +145,7 @@
 				retryAfter := time.Duration(rapid.IntRange(0, 120).Draw(t, "after"))
 				removed := scheduler.Complete(now, result, retryAfter, rapid.IntRange(-1, 9).Draw(t, "rejected"))
 				if removed != inFlight && (removed != 0 || result == Accepted || result == PermanentError) {
-					t.Fatalf("%d of %d removed after result %d", removed, inFlight, result)
+					t.Fatalf("%d of %d traces removed after result %d, want all or, for a retry, none", removed, inFlight, result)
 				}
 				if notBefore = 0; result == RetryableError || result == NoResponse {
 					notBefore = now + max(limits.InitialBackoff/2, min(retryAfter, limits.MaxRetryAfter))
@@ -155,7 +158,7 @@
 				sum += n
 			}
 			if counts.Queued > limits.MaxTraces || counts.Bytes > limits.MaxBytes || sum != enqueued {
-				t.Fatalf("got counts %+v after %d enqueued traces", counts, enqueued)
+				t.Fatalf("got counts %+v after %d enqueued traces, want each counted once and the queue within its limits", counts, enqueued)
 			}
 		}
 	})
--- a/tracing/process_test.go
+++ b/tracing/process_test.go
@@ -37,10 +37,11 @@
 // brokerProcess is a broker running in its own process.
 type brokerProcess struct {
 	cmd  *exec.Cmd
-	addr string
+	addr string // of its HTTP front
 }
 
-// launchBroker starts a binary, or the test binary if empty, as a broker.
+// launchBroker starts a binary as a broker, or the test binary if binary is empty, and
+// waits until it listens. Tracing is enabled if tracingConfig is not nil.
 func launchBroker(t testing.TB, binary string, nodes []*testkit.Node, discovery *testkit.Discovery, tracingConfig map[string]any) *brokerProcess {
 	t.Helper()
 	var entries []testkit.Entry
@@ -73,23 +74,24 @@
 	}
 	go func() { _, _ = io.Copy(io.Discard, stderr) }() // ends with the process
 	if process.addr == "" {
-		t.Fatal("the broker did not start")
+		t.Fatal("the broker ended without logging a listen address")
 	}
 	return process
 }
 
+// kill kills the process with SIGKILL and waits for its end.
 func (p *brokerProcess) kill() {
 	_ = p.cmd.Process.Kill() // it may have ended already
 	_ = p.cmd.Wait()
 }
 
-// cpuTime returns the CPU time that the process has used.
+// cpuTime returns the CPU time that the threads of the process have used.
 func (p *brokerProcess) cpuTime(t testing.TB) time.Duration {
 	t.Helper()
 	sum := int64(0)
 	tasks, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", p.cmd.Process.Pid))
 	if err != nil || len(tasks) == 0 {
-		t.Fatal("cannot find the CPU times of the threads", err)
+		t.Fatal("found no CPU times of the broker's threads in /proc:", err)
 	}
 	for _, path := range tasks {
 		if b, err := os.ReadFile(path); err == nil { // a thread may have ended
@@ -113,7 +115,7 @@
 	tracingConfig := map[string]any{"dir": dir}
 	process := launchBroker(t, "", nodes, discovery, tracingConfig)
 	if reply := testkit.QueryHTTP(context.Background(), process.addr, testkit.Query{Class: "screen", ID: "good", Shards: []int{1}, Timeout: 3 * time.Second}); reply.Outcome != "served" {
-		t.Fatalf("got %+v", reply)
+		t.Fatalf("before the kill: got reply %+v, want served", reply)
 	}
 	for _, n := range nodes {
 		n.SetResponse(testkit.NeverAnswer)
@@ -158,7 +160,8 @@
 
 var untracedBinary = flag.String("tracing.absent", "", "a broker binary built without tracing, to be measured as well")
 
-// BenchmarkTracing measures the cost of tracing for good queries. Brokers with tracing
+// BenchmarkTracing measures the cost of tracing for good queries: CPU time and median
+// latency, in absolute terms and relative to disabled tracing. Brokers with tracing
 // disabled and enabled, and the binary of -tracing.absent if given, serve the same load
 // alternately, each in its own process. An iteration runs each of them once.
 func BenchmarkTracing(b *testing.B) {
@@ -171,7 +174,7 @@
 		name, binary  string
 		tracingConfig func() map[string]any
 		cpu           []float64 // microseconds per query, by iteration
-		latency       []float64 // median of the iteration, microseconds
+		latency       []float64 // median in microseconds, by iteration
 	}
 	noTracing := func() map[string]any { return nil }
 	variants := []*variant{
@@ -187,7 +190,7 @@
 		id++
 		r := testkit.QueryHTTP(context.Background(), p.addr, testkit.Query{Class: "screen", ID: fmt.Sprintf("b%d", id), Shards: []int{1, 4, 7, 9}, Timeout: 3 * time.Second})
 		if r.Outcome != "served" {
-			b.Fatalf("got %+v", r)
+			b.Fatalf("got reply %+v, want served", r)
 		}
 		return r.Latency
 	}
@@ -232,11 +235,13 @@
 	}
 }
 
+// median returns the median of the values, of which there must be at least one.
 func median(x []float64) float64 {
 	x = slices.Sorted(slices.Values(x))
 	return (x[(len(x)-1)/2] + x[len(x)/2]) / 2
 }
 
+// ratios returns the quotients of the elements of a and b at the same index.
 func ratios(a, b []float64) []float64 {
 	out := make([]float64, len(a))
 	for i := range a {
--- a/tracing/proof_test.go
+++ b/tracing/proof_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// startBroker starts a broker with n nodes, with tracing enabled if tracingConfig is
-// not nil.
+// startBroker starts a broker with n nodes, named s-0 and so on, with tracing enabled if
+// tracingConfig is not nil. settings, if not nil, changes the default settings.
 func startBroker(t testing.TB, n int, flightNodes bool, tracingConfig map[string]any, settings func(map[string]any)) (*daemon.Daemon, []*testkit.Node) {
 	t.Helper()
 	var nodes []*testkit.Node
@@ -59,9 +59,9 @@
 	return broker, nodes
 }
 
-// TestProofTracesOfBadQueriesAreKept sends queries of all classes to nodes that stall,
-// fail and refuse at random by a seed. Each query that a client saw fail or take longer
-// than its objective must have a trace, and only a sample of the good ones.
+// Nodes stall, fail, refuse and fail to answer at random, by a fixed seed. Each query
+// that a client saw fail or take clearly longer than its objective must have a trace as
+// a bad one, but only some of the good queries.
 func TestProofTracesOfBadQueriesAreKept(t *testing.T) {
 	dir := t.TempDir()
 	broker, nodes := startBroker(t, 4, false, map[string]any{
@@ -76,7 +76,7 @@
 			mu.Unlock()
 			switch {
 			case x < 0.06:
-				time.Sleep(objective + objective/2) // simulates the stall; waits for no condition
+				time.Sleep(objective + objective/2) // simulates a stalled node
 			case x < 0.08:
 				return testkit.Failed
 			case x < 0.10:
@@ -98,8 +98,8 @@
 					Shards: []int{i % 18, (i + 7) % 18}, Timeout: 500 * time.Millisecond}
 				r := testkit.QueryHTTP(context.Background(), broker.Addr().String(), q)
 				mu.Lock()
-				// The client measures a little more than the broker: also the network
-				// time of the request and the response.
+				// The client's latency is a little longer than the broker's, as it
+				// includes the network time of the request and the response.
 				if r.Outcome != "served" || r.Latency > objective+objective/4 {
 					bad[q.ID] = fmt.Sprintf("%s after %v", r.Outcome, r.Latency)
 				} else if r.Latency < objective {
@@ -119,10 +119,10 @@
 		byReason[tr.KeepReason]++
 	}
 	missed, keptGood := 0, 0
-	for id, why := range bad {
+	for id, result := range bad {
 		if tr := kept[id]; tr == nil || tr.Reasons&^(record.Baseline|record.Requested) == 0 {
 			missed++
-			t.Errorf("no trace of bad query %s: %s", id, why)
+			t.Errorf("no trace of bad query %s: %s", id, result)
 		}
 	}
 	for id := range good {
@@ -137,6 +137,7 @@
 	fmt.Printf("proof: traces missed %d of %d bad, kept %d of %d good\n", missed, len(bad), keptGood, len(good))
 }
 
+// readDir returns all traces of a spool directory and fails if any is unreadable.
 func readDir(t testing.TB, dir string) []*record.Trace {
 	t.Helper()
 	traces, unreadable, err := tracing.ReadDir(dir, record.Filter{})
--- a/tracing/record/record_test.go
+++ b/tracing/record/record_test.go
@@ -10,6 +10,7 @@
 	"onyxsail/decide"
 )
 
+// fullTrace returns a trace with nearly all fields set.
 func fullTrace() *Trace {
 	late := Outcome(decide.OK)
 	return &Trace{
@@ -21,7 +22,7 @@
 	}
 }
 
-// Every field of a trace survives encoding and decoding.
+// Encoding and decoding must keep every field that is set in a trace.
 func TestEncodeDecodeKeepsEveryField(t *testing.T) {
 	data, err := Encode(fullTrace())
 	if err != nil {
@@ -29,11 +30,11 @@
 	}
 	got, err := Decode(data)
 	if err != nil || !reflect.DeepEqual(got, fullTrace()) {
-		t.Errorf("got %+v, %v", got, err)
+		t.Errorf("decoded %+v, error %v; want the encoded trace", got, err)
 	}
 }
 
-// Each kind of invalid field is rejected with an error that names the field.
+// Each kind of invalid field must be rejected with an error that names the field.
 func TestDecodeErrorNamesTheField(t *testing.T) {
 	data, err := Encode(fullTrace())
 	if err != nil {
@@ -55,7 +56,7 @@
 	}
 }
 
-// Decode does not panic, and what it accepts survives another round trip.
+// Decode must not panic, and must accept again what it accepted and Encode re-encoded.
 func FuzzDecode(f *testing.F) {
 	data, _ := Encode(fullTrace())
 	f.Add(data)
@@ -75,7 +76,7 @@
 	})
 }
 
-// Each verdict and attempt outcome leads to the documented reasons.
+// Each verdict, and each way in which attempts end, must give its reasons and no others.
 func TestDeriveReasons(t *testing.T) {
 	answered := func(n int) Attempt {
 		return Attempt{Shard: 1, Number: n, Outcome: Outcome(decide.OK), Ended: OffsetOf(time.Duration(n))}
@@ -98,7 +99,7 @@
 		{"a suspected node", Trace{Complete: true, Attempts: []Attempt{{Suspected: true}}}, SuspectNode},
 	} {
 		if got := c.t.DeriveReasons(); got != c.want {
-			t.Errorf("%s: %s, want %s", c.name, got, c.want)
+			t.Errorf("%s: got reasons %q, want %q", c.name, got, c.want)
 		}
 	}
 }
--- a/tracing/sample/sample_test.go
+++ b/tracing/sample/sample_test.go
@@ -11,12 +11,13 @@
 	"onyxsail/tracing/record"
 )
 
+// testConfig returns a configuration that keeps up to 20 traces per window.
 func testConfig() Config {
 	return Config{MaxTraces: 20, MaxBytes: 1 << 20, GoodRate: 0.1, MaxRequested: 3, Classes: 3, SlowQuantile: 0.99, SlowMinSamples: 100, Seed: 5}
 }
 
 // run offers queries to a sampler, ends its window and returns the selected traces by
-// key. It panics if a trace is both dropped and selected, or neither.
+// key. It panics if a trace that is not held is selected, or one that is held is not.
 func run(s *Sampler, queries []Query) map[uint64]Selection {
 	held := map[uint64]bool{}
 	for _, query := range queries {
@@ -82,8 +83,8 @@
 		queries = append(queries, query)
 	}
 	keptBy := map[string]int{}
-	for k := range run(s, queries) {
-		keptBy[queries[k].Node+string(rune('0'+queries[k].Class))]++
+	for key := range run(s, queries) {
+		keptBy[queries[key].Node+string(rune('0'+queries[key].Class))]++
 	}
 	if keptBy["loud1"] != 3 || keptBy["quiet0"] != 3 || keptBy["loud0"] != 14 {
 		t.Errorf("kept by node and class: got %v, want loud1: 3, quiet0: 3, loud0: 14", keptBy)
@@ -109,17 +110,18 @@
 			}
 			queries = append(queries, query)
 		}
-		for k, v := range run(s, queries) {
-			if v.Reasons == record.Late {
-				bad += 1 / v.Probability / rounds
-				badSeconds += queries[k].Latency.Seconds() / v.Probability / rounds
+		for key, selection := range run(s, queries) {
+			if selection.Reasons == record.Late {
+				bad += 1 / selection.Probability / rounds
+				badSeconds += queries[key].Latency.Seconds() / selection.Probability / rounds
 			} else {
-				good += 1 / v.Probability / rounds
+				good += 1 / selection.Probability / rounds
 			}
 		}
 	}
-	// By the sample sizes, the standard error of the mean is about 1 for the number
-	// of good queries and 0.6 s for the time; the number of bad queries is exact.
+	// By the sample sizes, the standard error of the mean is about 1 for the number of
+	// good queries and 0.6 s for the latencies of the bad ones. The estimated number of
+	// bad queries is exact, apart from rounding.
 	if math.Abs(bad-150) > 1e-6 || math.Abs(good-150) > 6 || math.Abs(badSeconds-trueBadSeconds) > 2.5 {
 		t.Errorf("estimated %.2f bad queries (want 150), %.2f good ones (want 150), %.2f s in bad ones (want %.2f)", bad, good, badSeconds, trueBadSeconds)
 	}
@@ -155,8 +157,8 @@
 	}
 }
 
-// Traces requested by callers must be kept up to their limit only. A flood of them must
-// neither displace bad queries nor count as bad.
+// Traces requested by callers must be kept up to their limit only. A flood of requests
+// must neither displace bad queries nor count as bad.
 func TestRequestedTracesAreLimited(t *testing.T) {
 	cfg := testConfig()
 	cfg.GoodRate = 0
@@ -175,9 +177,9 @@
 	}
 }
 
-// For random queries, with times that step back and forth: neither the limit of traces
-// nor that of bytes may be exceeded at any time, only held traces may be dropped or
-// selected, and the same inputs must give the same decisions.
+// For random queries, with times that step back and forth: the limits of traces and bytes
+// must hold at any time, only held traces may be dropped or selected, and the same seed
+// and inputs must give the same decisions.
 func TestSamplerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := Config{
@@ -203,11 +205,11 @@
 			if hold {
 				held[query.Key] = query
 			}
-			for _, k := range dropped {
-				if _, ok := held[k]; !ok {
-					t.Fatalf("dropped %d, which was not held", k)
+			for _, key := range dropped {
+				if _, ok := held[key]; !ok {
+					t.Fatalf("dropped %d, which was not held", key)
 				}
-				delete(held, k)
+				delete(held, key)
 			}
 			bytes := 0
 			for _, h := range held {
@@ -219,12 +221,12 @@
 			if rapid.IntRange(0, 20).Draw(t, "due") == 0 {
 				selected := a.CloseDueWindow(query.EndedAt)
 				b.CloseDueWindow(query.EndedAt)
-				for _, k := range selected {
-					if _, ok := held[k.Key]; !ok || k.Probability <= 0 || k.Probability > 1 || k.Reasons&k.Reason == 0 {
-						t.Fatalf("selected %+v, want a held trace with one of its reasons and a probability above 0 and up to 1", k)
+				for _, selection := range selected {
+					if _, ok := held[selection.Key]; !ok || selection.Probability <= 0 || selection.Probability > 1 || selection.Reasons&selection.Reason == 0 {
+						t.Fatalf("selected %+v, want a held trace with one of its reasons and a probability above 0 and up to 1", selection)
 					}
-					reason[k.Key] = k.Reason
-					delete(held, k.Key)
+					reason[selection.Key] = selection.Reason
+					delete(held, selection.Key)
 				}
 				if selected != nil && len(held) > 0 {
 					t.Fatalf("%d traces still held after the window", len(held))
--- a/tracing/spool/spool_test.go
+++ b/tracing/spool/spool_test.go
@@ -22,17 +22,19 @@
 
 var testLimits = Limits{SegmentBytes: 4 << 10, TotalBytes: 16 << 10, MinBackoff: time.Second, MaxBackoff: 4 * time.Second}
 
+// clock is a clock that the test sets.
 type clock struct{ now time.Duration }
 
 func openSpool(t testing.TB, dir string, clk *clock, log io.Writer, write func(*os.File, []byte) (int, error)) *Spool {
 	t.Helper()
-	spool, err := Open(Options{Dir: dir, Limits: testLimits, Log: zerolog.New(log), Now: func() time.Duration { return clk.now }, Write: write})
+	s, err := Open(Options{Dir: dir, Limits: testLimits, Log: zerolog.New(log), Now: func() time.Duration { return clk.now }, Write: write})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return spool
+	return s
 }
 
+// newTrace returns a late query with one attempt, with IDs that derive from number.
 func newTrace(number int) *record.Trace {
 	return &record.Trace{
 		ID: record.TraceID{1, byte(number), byte(number >> 8)}, Span: record.SpanID{2, byte(number), byte(number >> 8)}, Query: fmt.Sprintf("q%d", number), Class: "screen",
@@ -50,6 +52,7 @@
 	return s.Append(KindTrace, data)
 }
 
+// readQueryIDs returns the query IDs of all traces in a spool, in order of arrival.
 func readQueryIDs(t testing.TB, dir string) (ids []string, unreadable []Unreadable) {
 	t.Helper()
 	traces, unreadable, err := Read(dir, nil, 0)
@@ -62,9 +65,9 @@
 	return ids, unreadable
 }
 
-// A segment that was truncated at any byte of its last record, as after a crash
-// during a write, keeps the records before it, and the spool continues in a new
-// segment.
+// A segment may end at any byte after a crash during a write. The complete records
+// before that must be kept, the segment must not be quarantined, and the spool must
+// continue in a new one.
 func TestSegmentTruncatedAtAnyByteKeepsEarlierRecords(t *testing.T) {
 	dir, clk := t.TempDir(), &clock{}
 	s := openSpool(t, dir, clk, io.Discard, nil)
@@ -74,13 +77,13 @@
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(filepath.Join(dir, segmentName(1)))
+	segment, err := os.ReadFile(filepath.Join(dir, segmentName(1)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for cut := 0; cut < len(whole); cut++ {
+	for cut := 0; cut < len(segment); cut++ {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, segmentName(1)), whole[:cut], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, segmentName(1)), segment[:cut], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		var log bytes.Buffer
@@ -95,7 +98,7 @@
 		}
 		ids, unreadable := readQueryIDs(t, dir)
 		if got := strings.Join(ids, " "); got != want || len(unreadable) > 0 {
-			t.Fatalf("truncated at byte %d of %d: read %q and unreadable %v, want %q", cut, len(whole), got, unreadable, want)
+			t.Fatalf("truncated at byte %d of %d: read %q and unreadable %v, want %q", cut, len(segment), got, unreadable, want)
 		}
 		if strings.Contains(log.String(), "trace-aside") {
 			t.Fatalf("truncated at byte %d: segment was quarantined: %s", cut, log.String())
@@ -103,8 +106,8 @@
 	}
 }
 
-// Unreadable segments are quarantined and logged by name, the records before the
-// damage are kept, and the spool opens nevertheless.
+// A spool with unreadable segments must open. These segments must be quarantined and
+// logged by name, and the records before the damage kept.
 func TestUnreadableSegmentsAreQuarantined(t *testing.T) {
 	dir, clk := t.TempDir(), &clock{}
 	s := openSpool(t, dir, clk, io.Discard, nil)
@@ -127,7 +130,7 @@
 		t.Fatal(err)
 	}
 	if ids, unreadable := readQueryIDs(t, dir); len(ids) != 1 || len(unreadable) != 2 {
-		t.Errorf("before the repair: read %v, unreadable %v", ids, unreadable)
+		t.Errorf("before the repair: read %v, unreadable %v; want one query and two unreadable segments", ids, unreadable)
 	}
 	var log bytes.Buffer
 	s = openSpool(t, dir, clk, &log, nil)
@@ -137,7 +140,7 @@
 	}
 	ids, unreadable := readQueryIDs(t, dir)
 	if fmt.Sprint(ids) != "[q1 q4]" || len(unreadable) > 0 {
-		t.Errorf("read %v, unreadable %v", ids, unreadable)
+		t.Errorf("after the repair: read %v, unreadable %v; want [q1 q4] and none unreadable", ids, unreadable)
 	}
 	for _, seq := range []uint64{1, 2} {
 		if !strings.Contains(log.String(), segmentName(seq)) {
@@ -149,8 +152,9 @@
 	}
 }
 
-// On a full disk the oldest segments are evicted. If that does not help, records
-// are dropped for the backoff, and writing resumes once there is space.
+// On a full disk the oldest segments must be evicted. If that does not help, records
+// must be dropped until the backoff is over, and writes must succeed again once there
+// is space.
 func TestFullDiskEvictsOldSegmentsThenBacksOff(t *testing.T) {
 	dir, clk := t.TempDir(), &clock{}
 	capacity := 9 << 10
@@ -180,36 +184,36 @@
 	}
 	ids, unreadable := readQueryIDs(t, dir)
 	if n := len(ids); n < 8 || ids[n-1] != "q59" || len(unreadable) > 0 {
-		t.Errorf("kept %v, %v", ids, unreadable)
+		t.Errorf("after evictions: kept %v, unreadable %v; want at least 8 ending with q59 and none unreadable", ids, unreadable)
 	}
 	capacity = 0
 	if cause := appendTrace(t, s, 60); cause != DropFailed {
-		t.Errorf("no space at all: got cause %q", cause)
+		t.Errorf("no space at all: got cause %q, want a failed write", cause)
 	}
 	if cause := appendTrace(t, s, 61); cause != DropPaused {
-		t.Errorf("right after the failure: got cause %q", cause)
+		t.Errorf("right after the failure: got cause %q, want a paused write", cause)
 	}
 	capacity = 64 << 10
 	if cause := appendTrace(t, s, 62); cause != DropPaused {
-		t.Errorf("before the end of the backoff: got cause %q", cause)
+		t.Errorf("before the end of the backoff: got cause %q, want a paused write", cause)
 	}
 	clk.now += testLimits.MinBackoff
 	if cause := appendTrace(t, s, 63); cause != DropNone {
-		t.Errorf("with space again: got cause %q", cause)
+		t.Errorf("after the backoff, with space again: got cause %q, want none", cause)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if ids, unreadable := readQueryIDs(t, dir); ids[len(ids)-1] != "q63" || len(unreadable) > 0 {
-		t.Errorf("kept %v, %v", ids, unreadable)
+		t.Errorf("at the end: kept %v, unreadable %v; want q63 as the last and none unreadable", ids, unreadable)
 	}
 	if n := strings.Count(log.String(), "cannot be written"); n != 1 {
 		t.Errorf("%d log lines on the failure, want 1: %s", n, log.String())
 	}
 }
 
-// A directory that is in use is not opened a second time; records that are too
-// long, or that come after Close, are rejected with the matching cause.
+// A directory that is in use must not be opened a second time. Records that are too
+// long, or that come after Close, must be rejected with the matching cause.
 func TestSpoolIsExclusiveAndRejectsInvalidAppends(t *testing.T) {
 	dir, clk := t.TempDir(), &clock{}
 	s := openSpool(t, dir, clk, io.Discard, nil)
@@ -221,18 +225,18 @@
 	}
 	s = openSpool(t, dir, clk, io.Discard, nil)
 	if cause := s.Append(KindTrace, make([]byte, maxPayloadBytes+1)); cause != DropTooLong {
-		t.Errorf("got %q", cause)
+		t.Errorf("a payload above the maximum: got cause %q, want too long", cause)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if cause := appendTrace(t, s, 1); cause != DropClosed {
-		t.Errorf("after Close: got cause %q", cause)
+		t.Errorf("after Close: got cause %q, want closed", cause)
 	}
 }
 
-// A trace that was written twice is read once, in its ended state, a late outcome
-// is merged into its trace, and a limit keeps the latest traces.
+// A trace that was written several times must be read once, in its ended state. A late
+// outcome must be merged into its trace, and a limit must keep the latest traces.
 func TestReadMergesDuplicatesAndLateOutcomes(t *testing.T) {
 	dir, clk := t.TempDir(), &clock{}
 	s := openSpool(t, dir, clk, io.Discard, nil)
@@ -257,19 +261,18 @@
 	}
 	traces, unreadable, err := Read(dir, nil, 0)
 	if err != nil || len(unreadable) > 0 || len(traces) != 30 || traces[0].Verdict != record.Verdict(broker.Served) {
-		t.Fatalf("%d traces, unreadable %v, error %v", len(traces), unreadable, err)
+		t.Fatalf("read %d traces, unreadable %v, error %v; want 30 traces, the first of a served query", len(traces), unreadable, err)
 	}
 	if a := traces[29].Attempts[0]; a.LateAt != 9 || a.LateOutcome == nil {
-		t.Errorf("the late outcome is missing: %+v", a)
+		t.Errorf("got attempt %+v, want it with its late outcome", a)
 	}
 	if traces, _, err = Read(dir, nil, 4); err != nil || len(traces) != 4 || traces[0].Query != "q27" {
-		t.Errorf("with a limit: %d traces, %v", len(traces), err)
+		t.Errorf("with a limit of 4: read %d traces, error %v; want the latest 4, from q27 on", len(traces), err)
 	}
 }
 
-// Whichever writes fail, the planner stays within its limits, evicts only existing
-// segments and never the current one, and never writes to a segment after a failed
-// write.
+// Whichever writes fail, the planner must stay within its limits, evict only existing
+// segments and never the current one, and never reuse a segment after a failed write.
 func TestPlannerNeverExceedsLimitsOrReusesFailedSegment(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{SegmentBytes: 100, TotalBytes: 350, MinBackoff: 10, MaxBackoff: 80}
@@ -280,7 +283,7 @@
 		remove := func(seqs []uint64) {
 			for _, seq := range seqs {
 				if _, exists := sizes[seq]; !exists || seq == current {
-					t.Fatalf("evicts segment %d of %v, current %d", seq, sizes, current)
+					t.Fatalf("evicts segment %d; the sizes of the segments are %v and the current one is %d", seq, sizes, current)
 				}
 				delete(sizes, seq)
 			}
@@ -291,13 +294,13 @@
 			step := planner.BeforeWrite(now, n)
 			if step.Drop != DropNone {
 				if step.Drop == DropPaused && planner.PausedUntil(now) == 0 || step.Drop == DropTooLong && n <= limits.SegmentBytes {
-					t.Fatalf("drops a record of %d bytes: %s", n, step.Drop)
+					t.Fatalf("drops a record of %d bytes as %s, want it written", n, step.Drop)
 				}
 				continue
 			}
 			if step.Open != 0 {
 				if _, exists := sizes[step.Open]; exists || step.Open <= current {
-					t.Fatalf("starts segment %d, existing %v", step.Open, sizes)
+					t.Fatalf("starts segment %d, want a new number; the sizes of the segments are %v", step.Open, sizes)
 				}
 				current, sizes[step.Open] = step.Open, 0
 			}
@@ -311,7 +314,7 @@
 				evicted, retry := planner.WriteFailed(now, rapid.Bool().Draw(t, "full"), n)
 				remove(evicted)
 				if !retry && planner.PausedUntil(now) == 0 || planner.PausedUntil(now) > now+limits.MaxBackoff {
-					t.Fatalf("backoff ends at %d, now %d", planner.PausedUntil(now), now)
+					t.Fatalf("after a failed write the backoff ends at %d, want it after %d but within its limit", planner.PausedUntil(now), now)
 				}
 				for seq := range sizes {
 					current = max(current, seq)
@@ -325,13 +328,14 @@
 				sum += size
 			}
 			if sizes[current] > limits.SegmentBytes || sum > limits.TotalBytes || sum != planner.TotalBytes() {
-				t.Fatalf("segments %v: %d bytes in total, the planner counts %d", sizes, sum, planner.TotalBytes())
+				t.Fatalf("the sizes of the segments are %v, in total %d bytes; the planner counts %d", sizes, sum, planner.TotalBytes())
 			}
 		}
 	})
 }
 
-// The intact prefix that scanRecords finds is reproduced by encoding its records.
+// For any input, encoding the records that scanRecords finds must reproduce the intact
+// prefix.
 func FuzzScanRecords(f *testing.F) {
 	data := appendRecord(appendRecord(appendSegmentHeader(nil, 1), KindTrace, []byte("{}")), KindLateOutcome, []byte("x"))
 	f.Add(data)
@@ -343,13 +347,15 @@
 		reencoded := appendSegmentHeader(nil, 1)
 		intactBytes, state := scanRecords(data, func(k Kind, payload []byte) { reencoded = appendRecord(reencoded, k, payload) })
 		if intactBytes > len(data) || !bytes.Equal(reencoded, data[:intactBytes]) || state == Intact != (intactBytes == len(data)) {
-			t.Fatalf("%d of %d bytes are intact, state %d, and are re-encoded as %d", intactBytes, len(data), state, len(reencoded))
+			t.Fatalf("%d of %d bytes count as intact, in state %d; re-encoding their records gives %d bytes", intactBytes, len(data), state, len(reencoded))
 		}
 	})
 }
 
 // Tests of the table of open queries.
 
+// openQueryTable opens and commits a table, and returns it with the recovered queries and
+// the number of unreadable slots.
 func openQueryTable(t testing.TB, dir string, slots int) (*QueryTable, []*record.Trace, int) {
 	t.Helper()
 	table, recovered, unreadable, err := OpenQueryTable(dir, slots)
@@ -362,13 +368,13 @@
 	return table, recovered, unreadable
 }
 
-// The queries in the table are recovered unchanged after a process is killed;
-// those whose slots were freed are not. A query that finds no slot is counted.
+// After a kill of the process, the queries in the table must be recovered unchanged, but
+// not those whose slots were freed. A query that finds no free slot must be counted.
 func TestOpenQueriesSurviveProcessKill(t *testing.T) {
 	dir := t.TempDir()
 	table, recovered, unreadable := openQueryTable(t, dir, 4)
 	if len(recovered)+unreadable > 0 {
-		t.Fatalf("a new table has queries %v, %d unreadable", recovered, unreadable)
+		t.Fatalf("a new table: recovered %v, %d unreadable slots; want none", recovered, unreadable)
 	}
 	first, second := newTrace(1), newTrace(2)
 	first.Parent, first.Retry, first.Sampled, first.Objective, first.Budget = record.SpanID{9}, true, true, time.Second, 2*time.Second
@@ -392,41 +398,41 @@
 
 	_, recovered, unreadable = openQueryTable(t, dir, 4) // the first table was not closed, as after a kill
 	if len(recovered) != 4 || unreadable != 0 {
-		t.Fatalf("recovered %d, unreadable %d", len(recovered), unreadable)
+		t.Fatalf("recovered %d queries, %d unreadable slots; want 4 and none", len(recovered), unreadable)
 	}
 	got := recovered[0]
 	if got.Query != "q1" || got.ID != first.ID || got.Span != first.Span || got.Parent != first.Parent || !got.Retry || !got.Sampled ||
 		got.Objective != time.Second || got.Budget != 2*time.Second || !got.Received.Equal(first.Received) || got.Verdict != record.Verdict(record.VerdictOpen) ||
 		len(got.Attempts) != 1 {
-		t.Errorf("got %+v", got)
+		t.Errorf("first query: recovered %+v, want it open, with one attempt and its other fields unchanged", got)
 	}
 	if a := got.Attempts[0]; a.ID != 1 || a.Node != "s-1" || a.Sent != 3001 || a.Opened != 2001 || a.DialStarted.IsSet() || a.Outcome != record.OutcomePending || a.Span != record.AttemptSpan(first.Span, 1) {
-		t.Errorf("got %+v", a)
+		t.Errorf("first query: recovered attempt %+v, want it pending and unchanged", a)
 	}
 	if got = recovered[1]; got.Verdict != record.Verdict(broker.Failed) || got.Ended != 77 || len(got.Attempts) != attemptsPerSlot || got.Unrecorded != 3 {
-		t.Errorf("got %v, ended %d, %d attempts and %d unrecorded", got.Verdict, got.Ended, len(got.Attempts), got.Unrecorded)
+		t.Errorf("second query: recovered verdict %v, end %d, %d attempts and %d unrecorded ones; want it failed, ended at 77, with a full slot and 3 unrecorded", got.Verdict, got.Ended, len(got.Attempts), got.Unrecorded)
 	}
 }
 
-// A truncated table file makes stores fault; the table is then disabled and the
-// process survives.
+// Stores to a table whose file was truncated raise a memory fault. The process must
+// survive it, and the table must be disabled.
 func TestTruncatedTableIsDisabledWithoutCrash(t *testing.T) {
 	dir := t.TempDir()
 	table, _, _ := openQueryTable(t, dir, 64)
 	if err := os.Truncate(filepath.Join(dir, tableName), 0); err != nil {
 		t.Fatal(err)
 	}
-	tr := newTrace(1)
-	slot := table.Add(tr)
-	table.PutAttempt(slot, 0, &tr.Attempts[0])
-	table.EndQuery(slot, tr)
+	trace := newTrace(1)
+	slot := table.Add(trace)
+	table.PutAttempt(slot, 0, &trace.Attempts[0])
+	table.EndQuery(slot, trace)
 	table.Free(slot)
 	if table.Fault() == nil {
-		t.Error("the fault was not detected")
+		t.Error("got no fault, want the one of the stores to the truncated file")
 	}
 }
 
-// Traces recovered from arbitrary table contents are valid and can be encoded.
+// Traces recovered from arbitrary table contents must be valid and can be encoded.
 func FuzzDecodeTable(f *testing.F) {
 	dir := f.TempDir()
 	table, _, _, err := OpenQueryTable(dir, 2)
--- a/tracing/tracer_test.go
+++ b/tracing/tracer_test.go
@@ -22,7 +22,8 @@
 )
 
 // startWithoutWriter starts a tracer and stops its writer goroutine, so that the
-// sampler's window ends only when the test collects the kept traces.
+// sampler's window ends only when the test collects the kept traces. Without a GoodShare
+// in cfg, practically no good query is kept.
 func startWithoutWriter(t testing.TB, cfg Config, log io.Writer, write func(*os.File, []byte) (int, error)) *Tracer {
 	t.Helper()
 	if cfg.GoodShare == 0 {
@@ -39,10 +40,12 @@
 	return tracer
 }
 
+// newQuery returns a query of one part, of the first class.
 func newQuery(name string, arrivedAt time.Time) *broker.Query {
 	return &broker.Query{RequestID: name, Parts: []broker.Part{{Shard: 3, Share: 1}}, ArrivedAt: arrivedAt, Budget: 2 * time.Second}
 }
 
+// readKept ends the sampler's window and returns the kept traces that match the filter.
 func readKept(t testing.TB, tracer *Tracer, filter record.Filter) []*record.Trace {
 	t.Helper()
 	tracer.collect(true)
@@ -55,7 +58,7 @@
 
 // An attempt that never answers must end with its query and be marked as possibly
 // still running. Its late outcome must be recorded: in the trace as long as that is
-// held, as a separate note once the trace is written. Only the first one counts.
+// held, as a separate record once the trace is collected. Only the first one counts.
 func TestLateOutcomeOfUnansweredAttemptIsRecorded(t *testing.T) {
 	dir := t.TempDir()
 	tr := startWithoutWriter(t, Config{Dir: dir}, io.Discard, nil)
@@ -73,9 +76,9 @@
 		tr.QueryEnded(id, &broker.Reply{Verdict: broker.Failed}, at(1500))
 		tr.AttemptEnded(broker.AttemptID(id*10), decide.Cancelled, broker.EndedByCore, time.Time{}, at(1501)) // the core reports it one turn later
 	}
-	tr.LateOutcome(10, decide.OK, at(1600)) // while its trace is held
+	tr.LateOutcome(10, decide.OK, at(1600)) // while the trace is held
 	tr.collect(true)
-	tr.LateOutcome(20, decide.Failed, at(1700)) // after its trace was written
+	tr.LateOutcome(20, decide.Failed, at(1700)) // after the trace was collected
 	tr.LateOutcome(20, decide.OK, at(1800))     // a second outcome is ignored
 	traces := readKept(t, tr, record.Filter{})
 	tr.Close(context.Background())
@@ -85,33 +88,33 @@
 	}
 	for _, traces := range [][]*record.Trace{traces, fromDisk} {
 		if len(traces) != 2 {
-			t.Fatalf("got %d traces, want 2", len(traces))
+			t.Fatalf("got %d traces, want those of both queries", len(traces))
 		}
 		for i, o := range []decide.Outcome{decide.OK, decide.Failed} {
 			a, b := traces[i].Attempts[0], traces[i].Attempts[1]
 			if a.Outcome != record.Outcome(decide.Cancelled) || !a.MayStillRun || !a.EndedByBroker || !a.Abandoned.IsSet() || a.Addr == "" ||
 				a.LateOutcome == nil || *a.LateOutcome != record.Outcome(o) || a.LateAt.Duration() != time.Duration(1600+100*i)*time.Millisecond {
-				t.Errorf("query %d: attempt with a late outcome: got %+v", i+1, a)
+				t.Errorf("query %d: got first attempt %+v, want it cancelled, possibly still running and with its late outcome", i+1, a)
 			}
 			if b.MayStillRun || b.Ended.Duration() != 1500*time.Millisecond { // its request was never sent
-				t.Errorf("query %d: unsent attempt: got %+v", i+1, b)
+				t.Errorf("query %d: got unsent attempt %+v, want it ended with the query and not running", i+1, b)
 			}
 		}
 	}
 }
 
-// Each bad query must get the reason that applies, and good queries none. A copy that
+// Each bad query must get the reason that applies, and a good query none. A copy that
 // answers first, a client that leaves after the objective and a refusal before any
-// attempt are reasons; a copy that loses and a client that leaves in time are not.
+// attempt make a query bad; a copy that loses and a client that leaves in time do not.
 func TestQueryReasonsAreDistinguished(t *testing.T) {
 	tr := startWithoutWriter(t, Config{}, io.Discard, nil)
 	at := func(ms int) time.Time { return tr.start.Add(time.Duration(ms) * time.Millisecond) }
 	id := broker.QueryID(0)
 	runQuery := func(name string, winner int, verdict broker.Verdict, class, end int) {
 		id++
-		q := newQuery(name, at(0))
-		q.Class = class
-		tr.QueryReceived(id, q, at(1))
+		query := newQuery(name, at(0))
+		query.Class = class
+		tr.QueryReceived(id, query, at(1))
 		for n := range 2 {
 			if winner >= 0 {
 				tr.AttemptOpened(broker.AttemptInfo{ID: broker.AttemptID(uint64(id)*10 + uint64(n)), QueryID: id, Shard: 3, Index: n, Node: "a", OpenedAt: at(2 + n)})
@@ -143,16 +146,16 @@
 	want := map[string]string{"copy-wins": "saved", "late-edit": "late", "refused": "refused", "left-late": "left-late",
 		"turned-away": "refused", "doubted": "doubted"}
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("got  %v\nwant %v", got, want)
+		t.Errorf("reasons by query:\ngot  %v\nwant %v", got, want)
 	}
 	if n := tr.openQueries.count + tr.attempts.count + len(tr.held); n != 0 {
-		t.Errorf("%d queries and attempts are still held, want none", n)
+		t.Errorf("the tracer still holds %d queries and attempts, want none", n)
 	}
 	tr.Close(context.Background())
 }
 
-// A step of the wall clock must not shift traces: all times are relative to one
-// reading of the clock.
+// A step of the wall clock must not shift traces: all times must derive from the one
+// reading of the wall clock at the tracer's start.
 func TestWallClockStepDoesNotShiftTraces(t *testing.T) {
 	tr := startWithoutWriter(t, Config{GoodShare: 1}, io.Discard, nil)
 	now := time.Now()
@@ -167,14 +170,14 @@
 	}
 	for i, trace := range traces {
 		if want := tr.start.Add(now.Sub(tr.start) + time.Duration(i+1)*time.Millisecond); trace.Received.UnixNano() != want.UnixNano() || trace.Elapsed() != time.Microsecond {
-			t.Errorf("arrived at %v, want %v; took %v, want 1µs", trace.Received, want, trace.Elapsed())
+			t.Errorf("got arrival at %v, want %v; got elapsed time %v, want 1µs", trace.Received, want, trace.Elapsed())
 		}
 	}
 	tr.Close(context.Background())
 }
 
 // In an outage, with every query failing and no collector, the traces in memory must
-// never exceed the limit, and each trace that is not kept must be counted.
+// never exceed the limit, and each query must be counted as kept or shed.
 func TestMemoryStaysWithinLimitDuringOutage(t *testing.T) {
 	cfg := Config{MemoryKB: 64, BudgetPerS: 1000, OTLP: &OTLP{Endpoint: "127.0.0.1:1"}}
 	tr := startWithoutWriter(t, cfg, io.Discard, nil)
@@ -207,8 +210,8 @@
 	tr.Close(ctx)
 }
 
-// A tracer whose disk fails must continue in memory, and one whose spool directory
-// cannot be used must start nevertheless.
+// A tracer whose disk fails must keep further traces in memory, and one whose spool
+// directory cannot be used must start and keep traces in memory nevertheless.
 func TestDiskFailureKeepsTracesInMemory(t *testing.T) {
 	var log bytes.Buffer
 	diskFull := false
@@ -226,10 +229,10 @@
 		tr.collect(true)
 	}
 	if got := readKept(t, tr, record.Filter{}); len(got) != 2 {
-		t.Errorf("read %d traces, want 2", len(got))
+		t.Errorf("with a full disk: read %d traces, want 2", len(got))
 	}
 	if n := tr.Counts().Spool.Dropped[spool.DropFailed]; n != 1 || !strings.Contains(log.String(), "serving goes on") {
-		t.Errorf("%d writes counted as failed, want 1; log: %s", n, log.String())
+		t.Errorf("%d traces counted as dropped for a failed write, want 1 and a log line that serving goes on; log: %s", n, log.String())
 	}
 	tr.Close(context.Background())
 
@@ -243,10 +246,10 @@
 	tr.Close(context.Background())
 }
 
-// If the disk is full when a trace is written and has space again a second later, the
-// trace used to be dropped from the spool and kept in memory only, so that it was lost
-// when the process ended. It must be written as soon as the disk accepts writes, before
-// later traces. Above the memory limit, the oldest queued traces are dropped.
+// A trace that met a full disk used to be dropped from the spool and kept in memory only,
+// even if the disk had space again a second later, so that it was lost when the process
+// ended. It must be written as soon as the disk accepts writes, before later traces.
+// Above the memory limit, the oldest queued traces are dropped.
 func TestTracesAreWrittenAfterDiskWasFull(t *testing.T) {
 	diskFull := true
 	write := func(f *os.File, b []byte) (int, error) {
@@ -269,7 +272,7 @@
 		t.Errorf("dropped by cause: %v, want 2 in total as failed or paused", n)
 	}
 	diskFull = false
-	tr.start = tr.start.Add(-maxBackoff) // the backoff after a failure is over
+	tr.start = tr.start.Add(-maxBackoff) // advances the tracer's clock past the backoff
 	failQuery(3)
 	onDisk := func() (names []string) {
 		traces, unreadable, err := ReadDir(dir, record.Filter{})
@@ -324,7 +327,7 @@
 	})
 	simulateKill(t, broken)
 
-	for range 2 { // the second start reports nothing new
+	for range 2 { // the second start must report nothing new
 		var log bytes.Buffer
 		tr = startWithoutWriter(t, Config{Dir: dir}, &log, nil)
 		got := map[string]*record.Trace{}
@@ -337,10 +340,10 @@
 		}
 		if trace := got["open"]; trace.Reasons != record.Interrupted || len(trace.Attempts) != 2 || !trace.Attempts[0].MayStillRun || trace.Attempts[1].MayStillRun ||
 			trace.Attempts[0].Outcome != record.OutcomePending || trace.Attempts[0].Node != "a" {
-			t.Errorf("open query: got %+v", trace)
+			t.Errorf("open query: got %+v, want it interrupted, with two pending attempts of which only the first, which was sent, may still run", trace)
 		}
 		if trace := got["over"]; trace.Reasons != record.Expired || trace.Elapsed() != time.Second {
-			t.Errorf("ended query: got %+v", trace)
+			t.Errorf("ended query: got %+v, want it expired after 1 s", trace)
 		}
 	}
 }
@@ -355,7 +358,7 @@
 }
 
 // The trace context sent to nodes must have the caller's trace ID, sampled flag and
-// state, with the attempt as the parent.
+// tracestate, with the attempt as the parent.
 func TestTraceHeadersPropagateTraceContext(t *testing.T) {
 	tr := startWithoutWriter(t, Config{}, io.Discard, nil)
 	q := newQuery("q", tr.start)
@@ -370,7 +373,7 @@
 	}
 	tr.QueryEnded(1, &broker.Reply{Whole: true}, tr.start)
 	if traces := readKept(t, tr, record.Filter{}); len(traces) != 1 || traces[0].Parent != (record.SpanID{1}) || traces[0].KeepReason != record.Requested {
-		t.Errorf("got traces %+v, want one with the caller's parent, kept as asked for", traces)
+		t.Errorf("got traces %+v, want one with the caller's span as the parent, kept as requested", traces)
 	}
 	tr.Close(context.Background())
 }
