--- a/tracing/read.go
+++ b/tracing/read.go
@@ -130,7 +130,7 @@
 	LateOutcomes  int64          `json:"late"`             // recorded outcomes that arrived after their attempt was cancelled
 	Followers     int            `json:"following"`        // current calls of Follow
 	FollowerDrops int64          `json:"unfollowed"`       // traces that slow followers missed
-	Spool         *spool.Counts  `json:"spool,omitempty"`  // as of the last write; nil without a spool
+	Spool         *spool.Counts  `json:"spool,omitempty"`  // as of the last collection with anything to write; nil without a spool
 	Export        *export.Counts `json:"export,omitempty"` // nil without an export
 }
 
--- a/tracing/sample/sample_test.go
+++ b/tracing/sample/sample_test.go
@@ -150,8 +150,8 @@
 		t.Errorf("kept %+v, want one query, as slow", selections)
 	}
 	offer(1, 505*time.Millisecond)
-	for _, selections := range s.Flush() {
-		if selections.Reasons&record.Slow != 0 {
+	for _, selection := range s.Flush() {
+		if selection.Reasons&record.Slow != 0 {
 			t.Error("a query of 505 ms in a class of 500 to 509 ms is kept as slow")
 		}
 	}
--- a/tracing/spool/spool.go
+++ b/tracing/spool/spool.go
@@ -28,7 +28,7 @@
 	maxQuarantined   = 4 // quarantined files that are kept; older ones are deleted
 )
 
-// Options are the parameters of Open.
+// Options configure a Spool.
 type Options struct {
 	Dir    string // the directory of the spool
 	Limits Limits
@@ -45,10 +45,10 @@
 	opts          Options
 	planner       *SegmentPlanner
 	lock          *os.File
-	file          *os.File // the current segment; nil: none is open
-	dropped       map[DropCause]int64
-	written       int64 // records written since the start
-	failureLogged bool  // the ongoing failure has been logged
+	file          *os.File            // the current segment; nil: none is open
+	dropped       map[DropCause]int64 // records dropped since the start
+	written       int64               // records written since the start
+	failureLogged bool                // the ongoing failure has been logged
 }
 
 // Open creates the directory if necessary, locks it for this process, and repairs
--- a/tracing/tracer.go
+++ b/tracing/tracer.go
@@ -92,7 +92,7 @@
 	opts  Options
 	start time.Time // origin of all times, by its monotonic reading
 	stop  chan struct{}
-	wake  chan struct{} // tells the writer goroutine that there is work
+	wake  chan struct{} // tells the writer goroutine that a trace is held or a late outcome unwritten
 	done  sync.WaitGroup
 
 	spool      *spool.Spool     // used by the writer goroutine only; nil without a spool
@@ -100,15 +100,15 @@
 	exporter   *export.Exporter // nil if no export is configured
 
 	mu                    sync.Mutex
-	rng                   *rand.ChaCha8
+	rng                   *rand.ChaCha8         // of trace and span IDs
 	openQueries           directMap[*liveQuery] // by the core's broker.QueryID
-	attempts              directMap[attemptRef] // of open and held queries, by the core\'s broker.AttemptID
+	attempts              directMap[attemptRef] // of open and held queries, by the core's broker.AttemptID
 	held                  map[uint64]*liveQuery // ended queries that await the sampler's decision, by its key
 	lastKey               uint64                // the last key assigned for held
 	freeQueries           []*liveQuery          // discarded ones, for reuse
 	sampler               *sample.Sampler
 	table                 *spool.QueryTable                // of open queries; nil without one
-	lateAttempts          map[broker.AttemptID]lateAttempt // by the core\'s broker.AttemptID
+	lateAttempts          map[broker.AttemptID]lateAttempt // by the core's broker.AttemptID
 	lateQueue             []broker.AttemptID               // keys of lateAttempts by expiry, including removed ones
 	unwrittenLateOutcomes []record.LateOutcome             // of lateAttempts, not yet passed to the spool
 	recent                recentTraces
@@ -470,7 +470,7 @@
 	defer t.mu.Unlock()
 	ref, ok := t.attempts.get(uint64(id))
 	if !ok || ref.query.ended {
-		return // endQuery has ended it
+		return // endQuery has ended the attempt
 	}
 	attempt := &ref.query.Attempts[ref.index]
 	if !firstByteAt.IsZero() {
@@ -603,7 +603,7 @@
 		return
 	}
 	if ref, ok := t.lateAttempts[id]; ok {
-		delete(t.lateAttempts, id) // its entry in lateQueue is removed on expiry
+		delete(t.lateAttempts, id) // its entry in lateQueue is removed once it is the first
 		late := record.LateOutcome{ID: ref.traceID, Span: ref.querySpan, Attempt: uint64(id), At: record.OffsetOf(at.Sub(ref.arrived)), Outcome: record.Outcome(lateOutcome)}
 		t.recent.applyLateOutcome(late)
 		t.lateOutcomeCount++
