--- a/cli/addresses.go
+++ b/cli/addresses.go
@@ -24,25 +24,25 @@
 	cmd := client.addAddrFlag(&cobra.Command{
 		Use: "addresses", Short: "Show the health of each address of the nodes that have several, with the reason", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			views, err := client.addresses(cmd.Context())
+			statuses, err := client.addressStatuses(cmd.Context())
 			if err != nil {
 				return err
 			}
 			if node != "" {
-				nodeViews, ok := views[node]
+				nodeStatuses, ok := statuses[node]
 				if !ok {
 					return fmt.Errorf("--node: no node %q with several addresses in the list", node)
 				}
-				views = map[string][]reach.AddressStatus{node: nodeViews}
+				statuses = map[string][]reach.AddressStatus{node: nodeStatuses}
 			}
 			if asJSON {
-				return printJSON(cmd.OutOrStdout(), views)
+				return printJSON(cmd.OutOrStdout(), statuses)
 			}
 			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(table, "NODE\tADDRESS\tWHY\tAGAINST\tNEXT AFTER")
-			for _, id := range slices.Sorted(maps.Keys(views)) {
-				for _, view := range views[id] {
-					fmt.Fprintf(table, "%s\t%s\t%s\t%.2f\t%s\n", id, view.Text, view.Reason, view.Suspicion, view.Delay.Round(100*time.Microsecond))
+			for _, id := range slices.Sorted(maps.Keys(statuses)) {
+				for _, status := range statuses[id] {
+					fmt.Fprintf(table, "%s\t%s\t%s\t%.2f\t%s\n", id, status.Text, status.Reason, status.Suspicion, status.Delay.Round(100*time.Microsecond))
 				}
 			}
 			if err := table.Flush(); err != nil {
@@ -57,7 +57,7 @@
 }
 
 // addresses returns a broker's view of the addresses of its nodes, by node id.
-func (c *brokerClient) addresses(ctx context.Context) (map[string][]reach.AddressStatus, error) {
+func (c *brokerClient) addressStatuses(ctx context.Context) (map[string][]reach.AddressStatus, error) {
 	addr, err := c.address()
 	if err != nil {
 		return nil, err
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -67,7 +67,7 @@
 			}
 			var limits atomic.Pointer[config.Limits]
 			limits.Store(&cfg.Limits)
-			tune := func(shared bool) { daemon.TuneRuntime(*limits.Load(), shared) }
+			tune := func(siblingRunning bool) { daemon.TuneRuntime(*limits.Load(), siblingRunning) }
 			d.OnSiblingChange(tune)
 			for {
 				select {
--- a/cli/operate_test.go
+++ b/cli/operate_test.go
@@ -110,8 +110,8 @@
 		return used.readResponse(t, time.Now().Add(4*time.Second))
 	}
 	ask("a")
-	refused := strings.Replace(queryRequest("b", time.Second), "/screen", "/part", 1) // malformed: the path and X-Class name different classes
-	used.send(t, refused)
+	malformed := strings.Replace(queryRequest("b", time.Second), "/screen", "/part", 1) // malformed: the path and X-Class name different classes
+	used.send(t, malformed)
 	used.readResponse(t, time.Now().Add(time.Second))
 	want := map[string]int{
 		"fulfilled.screen": 1, "throttled.screen": 0, "faulted.screen": 0, "fulfilled.edit": 0, "relayed": 2, "open_requests": 0,
@@ -243,8 +243,8 @@
 	if got := ask("bulk", "fails"); got == http.StatusOK {
 		t.Errorf("a query was served although its node fails")
 	}
-	if calls := len(n.Parts()) - before; calls > 2 {
-		t.Errorf("%d attempts for two parts, want at most one each", calls)
+	if attempts := len(n.Parts()) - before; attempts > 2 {
+		t.Errorf("%d attempts for two parts, want at most one each", attempts)
 	}
 	n.SetResponse(testkit.Done)
 	valid := configFor(settings(3, "screen", "quote"))
@@ -337,10 +337,10 @@
 		if took := time.Since(began); took > upgradeTimeout {
 			t.Errorf("the new process is ready after %v", took)
 		}
-		_, first, fds := old.resourceUsage(t)
-		_, second, more := next.resourceUsage(t)
-		if peakKB = max(peakKB, first+second); fds+more > sockets {
-			t.Errorf("%d and %d descriptors, want %d together", fds, more, sockets)
+		_, oldKB, oldFDs := old.resourceUsage(t)
+		_, newKB, newFDs := next.resourceUsage(t)
+		if peakKB = max(peakKB, oldKB+newKB); oldFDs+newFDs > sockets {
+			t.Errorf("%d and %d descriptors, want %d together", oldFDs, newFDs, sockets)
 		}
 		_ = old.cmd.Process.Signal(syscall.SIGTERM) // if the process has exited, the wait below fails
 		time.Sleep(1200 * time.Millisecond)
@@ -366,11 +366,11 @@
 		t.Errorf("%d served, %d lost: %v", served, len(lost), lost)
 	}
 	seen := map[string]bool{}
-	for _, call := range n.Parts() { // no part failed, so each is sent once
-		if seen[call.ID] {
-			t.Errorf("part %s was sent twice", call.ID)
+	for _, part := range n.Parts() { // no part failed, so each is sent once
+		if seen[part.ID] {
+			t.Errorf("part %s was sent twice", part.ID)
 		}
-		seen[call.ID] = true
+		seen[part.ID] = true
 	}
 	slices.Sort(took)
 	t.Logf("%d replacements, %d served, 99th percentile %v, longest %v, both processes %d KB at most",
--- a/cli/soak_test.go
+++ b/cli/soak_test.go
@@ -54,7 +54,7 @@
 }
 
 // soakCall is a part that a node received, with the outcome that the node gave it.
-type soakCall struct {
+type receivedPart struct {
 	testkit.Part
 	node    *testkit.Node
 	outcome string
@@ -70,7 +70,7 @@
 
 	mu         sync.Mutex
 	requests   []*soakRequest
-	calls      []soakCall
+	parts      []receivedPart
 	terminated time.Time // when SIGTERM was sent
 }
 
@@ -239,7 +239,7 @@
 func (s *soakRun) nodeBehavior(n *testkit.Node, seed uint64, faultShare float64) func(testkit.Part) string {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 1))
-	return func(call testkit.Part) string {
+	return func(part testkit.Part) string {
 		mu.Lock()
 		draw, delay := rng.Float64(), time.Duration(rng.IntN(20))*time.Millisecond
 		mu.Unlock()
@@ -251,7 +251,7 @@
 			}
 		}
 		s.mu.Lock()
-		s.calls = append(s.calls, soakCall{call, n, outcome})
+		s.parts = append(s.parts, receivedPart{part, n, outcome})
 		s.mu.Unlock()
 		time.Sleep(delay)
 		return outcome
@@ -325,11 +325,11 @@
 // counted as knowing of the drain from drainKnown on.
 func (s *soakRun) audit(drained *testkit.Node, drainKnown, killed time.Time) {
 	s.mu.Lock() // nodes may receive parts until they are stopped, after the test
-	calls := slices.Clone(s.calls)
+	parts := slices.Clone(s.parts)
 	s.mu.Unlock()
 	byID, forwarded := map[string]*soakRequest{}, map[string]bool{}
-	for _, call := range calls {
-		queryID, _, _ := strings.Cut(call.ID, ".")
+	for _, part := range parts {
+		queryID, _, _ := strings.Cut(part.ID, ".")
 		forwarded[queryID] = true
 	}
 	for _, r := range s.requests {
@@ -348,30 +348,30 @@
 			s.t.Errorf("%s: forwarded, but its connection closed without an answer; sent %v after SIGTERM: %v", r.id, r.sent.Sub(s.terminated), r.err)
 		}
 	}
-	slices.SortFunc(calls, func(a, b soakCall) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
+	slices.SortFunc(parts, func(a, b receivedPart) int { return a.ReceivedAt.Compare(b.ReceivedAt) })
 	firstRun, attempts := map[string]time.Time{}, map[string]int{} // firstRun: the first attempt that may have taken effect
-	for _, call := range calls {
-		queryID, _, _ := strings.Cut(call.ID, ".")
+	for _, part := range parts {
+		queryID, _, _ := strings.Cut(part.ID, ".")
 		r := byID[queryID]
 		if r == nil {
 			continue // its client had not recorded it yet
 		}
-		if first, ok := firstRun[call.ID]; ok && r.keyed && call.ReceivedAt.Sub(first) > soakRetryWindow+s.pauseAllowance {
-			s.t.Errorf("%s: retried %v after its first attempt that may have taken effect", call.ID, call.ReceivedAt.Sub(first))
-		} else if !ok && call.outcome != testkit.Full {
-			firstRun[call.ID] = call.ReceivedAt
+		if first, ok := firstRun[part.ID]; ok && r.keyed && part.ReceivedAt.Sub(first) > soakRetryWindow+s.pauseAllowance {
+			s.t.Errorf("%s: retried %v after its first attempt that may have taken effect", part.ID, part.ReceivedAt.Sub(first))
+		} else if !ok && part.outcome != testkit.Full {
+			firstRun[part.ID] = part.ReceivedAt
 		}
-		if attempts[call.ID]++; attempts[call.ID] > 3 {
-			s.t.Errorf("%s: %d attempts, want at most 3", call.ID, attempts[call.ID])
+		if attempts[part.ID]++; attempts[part.ID] > 3 {
+			s.t.Errorf("%s: %d attempts, want at most 3", part.ID, attempts[part.ID])
 		}
-		if !r.abandoned.IsZero() && call.ReceivedAt.Sub(r.abandoned) > 100*time.Millisecond+s.pauseAllowance {
-			s.t.Errorf("%s: attempt started %v after its client disconnected", call.ID, call.ReceivedAt.Sub(r.abandoned))
+		if !r.abandoned.IsZero() && part.ReceivedAt.Sub(r.abandoned) > 100*time.Millisecond+s.pauseAllowance {
+			s.t.Errorf("%s: attempt started %v after its client disconnected", part.ID, part.ReceivedAt.Sub(r.abandoned))
 		}
-		if remaining := r.timeout - call.ReceivedAt.Sub(r.sent); call.Timeout > remaining+150*time.Millisecond+s.pauseAllowance {
-			s.t.Errorf("%s: the node was given a deadline of %v, its client has %v left", call.ID, call.Timeout, remaining)
+		if remaining := r.timeout - part.ReceivedAt.Sub(r.sent); part.Timeout > remaining+150*time.Millisecond+s.pauseAllowance {
+			s.t.Errorf("%s: the node was given a deadline of %v, its client has %v left", part.ID, part.Timeout, remaining)
 		}
-		if call.node == drained && call.ReceivedAt.Sub(drainKnown) > drainGrace+s.pauseAllowance {
-			s.t.Errorf("%s: attempt started at %s %v after its drain was known", call.ID, call.node.ID, call.ReceivedAt.Sub(drainKnown))
+		if part.node == drained && part.ReceivedAt.Sub(drainKnown) > drainGrace+s.pauseAllowance {
+			s.t.Errorf("%s: attempt started at %s %v after its drain was known", part.ID, part.node.ID, part.ReceivedAt.Sub(drainKnown))
 		}
 	}
 	if len(s.requests) < 6 { // each of the 6 clients may wait for 4 s
--- a/cli/trace.go
+++ b/cli/trace.go
@@ -118,12 +118,12 @@
 	if !s.includeOpen {
 		return traces, nil
 	}
-	open, unreadable, err := spool.ReadOpenQueries(s.spoolDir)
+	open, undecodable, err := spool.ReadOpenQueries(s.spoolDir)
 	if err != nil {
 		return nil, err
 	}
-	if unreadable > 0 {
-		fmt.Fprintf(s.warnings, "%d open queries could not be decoded\n", unreadable)
+	if undecodable > 0 {
+		fmt.Fprintf(s.warnings, "%d open queries could not be decoded\n", undecodable)
 	}
 	for _, t := range open {
 		t.CompleteInterrupted()
--- a/config/config.go
+++ b/config/config.go
@@ -30,26 +30,26 @@
 // Limits are the resources that the platform allows the process; 0 means not given.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	MemoryMB int     `json:"memory_mb"` // in MiB
+	Sockets  int     `json:"sockets"`   // descriptors
 }
 
 // Flight configures the Arrow Flight front. Nodes that speak Flight need no configuration:
 // their address in the list tells the protocol.
 type Flight struct {
-	Listen string `json:"listen"`
+	Listen string `json:"listen"` // host:port, loopback only
 }
 
 // Peer is one instance of the replicated store.
 type Peer struct {
 	Name   string `json:"name"`
-	Raft   string `json:"raft"`   // the instance's address for Raft
-	Flight string `json:"flight"` // the address of its Flight front
+	Raft   string `json:"raft"`   // the instance's address for Raft, host:port, loopback only
+	Flight string `json:"flight"` // the address of its Flight front, host:port, loopback only
 }
 
 // Store configures the replicated store.
 type Store struct {
-	Dir   string `json:"dir"`
+	Dir   string `json:"dir"`   // the directory of this instance's data
 	Peers []Peer `json:"peers"` // all instances, including this one
 }
 
@@ -58,17 +58,18 @@
 type Class struct {
 	Name  string
 	Keyed bool
-	// Retired is set when a reload has removed the class: new queries cannot use it.
+	// Retired is set when a reload has removed the class or changed its settings, which gives
+	// the class a new index: new queries cannot use this one.
 	Retired  bool
 	settings decide.Class
 }
 
 // Config is the decoded configuration of the daemon.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	// Console is the host:port of the operators' port; empty: off.
+	Name      string // the broker's name
+	Listen    string // host:port for HTTP clients
+	Discovery string // host:port
+	// Console is the host:port of the admin port; empty: off.
 	Console string
 	// FileDiscovery is the file's value of discovery; in Discovery, NODE_DISCOVERY may
 	// have overridden it.
@@ -76,19 +77,19 @@
 
 	Seed     uint64
 	Limits   Limits
-	Known    *discovery.List
+	Known    *discovery.List // the list of nodes in the file; nil: none, or an invalid one
 	Settings decide.Settings
-	Zones    []string
-	Kinds    []string
-	Classes  []Class
-
-	StreamsPerConn int
-	ConnectTimeout time.Duration
-	ConnIdle       time.Duration
-	HandOverWindow time.Duration // new connections are accepted this long after SIGTERM
-	LogLevel       string
-	Flight         *Flight
-	Store          *Store
+	Zones    []string // names by the zone's index
+	Kinds    []string // names by the kind's index
+	Classes  []Class  // by the index of Settings.Classes
+
+	StreamsPerConn int             // open attempts per connection to a node; 0 counts as 1
+	ConnectTimeout time.Duration   // 0: a default
+	ConnIdle       time.Duration   // after which nodes close idle connections; 0: they keep them
+	HandOverWindow time.Duration   // new connections are accepted this long after SIGTERM
+	LogLevel       string          // debug, info, warn or error; empty: info
+	Flight         *Flight         // nil: off
+	Store          *Store          // nil: off
 	Tracing        *tracing.Config // with defaults applied; nil: off
 
 	// Warnings are the parts of the file that this broker ignores: unknown fields and
@@ -123,7 +124,7 @@
 
 // FieldError is an error or a warning about one field.
 type FieldError struct {
-	Path string
+	Path string // the field's path in the file, or the name of an environment variable
 	Err  error
 }
 
@@ -142,7 +143,7 @@
 // after SIGTERM at most, and shorter than the 0.7 s after which none may be lost any more.
 const defaultHandOverWindow = 550 * time.Millisecond
 
-// readFile reads a file. Tests replace it.
+// readFile reads a file once. Tests replace it.
 var readFile = os.ReadFile
 
 // A read that fails with a transient error is retried every readRetryInterval for
@@ -183,28 +184,29 @@
 	return Parse(data, getenv)
 }
 
-// FieldsNeedingRestart returns the names of the fields that differ between old and now and
-// that only a restart applies.
-func FieldsNeedingRestart(old, now *Config) []string {
+// FieldsNeedingRestart returns the names of the fields that differ between old, which is in
+// use, and reloaded, and that only a restart applies. Fields that matter only at the start, such as
+// seed and known, are not compared.
+func FieldsNeedingRestart(old, reloaded *Config) []string {
 	var names []string
 	compare := func(name string, a, b any) {
 		if !reflect.DeepEqual(a, b) {
 			names = append(names, name)
 		}
 	}
-	a, b := old.Settings, now.Settings
+	a, b := old.Settings, reloaded.Settings
 	a.MaxOpen, b.MaxOpen = 0, 0
 	a.MaxAttempts, b.MaxAttempts = 0, 0
 	a.Classes, b.Classes = nil, nil
-	compare("name", old.Name, now.Name)
-	compare("listen", old.Listen, now.Listen)
-	compare("console", old.Console, now.Console)
-	compare("limits.sockets", old.Limits.Sockets, now.Limits.Sockets)
+	compare("name", old.Name, reloaded.Name)
+	compare("listen", old.Listen, reloaded.Listen)
+	compare("console", old.Console, reloaded.Console)
+	compare("limits.sockets", old.Limits.Sockets, reloaded.Limits.Sockets)
 	compare("settings", []any{a, old.Zones, old.Kinds, old.StreamsPerConn, old.ConnectTimeout, old.ConnIdle},
-		[]any{b, now.Zones, now.Kinds, now.StreamsPerConn, now.ConnectTimeout, now.ConnIdle})
-	compare("flight", old.Flight, now.Flight)
-	compare("store", old.Store, now.Store)
-	compare("tracing", old.Tracing, now.Tracing)
+		[]any{b, reloaded.Zones, reloaded.Kinds, reloaded.StreamsPerConn, reloaded.ConnectTimeout, reloaded.ConnIdle})
+	compare("flight", old.Flight, reloaded.Flight)
+	compare("store", old.Store, reloaded.Store)
+	compare("tracing", old.Tracing, reloaded.Tracing)
 	return names
 }
 
@@ -267,8 +269,8 @@
 	return c, c.validate()
 }
 
-// setConsole sets the address of the operators' port; the environment takes precedence over
-// the file. An invalid address is only a warning: the broker can serve clients without it.
+// setConsole sets the address of the admin port; the environment takes precedence over the
+// file. An invalid address is only a warning: the broker can serve clients without it.
 func (c *Config) setConsole(raw json.RawMessage, env string) {
 	addr := env
 	if addr == "" && len(raw) > 0 && string(raw) != "null" {
@@ -328,8 +330,8 @@
 // errUnknownField is the warning for a field that the program does not know.
 var errUnknownField = errors.New("unknown field, ignored")
 
-// parseSeed derives a seed from any JSON value: up to 16 hex digits are the seed itself, and
-// any other text is hashed.
+// parseSeed derives a seed from any JSON value: up to 16 hex digits, in a string or a number,
+// are the seed itself, and any other text is hashed. Without a value the seed is 0.
 func parseSeed(raw json.RawMessage) uint64 {
 	var text string
 	if len(raw) == 0 || string(raw) == "null" {
@@ -346,8 +348,8 @@
 	return h.Sum64()
 }
 
-// parseSettings flattens the nested object into the path=value lines of the simulator's wire
-// format, so that one parser reads both.
+// parseSettings decodes the settings. It flattens the nested object into the path=value lines
+// of the simulator's wire format, so that one parser reads both.
 func (c *Config) parseSettings(raw json.RawMessage) error {
 	if len(raw) == 0 {
 		return fieldErrorf("settings", "missing")
@@ -374,7 +376,7 @@
 	// commas, but the list of nodes and the clients use the names as written here.
 	c.Zones, c.Kinds = stringList(tree["zones"]), stringList(tree["kinds"])
 	for i := range s.Classes {
-		if s.Classes[i].SecondStepParts > 0 { // the protocol cannot express it: the first answer is the final one
+		if s.Classes[i].SecondStepParts > 0 { // the clients' protocols cannot express a second step: the first answer is the final one
 			c.Warnings = append(c.Warnings, FieldError{"settings.domain.classFetch", errors.New("second steps are not supported by this protocol, ignored")})
 			s.Classes[i].SecondStepParts = 0
 		}
@@ -417,7 +419,7 @@
 	return min(n, 1e9), nil // eleven days in milliseconds, so that no conversion overflows
 }
 
-// stringList converts a JSON list to strings; any other value gives an empty list.
+// stringList returns the items of a JSON list as text; any other value gives an empty list.
 func stringList(v any) []string {
 	all, _ := v.([]any)
 	out := make([]string, 0, len(all))
@@ -427,8 +429,8 @@
 	return out
 }
 
-// flatten adds the path=value pairs of v in the simulator's wire format: lists of plain
-// values are joined by commas, and lists of objects get a count and an index per item.
+// flatten adds the path=value pairs of v, which is at path, in the simulator's wire format: lists
+// of plain values are joined by commas, and lists of objects get a count and an index per item.
 func flatten(pairs map[string]string, path string, v any) {
 	keyPath := func(key string) string {
 		if path == "" {
@@ -470,7 +472,8 @@
 	return strings.NewReplacer(" ", "_", ",", "_", "\n", "_").Replace(fmt.Sprint(v))
 }
 
-// isLoopback reports whether addr is a loopback host and a port.
+// isLoopback reports whether addr is a loopback host and a port. Of host names, only localhost
+// counts.
 func isLoopback(addr string) bool {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil || port == "" {
--- a/config/reload.go
+++ b/config/reload.go
@@ -11,16 +11,16 @@
 	"onyxsail/decide"
 )
 
-// maxClasses bounds the number of different classes since the start of a broker, including
-// retired ones.
+// maxClasses bounds the number of classes since the start of a broker, including retired ones,
+// whose counters and settings stay in memory.
 const maxClasses = 1024
 
 // Reload reads the file again for a broker that runs with old. If the file's discovery
 // address has changed, it takes precedence over NODE_DISCOVERY: the environment is that of
-// the start and cannot reflect a move. Otherwise discovery stays as in old.
+// the start and cannot reflect a move. Otherwise the discovery address stays as in old.
 //
-// The whole file is rejected if it lacks a key that the file in use has, or if a deadline or
-// the number of attempts is not a number above 0. In the result the classes keep their
+// The whole file is rejected if it lacks a key of the platform's fields that the file in use
+// has, or if a deadline or the number of attempts is not a number above 0. In the result the classes keep their
 // indexes in old; classes that the file no longer has are retired.
 func Reload(path string, getenv func(string) string, old *Config) (*Config, error) {
 	c, err := Load(path, getenv)
@@ -40,7 +40,8 @@
 }
 
 // checkComplete returns an error if the file lacks a key of the file in use, or has a
-// deadline or number of attempts under which no query could run.
+// deadline or number of attempts with which no query could run. Operators' fields may be
+// missing.
 func (c *Config) checkComplete(old *Config) error {
 	for _, path := range slices.Sorted(maps.Keys(old.keyPaths)) {
 		if !c.keyPaths[path] {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
 // Package daemon assembles a broker from its configuration: the core, the HTTP and
-// Flight fronts, the node clients, the roster, the store, tracing and the operators' port.
+// Flight fronts, the node clients, the roster, the store, tracing and the admin port.
 // It is the entry point for a program that embeds the broker.
 package daemon
 
@@ -35,17 +35,17 @@
 )
 
 const (
-	defaultMaxSockets   = 1024 // descriptors
-	smallSocketLimit    = 128  // descriptors
+	defaultMaxSockets   = 1024 // descriptors, where the platform gives no limit
+	smallSocketLimit    = 128  // descriptors, below which reservedDescriptors are subtracted first
 	reservedDescriptors = 16   // standard streams, pollers, listeners, discovery, one in transfer
 	// minMemoryLimit is the smallest memory limit in bytes that is set for the garbage
 	// collector. Below it the program's own tables would keep the collector running
 	// all the time.
 	minMemoryLimit  = 16 << 20
 	maxPendingWrite = 512 << 10       // bytes buffered for one connection
-	drainTimeout    = 8 * time.Second // longer than the longest deadline, so no query is left open
+	drainTimeout    = 8 * time.Second // longer than any answerTimeout, so no query is left open
 	// initialListTimeout is how long a broker without a list of nodes waits for one before
-	// it accepts clients anyway. Nine in ten restarted brokers must be ready within 10 s, or
+	// it reports ready anyway. Nine in ten restarted brokers must be ready within 10 s, or
 	// 6 s on a day that ends sooner, and an immediate refusal with a retry hint serves a
 	// client better than a refused connection.
 	initialListTimeout = 5 * time.Second
@@ -79,10 +79,10 @@
 	store                         *store.Store       // nil: off
 	tracer                        *tracing.Tracer    // nil: off
 	logLevel                      *levelSampler
-	handOverWindow                atomic.Int64          // nanoseconds; new connections are accepted this long after a stop
-	takeoverServer                *takeover.Server      // serves a successor process; nil: takeover is not possible
+	handOverWindow                atomic.Int64          // nanoseconds; new connections are accepted this long after Stop is called
+	takeoverServer                *takeover.Server      // serves a successor process; nil: not started yet, not possible, or closed; siblings.mu guards it
 	predecessor                   *takeover.Predecessor // the process that this one replaces; nil: none
-	maxClientConns, maxFrameConns int                   // descriptors when no sibling process runs
+	maxClientConns, maxFrameConns int                   // connections, and so descriptors, when no sibling process runs
 	siblings                      siblingProcesses
 	admin                         *admin.Server // nil: off
 	reloadCounts                  reloadCounters
@@ -93,18 +93,19 @@
 	wg                            sync.WaitGroup
 
 	mu       sync.Mutex    // guards cfg and the fields below
-	stopping bool          // Stop has begun
+	stopping bool          // Stop has drained the fronts; no reload is applied any more
 	limits   broker.Limits // of the whole broker, as set by the configuration file and the store
-	// processCount is the number of running processes of this broker, including this one;
-	// 0: no other process has run since the start.
+	// processCount is the number of running processes of this broker, including this one.
+	// 0 counts as 1: no other process has been known since the start.
 	processCount int
 }
 
 // TuneRuntime sets GOMAXPROCS, the memory limit and the garbage collector's target from
 // the platform's limits. It changes the whole process, so only a program that runs nothing
-// but the broker calls it: at its start, and when the limits or siblingRunning change.
+// but the broker calls it: at its start, and when the limits or siblingRunning change. A
+// memory limit of 0 leaves the one that is set unchanged.
 //
-// With siblingRunning, another process of this broker runs and uses half of the memory.
+// siblingRunning says that another process of this broker runs, which uses half of the memory.
 func TuneRuntime(limits config.Limits, siblingRunning bool) {
 	// At least two, even on one core: the socket goroutine blocks in epoll_wait, and with
 	// a single P the core would wait until the scheduler retakes it.
@@ -119,10 +120,11 @@
 	debug.SetGCPercent(400) // the live heap is small compared to the limit
 }
 
-// splitSockets divides the descriptors between clients and nodes that use the frame
-// protocol. An eighth is reserved for nodes that use Flight, and a sixteenth for discovery,
-// the log and connections in transfer. Without a Flight front its share goes to the
-// clients. A long list of nodes takes what it needs from the clients' share.
+// splitSockets divides the descriptors and returns the limits of connections to HTTP clients
+// and to nodes that use the frame protocol. Not included are an eighth for nodes that use
+// Flight, an eighth for the Flight front, and a sixteenth for discovery, the log and
+// connections in transfer. Without a Flight front its share goes to the HTTP clients. A long
+// cached list of nodes takes what it needs from the HTTP clients' share; nil is no list.
 func splitSockets(sockets int, flight bool, cached *discovery.List) (clients, frames int) {
 	if sockets < smallSocketLimit { // the process's own descriptors, about twelve, are a significant share here
 		sockets = max(4, sockets-reservedDescriptors)
@@ -140,21 +142,23 @@
 	return max(1, clients), max(1, frames)
 }
 
-// coreSink is the broker.Sink of the node clients. It resolves the circular dependency
+// coreSink is the broker.ResultSink of the node clients. It resolves the circular dependency
 // between the core and its node clients: its core is set after both exist.
 type coreSink struct{ core *broker.Core }
 
-// Outcome implements broker.Sink.
-func (s *coreSink) AttemptOutcome(id broker.AttemptID, o decide.Outcome, a broker.Response) {
-	s.core.AttemptOutcome(id, o, a)
+// AttemptOutcome implements broker.ResultSink.
+func (s *coreSink) AttemptOutcome(id broker.AttemptID, outcome decide.Outcome, response broker.Response) {
+	s.core.AttemptOutcome(id, outcome, response)
 }
 
-// Probed implements broker.Sink.
-func (s *coreSink) ProbeOutcome(node string, o decide.Outcome, took time.Duration) {
-	s.core.ProbeOutcome(node, o, took)
+// ProbeOutcome implements broker.ResultSink.
+func (s *coreSink) ProbeOutcome(node string, outcome decide.Outcome, took time.Duration) {
+	s.core.ProbeOutcome(node, outcome, took)
 }
 
-// Start starts a broker. The clients' port accepts connections when Start returns.
+// Start starts a broker, which runs until Stop is called. The clients' port accepts
+// connections when Start returns, but the broker reports ready only once it has a list with
+// nodes or initialListTimeout is over. The broker keeps cfg, which must not change any more.
 func Start(cfg *config.Config, log zerolog.Logger) (*Daemon, error) {
 	loop, err := netio.New(maxPendingWrite)
 	if err != nil {
@@ -276,7 +280,7 @@
 	return d, nil
 }
 
-// logIgnoredFields logs the parts of the configuration that this broker ignores.
+// logIgnoredFields logs the warnings of a configuration: the parts that this broker ignores.
 func (d *Daemon) logIgnoredFields(cfg *config.Config) {
 	for _, warning := range cfg.Warnings {
 		d.log.Warn().Str("event", "unused").Str("field", warning.Path).Err(warning.Err).Msg("ignoring a part of the configuration")
@@ -284,8 +288,8 @@
 }
 
 // watchDiscovery starts to watch discovery at addr. version is the version of the list
-// that is known from this discovery, or nil. The previous watch ends when the new one
-// receives its first answer. d.mu must be held.
+// that is known from this discovery; nil means that none is. The previous watch ends when
+// the new one receives its first answer. d.mu must be held.
 func (d *Daemon) watchDiscovery(addr string, version *int64) {
 	ctx, cancel := context.WithCancel(context.Background())
 	brokers := 0
@@ -308,9 +312,11 @@
 	}()
 }
 
-// Reload applies a configuration that was read again while the broker runs. The roster and
-// all connections are kept. Fields that need a restart keep their old values and are
-// listed in the log.
+// Reload applies a configuration that config.Reload has returned for the one in use. The
+// roster and all connections are kept. Fields that need a restart keep their old values and
+// are listed in the log. With a store, the replicated configuration is applied again on top.
+// The limits of cores and memory take effect only with TuneRuntime. Once Stop has drained
+// the fronts, Reload applies nothing.
 func (d *Daemon) Reload(cfg *config.Config) {
 	if d.store != nil { // the replicated configuration takes precedence over the file
 		defer func() { d.applyStoreConfig(d.store.State()) }()
@@ -362,7 +368,7 @@
 	}
 }
 
-// abortStart releases what a failed Start has opened.
+// abortStart closes what a failing Start has opened so far.
 func (d *Daemon) abortStart() {
 	if d.store != nil {
 		_ = d.store.Close() // Start returns the error that made it fail
@@ -385,7 +391,7 @@
 	}
 }
 
-// classesByName returns the classes that new queries may use.
+// classesByName returns the classes that new queries may use, by name.
 func classesByName(cfg *config.Config) map[string]query.Class {
 	m := make(map[string]query.Class, len(cfg.Classes))
 	for i, c := range cfg.Classes {
@@ -423,7 +429,7 @@
 func (d *Daemon) Stats() broker.Stats { return d.core.Stats() }
 
 // answerTimeout returns how long after the stop signal the broker may take to answer open
-// queries. The platform may kill the process soon after that.
+// queries. The platform may kill the process killSafetyMargin later.
 func (d *Daemon) answerTimeout() time.Duration {
 	longest := time.Duration(0)
 	for i, class := range d.cfg.Settings.Classes {
@@ -436,9 +442,10 @@
 	return min(longest, maxCountedDeadline) + killGracePeriod - killSafetyMargin
 }
 
-// Stop accepts new connections during the hand-over window, answers every accepted query
-// and shuts the broker down. If the time does not suffice, or ctx ends first, it returns an
-// error.
+// Stop shuts the broker down after it has answered every accepted query. During the hand-over
+// window it still accepts new connections, unless a successor process accepts them. It returns
+// an error if the drain is not complete drainTimeout after that window, if ctx ends first, or
+// if the store cannot be closed. It must be called once.
 func (d *Daemon) Stop(ctx context.Context) error {
 	stopTime, answerTimeout := time.Now(), d.answerTimeout()
 	d.core.SetAnswerDeadline(stopTime.Add(answerTimeout))
--- a/daemon/figures.go
+++ b/daemon/figures.go
@@ -8,47 +8,48 @@
 	"onyxsail/broker"
 )
 
-// reloadCounters counts the reloads of the configuration file by their result.
+// reloadCounters counts the reloads of the configuration file by whether it was accepted.
 type reloadCounters struct{ accepted, invalid atomic.Int64 }
 
-// CountInvalidReload counts a reload whose configuration file was rejected.
+// CountInvalidReload counts a reload whose configuration file was rejected, so that Reload was
+// not called.
 func (d *Daemon) CountInvalidReload() { d.reloadCounts.invalid.Add(1) }
 
 // Ready implements admin.Broker.
 func (d *Daemon) Ready() bool { return d.httpFront.Ready() }
 
-// SendAway implements admin.Broker.
-func (d *Daemon) SetDraining(away bool) { d.httpFront.SetOperatorDrain(away) }
+// SetDraining implements admin.Broker.
+func (d *Daemon) SetDraining(draining bool) { d.httpFront.SetOperatorDrain(draining) }
 
-// Figures implements admin.Broker.
+// Metrics implements admin.Broker.
 func (d *Daemon) Metrics() []admin.Metric {
 	ctx, cancel := context.WithTimeout(context.Background(), broker.RosterCountsTimeout)
 	defer cancel()
-	survey := d.core.RosterCounts(ctx)
-	var figures []admin.Metric
+	rosterCounts := d.core.RosterCounts(ctx)
+	var metrics []admin.Metric
 	for _, c := range d.countsByClassName() {
-		figures = append(figures, admin.Metric{Name: "fulfilled." + c.name, Value: c.Fulfilled},
+		metrics = append(metrics, admin.Metric{Name: "fulfilled." + c.name, Value: c.Fulfilled},
 			admin.Metric{Name: "throttled." + c.name, Value: c.Throttled},
 			admin.Metric{Name: "faulted." + c.name, Value: c.Faulted})
 	}
-	return append(figures,
+	return append(metrics,
 		admin.Metric{Name: "relayed", Value: d.frameNodes.WrittenAttempts() + d.flightNodes.WrittenAttempts()},
 		admin.Metric{Name: "open_requests", Value: d.core.Stats().Open},
-		admin.Metric{Name: "registry_entries", Value: int64(survey.Listed)},
-		admin.Metric{Name: "out_of_rotation", Value: int64(survey.OutOfRotation)},
+		admin.Metric{Name: "registry_entries", Value: int64(rosterCounts.Listed)},
+		admin.Metric{Name: "out_of_rotation", Value: int64(rosterCounts.OutOfRotation)},
 		admin.Metric{Name: "cfg_accepted", Value: d.reloadCounts.accepted.Load()},
 		admin.Metric{Name: "cfg_invalid", Value: d.reloadCounts.invalid.Load()},
 	)
 }
 
-// namedClassCounts are the counters of all classes that have had the same name, summed up.
+// namedClassCounts are the sums of the counters of all classes that have had the same name.
 type namedClassCounts struct {
 	name string
 	broker.ClassCounts
 }
 
-// countsByClassName sums up the counters of the classes by name, in the order of their
-// first index.
+// countsByClassName sums up the counters of the classes by name, including those of retired
+// classes, in the order of each name's first index.
 func (d *Daemon) countsByClassName() (totals []namedClassCounts) {
 	byIndex := d.core.ClassCounts()
 	d.mu.Lock()
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -25,7 +25,7 @@
 	"onyxsail/tracing"
 )
 
-// Names of the operators' Flight actions. ReasonNotLeader and LeaderFlight are the error
+// Names of the operators' Flight actions. ReasonNotLeader and LeaderFlightKey are the error
 // reason and the metadata key with which a follower returns the leader's Flight address.
 const (
 	ActionStatus    = "status"
@@ -37,8 +37,8 @@
 	LeaderFlightKey = "leader_flight"
 )
 
-// levelSampler passes log lines from a minimum level up. The level may change while the
-// broker runs.
+// levelSampler is a zerolog.Sampler that drops log lines below a minimum level, which may
+// change while the broker runs.
 type levelSampler struct{ minLevel atomic.Int32 }
 
 // Sample implements zerolog.Sampler.
@@ -53,13 +53,13 @@
 	s.minLevel.Store(int32(minLevel))
 }
 
-// rosterForwarder forwards updates of the list of nodes to the core. Where a store runs, it
-// also maintains the full list and passes it to the store.
+// rosterForwarder forwards updates of the list of nodes to the core. With a store, it also
+// maintains the full list and passes it to the store.
 type rosterForwarder struct {
 	core         *broker.Core
-	store        *store.Store
-	nodes        map[string]broker.Node
-	onFirstNodes func() // called once, with the first list that has nodes
+	store        *store.Store           // nil: off
+	nodes        map[string]broker.Node // the full list by ID; empty without a store
+	onFirstNodes func()                 // called once, with the first list that has nodes
 	once         sync.Once
 
 	mu           sync.Mutex
@@ -68,8 +68,8 @@
 	lastSourceID int
 }
 
-// rosterSource is a watch of one discovery, which updates of the list come from. The zero
-// value is no source.
+// rosterSource is the watch of one discovery, which delivers updates of the list. The zero
+// value stands for no source.
 type rosterSource struct {
 	id     int
 	cancel context.CancelFunc
@@ -83,10 +83,10 @@
 }
 
 // addSource registers a new source that cancel stops. It returns the callbacks of the
-// source: onAnswer for each answer of its discovery, and deliver for updates of the list.
-// The previous source stays in use until the first answer, because the new discovery may be
-// down and what the old one reports until then still applies. Afterwards updates of the
-// previous source are dropped, as they would bring back an outdated list.
+// source: onAnswer for each answer of its discovery, and deliver for each update of the
+// list, after onAnswer. The previous source stays in use until the first answer, because the
+// new discovery may be down and what the old one reports until then still applies. After
+// that, updates of the previous source are dropped, as they would bring back an outdated list.
 func (r *rosterForwarder) addSource(cancel context.CancelFunc) (onAnswer func(), deliver func(broker.Roster)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +119,8 @@
 	r.pending.stop()
 }
 
-// forward passes an update to the core and the resulting full list to the store.
+// forward passes an update to the core and the resulting full list to the store. Calls must
+// not be concurrent: r.mu is held, except in Start, which has no source yet.
 func (r *rosterForwarder) forward(update broker.Roster) {
 	r.core.UpdateRoster(update)
 	if len(update.Nodes) > 0 {
@@ -147,7 +148,7 @@
 	r.store.RecordRoster(store.Roster{Version: update.Version, Nodes: nodes})
 }
 
-// openStore opens the replicated store of the configuration.
+// openStore opens the replicated store that the configuration describes.
 func (d *Daemon) openStore() error {
 	peers := make([]store.Peer, len(d.cfg.Store.Peers))
 	for i, p := range d.cfg.Store.Peers {
@@ -163,8 +164,8 @@
 	return nil
 }
 
-// applyStoreConfig applies the replicated configuration. Version 0 means that none has been
-// set yet: then the configuration file stays in effect.
+// applyStoreConfig applies the replicated configuration of state. Version 0 means that none
+// has been set yet: then the configuration file stays in effect.
 func (d *Daemon) applyStoreConfig(state store.State) {
 	c := state.Config
 	if c.Version == 0 {
@@ -175,7 +176,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	maxOpen := d.cfg.Settings.MaxOpen
-	if c.MaxOpen > 0 && (maxOpen == 0 || c.MaxOpen < maxOpen) { // the settings' value is a limit of the platform
+	if c.MaxOpen > 0 && (maxOpen == 0 || c.MaxOpen < maxOpen) { // the settings' value is a limit of the platform, which operators can only lower
 		maxOpen = c.MaxOpen
 	}
 	d.limits = broker.Limits{QueueLimit: c.QueueLimit, MaxOpen: maxOpen}
@@ -183,7 +184,8 @@
 	d.log.Info().Str("event", "configured").Uint64("version", c.Version).Msg("replicated configuration applied")
 }
 
-// Status is the result of the status action.
+// Status is the result of the status action. Store is nil without a store, and Tracing nil
+// without tracing.
 type Status struct {
 	Name    string          `json:"name"`
 	Stats   broker.Stats    `json:"stats"`
@@ -232,7 +234,8 @@
 		})
 }
 
-// setConfig decodes a patch and proposes it to the store.
+// setConfig decodes a patch, proposes it to the store and returns the new configuration in
+// JSON. Its errors are Flight statuses.
 func (d *Daemon) setConfig(body []byte) ([]byte, error) {
 	var patch store.Patch
 	decoder := json.NewDecoder(bytes.NewReader(body))
--- a/daemon/route.go
+++ b/daemon/route.go
@@ -13,7 +13,7 @@
 )
 
 // router is the core's node client. It dispatches to the frame client or the Flight client
-// by the scheme of the node's listed address. Only the core's goroutine uses it.
+// by the scheme of the node's address. Only the core's goroutine uses it.
 type router struct {
 	frameClient, flightClient broker.NodeClient
 	sink                      broker.ResultSink
@@ -39,8 +39,9 @@
 	r.flightClient.Update(flightNodes)
 }
 
-// resolveAddressClaims assigns each address to a single node once any node lists several.
-// A node that is left without an address is dropped, as it cannot be reached.
+// resolveAddressClaims returns the nodes with the addresses that they may use: once any node
+// has listed several, each address is assigned to a single node. A node that is left without
+// an address is dropped, as it cannot be reached.
 func (r *router) resolveAddressClaims(nodes []broker.Node) []broker.Node {
 	if r.claims == nil {
 		if !slices.ContainsFunc(nodes, func(n broker.Node) bool { return len(n.Addrs) > 0 }) {
@@ -61,8 +62,8 @@
 			}
 		}
 	}
-	// Claims made in the same turn are resolved by their order, which must not depend on
-	// the iteration order of a map.
+	// Claims made in the same update are resolved by the order of the nodes, which must not
+	// depend on the iteration order of a map.
 	slices.SortStableFunc(listings, func(a, b reach.NodeAddresses) int { return strings.Compare(a.ID, b.ID) })
 	granted, lost := r.claims.Update(listings)
 	for _, l := range lost {
@@ -75,7 +76,7 @@
 			grantedAddrs[g.ID] = append(grantedAddrs[g.ID], a.String())
 		}
 	}
-	out := nodes[:0:0]
+	reachable := nodes[:0:0]
 	for _, n := range nodes {
 		addrs := grantedAddrs[n.ID]
 		if len(addrs) == 0 {
@@ -87,18 +88,18 @@
 		if n.Addrs = nil; len(addrs) > 1 {
 			n.Addrs = addrs
 		}
-		out = append(out, n)
+		reachable = append(reachable, n)
 	}
-	return out
+	return reachable
 }
 
 // Send implements broker.NodeClient.
-func (r *router) Send(node string, calls []broker.Attempt) {
+func (r *router) Send(node string, attempts []broker.Attempt) {
 	if client := r.clientByNode[node]; client != nil {
-		client.Send(node, calls)
+		client.Send(node, attempts)
 		return
 	}
-	for _, a := range calls {
+	for _, a := range attempts {
 		r.sink.AttemptOutcome(a.ID, decide.Unreachable, broker.Response{})
 	}
 }
--- a/daemon/rules_test.go
+++ b/daemon/rules_test.go
@@ -88,14 +88,14 @@
 }
 
 // setAllNodes makes all nodes end every part in the given way.
-func (h *harness) setAllNodes(end string) {
+func (h *harness) setAllResponses(response string) {
 	for _, n := range h.nodes {
-		n.SetResponse(end)
+		n.SetResponse(response)
 	}
 }
 
 // allCalls returns the calls that all nodes have received.
-func (h *harness) allCalls() (all []testkit.Part) {
+func (h *harness) allParts() (all []testkit.Part) {
 	for _, n := range h.nodes {
 		all = append(all, n.Parts()...)
 	}
@@ -140,7 +140,7 @@
 	// The decision module ends a query two ticks before its deadline. With long ticks a busy
 	// machine does not make the client miss an answer that was sent in time.
 	forEachProtocol(t, 4, func(s map[string]any) { s["tickMs"] = 150.0 }, func(t *testing.T, h *harness) {
-		h.setAllNodes(testkit.NeverAnswer)
+		h.setAllResponses(testkit.NeverAnswer)
 		got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards, Timeout: time.Second})
 		if got.Outcome == "none" || got.Outcome == "served" {
 			t.Fatalf("got %+v, want a final answer before the client's deadline", got)
@@ -154,11 +154,11 @@
 // Guards against a failing part being retried without limit, or not at all.
 func TestAttemptsPerPartAreLimited(t *testing.T) {
 	forEachProtocol(t, 5, nil, func(t *testing.T, h *harness) {
-		h.setAllNodes(testkit.Failed)
+		h.setAllResponses(testkit.Failed)
 		if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}}); got.Outcome != "refused" {
 			t.Fatalf("got %+v", got)
 		}
-		if n := len(h.allCalls()); n < 2 || n > 3 {
+		if n := len(h.allParts()); n < 2 || n > 3 {
 			t.Errorf("%d attempts of one part, want 2 or 3", n)
 		}
 	})
@@ -182,11 +182,11 @@
 				})
 			}
 			got := h.ask(context.Background(), testkit.Query{Class: "edit", Key: "k1", Shards: []int{2}})
-			calls := h.allCalls()
-			if len(calls) != want || (got.Outcome == "served") != (want == 2) {
-				t.Fatalf("window %v ms: %d attempts, got %+v", window, len(calls), got)
+			parts := h.allParts()
+			if len(parts) != want || (got.Outcome == "served") != (want == 2) {
+				t.Fatalf("window %v ms: %d attempts, got %+v", window, len(parts), got)
 			}
-			for _, c := range calls {
+			for _, c := range parts {
 				if c.Key != "k1" {
 					t.Errorf("key %q", c.Key)
 				}
@@ -199,7 +199,7 @@
 // its query with a refusal, which invites a retry, and against not retrying a part that a
 // node rejected before running it.
 func TestUnsafePartIsRetriedOnlyIfItNeverRan(t *testing.T) {
-	for end, want := range map[string]string{testkit.Failed: "failed", testkit.Disconnect: "failed", testkit.Full: "served"} {
+	for response, want := range map[string]string{testkit.Failed: "failed", testkit.Disconnect: "failed", testkit.Full: "served"} {
 		forEachProtocol(t, 4, nil, func(t *testing.T, h *harness) {
 			var first atomic.Bool
 			for _, n := range h.nodes {
@@ -207,12 +207,12 @@
 					if first.Swap(true) {
 						return testkit.Done
 					}
-					return end
+					return response
 				})
 			}
 			got := h.ask(context.Background(), testkit.Query{Class: "order", Shards: []int{2}})
-			if n := len(h.allCalls()); got.Outcome != want || (n > 1) != (want == "served") {
-				t.Fatalf("after %q: %d attempts, got %+v", end, n, got)
+			if n := len(h.allParts()); got.Outcome != want || (n > 1) != (want == "served") {
+				t.Fatalf("after %q: %d attempts, got %+v", response, n, got)
 			}
 		})
 	}
@@ -331,7 +331,7 @@
 			}()
 		}
 		wg.Wait()
-		cold, all := len(h.nodes[0].Parts())-before, len(h.allCalls())
+		cold, all := len(h.nodes[0].Parts())-before, len(h.allParts())
 		if all < 30 || cold*6 > all {
 			t.Fatalf("%d of %d parts went to the cold node, want less than half of an even share", cold, all)
 		}
@@ -365,7 +365,7 @@
 func TestRefusalIsImmediateWithRetryHint(t *testing.T) {
 	forEachProtocol(t, 3, nil, func(t *testing.T, h *harness) {
 		h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}) // lets the decision module learn the usual latency
-		h.setAllNodes(testkit.Full)
+		h.setAllResponses(testkit.Full)
 		got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}, Timeout: 15 * time.Second})
 		if got.Outcome != "refused" || got.RetryAfter <= 0 {
 			t.Fatalf("got %+v, want a refusal with a retry hint", got)
@@ -379,7 +379,7 @@
 // Guards against a broker accepting more queries and parts than maxOpen.
 func TestBrokerAtMaxOpenRefuses(t *testing.T) {
 	forEachProtocol(t, 3, func(s map[string]any) { s["caps"].(map[string]any)["maxOpen"] = 7 }, func(t *testing.T, h *harness) {
-		h.setAllNodes(testkit.NeverAnswer)
+		h.setAllResponses(testkit.NeverAnswer)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan testkit.Reply, 1)
 		go func() { done <- h.ask(ctx, testkit.Query{Class: "screen", Shards: sixShards}) }()
@@ -397,11 +397,11 @@
 // cancelled at the nodes.
 func TestClientDisconnectCancelsParts(t *testing.T) {
 	forEachProtocol(t, 2, nil, func(t *testing.T, h *harness) {
-		h.setAllNodes(testkit.NeverAnswer)
+		h.setAllResponses(testkit.NeverAnswer)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan testkit.Reply, 1)
 		go func() { done <- h.ask(ctx, testkit.Query{Class: "screen", Shards: []int{1, 2}}) }()
-		testkit.Eventually(t, "both parts are sent", func() bool { return len(h.allCalls()) >= 2 })
+		testkit.Eventually(t, "both parts are sent", func() bool { return len(h.allParts()) >= 2 })
 		cancel()
 		<-done
 		testkit.Eventually(t, "both parts are cancelled", func() bool {
@@ -486,8 +486,8 @@
 // particular when a node never answers.
 func TestLoadLeaksNoGoroutinesOrQueries(t *testing.T) {
 	forEachProtocol(t, 4, nil, func(t *testing.T, h *harness) {
-		ask := func(n int, end string) {
-			h.nodes[3].SetResponse(end)
+		ask := func(n int, response string) {
+			h.nodes[3].SetResponse(response)
 			var wg sync.WaitGroup
 			for range n {
 				wg.Add(1)
@@ -518,11 +518,11 @@
 func TestNoCancelIsSentWhereSettingsForbidIt(t *testing.T) {
 	forbidCancel := func(s map[string]any) { s["caps"].(map[string]any)["cancel"] = false }
 	forEachProtocol(t, 2, forbidCancel, func(t *testing.T, h *harness) {
-		h.setAllNodes(testkit.NeverAnswer)
+		h.setAllResponses(testkit.NeverAnswer)
 		if got := h.ask(context.Background(), testkit.Query{Class: "order", Shards: sixShards[:1], Timeout: 300 * time.Millisecond}); got.Outcome == "served" {
 			t.Errorf("got %+v", got)
 		}
-		h.setAllNodes(testkit.Done)
+		h.setAllResponses(testkit.Done)
 		for range 3 { // on the same connections, so a cancel frame of the first query would have arrived
 			if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Outcome != "served" {
 				t.Errorf("got %+v", got)
--- a/daemon/takeover.go
+++ b/daemon/takeover.go
@@ -16,14 +16,15 @@
 // runs, each process uses half of what the platform allows the broker.
 type siblingProcesses struct {
 	mu          sync.Mutex
-	predecessor bool // the process that this one replaces is running
-	successor   bool // a process that replaces this one is running
-	onChange    func(siblingRunning bool)
-	stopping    bool // the takeover server is being closed, or has been
+	predecessor bool                      // the process that this one replaces is running
+	successor   bool                      // a process that replaces this one is running
+	onChange    func(siblingRunning bool) // nil: none
+	stopping    bool                      // the takeover server is being closed, or has been
 }
 
 // OnSiblingChange calls onChange now and whenever another process of this broker starts or
-// ends during a takeover. onChange must not block.
+// ends during a takeover. It replaces the callback of an earlier call. onChange must not block
+// or call the Daemon.
 func (d *Daemon) OnSiblingChange(onChange func(siblingRunning bool)) {
 	siblings := &d.siblings
 	siblings.mu.Lock()
@@ -73,8 +74,8 @@
 func (d *Daemon) applyLimits() { d.core.SetLimits(limitsPerProcess(d.limits, d.processCount)) }
 
 // limitsPerProcess returns the limits of each process when a broker has processCount of
-// them. Traffic to a node in slow start is divided by the decision module itself, which is
-// given the number of processes.
+// them: more than one get half of MaxOpen each. Traffic to a node in slow start is divided by
+// the decision module itself, which is given the number of processes.
 func limitsPerProcess(limits broker.Limits, processCount int) broker.Limits {
 	limits.Processes = processCount
 	if processCount > 1 && limits.MaxOpen > 0 {
@@ -111,7 +112,7 @@
 	return predecessor.Listener, nil
 }
 
-// AddressTakenError reports that another broker runs at the address for clients.
+// AddressTakenError reports that another broker runs at this broker's address for clients.
 type AddressTakenError struct {
 	Addr               string
 	OtherName, OwnName string // names of that broker and of this one
@@ -122,7 +123,8 @@
 	return fmt.Sprintf("listen: the broker %q runs at %s, and this one is %q", e.OtherName, e.Addr, e.OwnName)
 }
 
-// watchPredecessor halves the limits until the predecessor has ended.
+// watchPredecessor halves this process's limits until the predecessor has ended. It does
+// nothing without a predecessor.
 func (d *Daemon) watchPredecessor() {
 	if d.predecessor == nil {
 		return
@@ -135,14 +137,15 @@
 	})
 }
 
-// takeoverPossible reports whether another process could find this one. With a port that
-// the system chooses, no other process knows the address.
+// takeoverPossible reports whether processes of this broker can find each other by its listen
+// address, which they cannot with a port that the system chooses.
 func takeoverPossible(cfg *config.Config) bool {
 	_, port, err := net.SplitHostPort(cfg.Listen)
 	return err == nil && port != "0"
 }
 
-// startServing starts to accept clients and to wait for a successor process.
+// startServing reports this process ready, to the predecessor and on /ready, and starts to
+// wait for a successor process.
 func (d *Daemon) startServing() {
 	d.startTakeoverServer()
 	if d.predecessor != nil { // it may be told to stop as soon as this process reports ready
@@ -153,7 +156,8 @@
 	d.httpFront.SetReady(true)
 }
 
-// startTakeoverServer starts to wait for a successor process.
+// startTakeoverServer starts to wait for a successor process, unless the broker is stopping.
+// A failure is only logged, as the broker can serve clients without.
 func (d *Daemon) startTakeoverServer() {
 	if !takeoverPossible(d.cfg) {
 		return
--- a/daemon/trace.go
+++ b/daemon/trace.go
@@ -13,17 +13,18 @@
 	"onyxsail/tracing/record"
 )
 
-// maxTracesPerRead bounds the traces of one answer, as all are read into memory before the
-// first is sent.
+// maxTracesPerRead bounds the number of traces in one answer, as all are read into memory
+// before the first is sent.
 const maxTracesPerRead = 5000
 
-// TraceItem is one result of the trace actions.
+// TraceItem is one result of the trace actions. Exactly one field is set.
 type TraceItem struct {
 	Trace      *record.Trace `json:"trace,omitempty"`
 	Unreadable string        `json:"unreadable,omitempty"` // a file of the spool and the error
 }
 
-// ParseFilter decodes the body of a trace action; an empty one selects all traces.
+// ParseFilter decodes the body of a trace action. An empty body sets no condition. The limit is
+// maxTracesPerRead unless the body sets one. Errors are Flight statuses.
 func ParseFilter(body []byte) (record.Filter, error) {
 	filter := record.Filter{Limit: maxTracesPerRead}
 	if len(body) > 0 {
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -99,8 +99,8 @@
 			if !info.Reused {
 				connCreatedAt.Store(t.localAddr, time.Now())
 			}
-			if elapsed, ok := connCreatedAt.Load(t.localAddr); ok {
-				t.connAge = time.Since(elapsed.(time.Time))
+			if createdAt, ok := connCreatedAt.Load(t.localAddr); ok {
+				t.connAge = time.Since(createdAt.(time.Time))
 			}
 		},
 		WroteRequest:         func(httptrace.WroteRequestInfo) { record(&t.requestAfter) },
--- a/store/patient.go
+++ b/store/patient.go
@@ -15,18 +15,19 @@
 	diskLogInterval = 10 * time.Second
 )
 
+// errDiskFailedAtClose is the error of a write that was abandoned.
 var errDiskFailedAtClose = errors.New("the store's disk failed until the store was closed")
 
-// retryingDisk is a Disk that retries failed writes to the stable store until they succeed
-// or the store closes. Raft panics if it cannot save its term, so a disk that is full or has
+// retryingDisk is a Disk that retries failed writes to Raft's stable store, which has its term
+// and votes, until they succeed or the store closes. Raft panics if it cannot save its term, so a disk that is full or has
 // I/O errors for a while would end the process. Writes to the log fail at once: Raft then
 // steps down and acknowledges nothing.
 type retryingDisk struct {
 	Disk
 	stop <-chan struct{} // closed when the store closes, which ends all retries
 	log  zerolog.Logger
-	// abandoned is set once a stable write was abandoned because the store closes. No
-	// further stable write is attempted, so that no vote or entry depends on the missing one.
+	// abandoned is set once a write to the stable store was abandoned because the store
+	// closes. No further one is attempted, so that no vote or entry depends on the missing one.
 	abandoned atomic.Bool
 }
 
--- a/store/state.go
+++ b/store/state.go
@@ -15,22 +15,23 @@
 	"onyxsail/broker"
 )
 
-// Config is the configuration that operators may change while the brokers run.
+// Config is the configuration that operators may change while the brokers run. Version 0 means
+// that none has been set yet.
 type Config struct {
 	Version    uint64 `json:"version"`
-	QueueLimit int    `json:"queue_limit"` // maximum number of inputs that wait for a turn
+	QueueLimit int    `json:"queue_limit"` // number of inputs waiting for a turn at which new queries are refused
 	MaxOpen    int    `json:"max_open"`    // maximum number of open queries and parts; 0: the value in the settings
-	LogLevel   string `json:"log_level"`
+	LogLevel   string `json:"log_level"`   // debug, info, warn or error
 	HandOverMs int    `json:"hand_over_ms"`
 }
 
-// Defaults returns the configuration before any was set.
+// Defaults returns the configuration before any was set, with version 0.
 func Defaults() Config {
 	return Config{QueueLimit: 4096, LogLevel: "info", HandOverMs: 550}
 }
 
-// Patch is a change of some fields of the configuration. If IfVersion is set, the change
-// applies only to that version.
+// Patch is a change of some fields of the configuration; nil leaves a field as it is. If
+// IfVersion is set, the change applies only to that version.
 type Patch struct {
 	IfVersion  *uint64 `json:"if_version,omitempty"`
 	QueueLimit *int    `json:"queue_limit,omitempty"`
@@ -45,7 +46,8 @@
 // ErrConflict is the error of a change whose IfVersion is not the current version.
 var ErrConflict = errors.New("the configuration has another version")
 
-// Validate checks the fields that the patch sets.
+// Validate checks the fields that the patch sets. Its errors wrap ErrInvalid: a
+// field is out of range, or none is set.
 func (p *Patch) Validate() error {
 	check := func(field string, v *int, low, high int) error {
 		if v != nil && (*v < low || *v > high) {
@@ -109,12 +111,14 @@
 	onChange func(State)
 }
 
+// get returns the current state.
 func (m *stateMachine) get() State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state
 }
 
+// put sets the state and calls onChange with it.
 func (m *stateMachine) put(s State) {
 	m.mu.Lock()
 	m.state = s
@@ -122,8 +126,9 @@
 	m.onChange(s)
 }
 
-// Apply implements raft.FSM. It must have the same result on every instance, so it depends
-// only on the state and the command.
+// Apply implements raft.FSM. It returns the new State, or an error that leaves the state as it
+// was. It must have the same result on every instance, so it depends only on the state and the
+// command.
 func (m *stateMachine) Apply(l *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
--- a/store/store.go
+++ b/store/store.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	applyTimeout        = 3 * time.Second
-	retainedSnapshots   = 2
-	maxPooledConns      = 3
-	rosterWriteInterval = time.Second // minimum time between writes of the roster
+	applyTimeout        = 3 * time.Second // for Raft to take a command, and for each operation on a connection
+	retainedSnapshots   = 2               // snapshots kept on disk
+	maxPooledConns      = 3               // idle connections kept to each peer
+	rosterWriteInterval = time.Second     // minimum time between writes of the roster
 )
 
 // Peer is one instance of the store: its name and its addresses for Raft and Flight.
@@ -32,17 +32,18 @@
 // Options configure a Store.
 type Options struct {
 	Name  string // the name of this instance
-	Dir   string // the directory of its data
+	Dir   string // the directory of its data, created if it does not exist
 	Peers []Peer // all instances, including this one
-	// OnChange is called with each new state, also while Open replays the log. It must not
-	// block.
+	// OnChange is called with each new state, also while Open restores a snapshot and Raft
+	// replays the log. It must not block. nil: no calls.
 	OnChange func(State)
 	Log      zerolog.Logger
 	// Listener, if set, is used instead of a new listener at this peer's Raft address.
 	Listener net.Listener
 	// WrapDisk, if set, wraps the database on disk, in tests of a disk that fails.
 	WrapDisk func(Disk) Disk
-	// TuneRaft, if set, modifies the configuration of Raft before it is used.
+	// TuneRaft, if set, modifies the configuration of Raft before it is used, in tests that
+	// need short timeouts.
 	TuneRaft func(*raft.Config)
 }
 
@@ -72,10 +73,10 @@
 // Status is an instance's view of the group.
 type Status struct {
 	Name          string `json:"name"`
-	Role          string `json:"role"`
-	Leader        string `json:"leader"`
-	Term          string `json:"term"`
-	LastIndex     uint64 `json:"last_index"`
+	Role          string `json:"role"`       // Raft's state: Follower, Candidate, Leader or Shutdown
+	Leader        string `json:"leader"`     // the leader's name; empty: not known
+	Term          string `json:"term"`       // Raft's term, in digits
+	LastIndex     uint64 `json:"last_index"` // the index of the last log entry or snapshot
 	ConfigVersion uint64 `json:"config_version"`
 }
 
@@ -93,7 +94,7 @@
 	rosterChanged chan struct{}
 }
 
-// Open starts an instance with the data in its directory.
+// Open starts an instance with the data in its directory. It runs until Close.
 func Open(o Options) (*Store, error) {
 	if o.OnChange == nil {
 		o.OnChange = func(State) {}
@@ -175,7 +176,7 @@
 // State returns this instance's copy of the state, which may lag behind the leader's.
 func (s *Store) State() State { return s.stateMachine.get() }
 
-// Leader returns the leader, if one is known.
+// Leader returns the leader, or false if none is known.
 func (s *Store) Leader() (Peer, bool) {
 	_, id := s.raft.LeaderWithID()
 	for _, p := range s.opts.Peers {
@@ -196,8 +197,8 @@
 }
 
 // SetConfig validates a change, proposes it and returns the new configuration. It returns a
-// NotLeaderError at any instance but the leader, and ErrOutcomeUnknown if it is not known
-// whether the change has taken effect.
+// NotLeaderError at any instance but the leader, ErrInvalid or ErrConflict for a change that is
+// rejected, and ErrOutcomeUnknown if it is not known whether the change has taken effect.
 func (s *Store) SetConfig(patch Patch) (Config, error) {
 	if err := patch.Validate(); err != nil {
 		return Config{}, err
@@ -233,8 +234,9 @@
 	}
 }
 
-// RecordRoster sets the current roster of this instance's broker. If this instance is the
-// leader, the latest roster is written to the store, once per second at most.
+// RecordRoster sets the current roster of this instance's broker and does not block. While this
+// instance is the leader, the latest roster is written to the store if its version differs from
+// the stored one, once per rosterWriteInterval at most.
 func (s *Store) RecordRoster(r Roster) {
 	s.mu.Lock()
 	s.latestRoster = &r
@@ -245,7 +247,8 @@
 	}
 }
 
-// writeRosters proposes the latest roster while this instance is the leader.
+// writeRosters proposes the latest roster while this instance is the leader, until the store
+// closes.
 func (s *Store) writeRosters() {
 	defer s.wg.Done()
 	tick := time.NewTicker(rosterWriteInterval)
@@ -295,7 +298,7 @@
 	return err
 }
 
-// streamLayer is a raft.StreamLayer on an open listener.
+// streamLayer is a raft.StreamLayer that accepts on an open listener and dials over TCP.
 type streamLayer struct{ net.Listener }
 
 // Dial implements raft.StreamLayer.
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -1,8 +1,8 @@
 // Package takeover lets a new process of a broker, the successor, replace the running one,
 // its predecessor, without losing a connection. The predecessor listens on a Unix socket in
 // a directory that both can access. The successor connects there, receives the listening
-// socket for clients and reports when it accepts them. Each side sees the end of the other
-// process as the end of that connection.
+// socket for clients and reports when it is ready to accept clients. Each side sees the end
+// of the other process as the end of that connection.
 package takeover
 
 import (
@@ -22,14 +22,14 @@
 )
 
 const (
-	// protocolVersion is the version of the messages. A process with another version is
-	// not taken over from.
+	// protocolVersion is the version of the messages. A successor does not take over from a
+	// process with another version.
 	protocolVersion = 1
 	// handshakeTimeout bounds the time until the predecessor sends its socket, and until it
 	// acknowledges that the successor is ready.
 	handshakeTimeout = time.Second
 	maxMessageBytes  = 4 << 10
-	socketNetwork    = "unixpacket"
+	socketNetwork    = "unixpacket" // keeps the bounds of messages
 )
 
 // message is a packet between the two processes, encoded as JSON.
@@ -39,7 +39,7 @@
 	Ready   bool   `json:"ready,omitempty"` // the successor accepts clients; the predecessor echoes it
 }
 
-// socketLocation is the path of a socket. It refers to the directory by a descriptor, so
+// socketLocation is the location of a socket. It refers to the directory by a descriptor, so
 // that the path fits into a socket address however long the directory's path is.
 type socketLocation struct {
 	dir      *os.File
@@ -56,6 +56,8 @@
 	return socketLocation{d, "gannetchute-" + strings.NewReplacer(":", "_", "/", "_").Replace(addr) + ".sock"}, nil
 }
 
+// path returns a path of the file name in the directory, valid in this process while dir is
+// open.
 func (l socketLocation) path(name string) string {
 	return filepath.Join(fmt.Sprintf("/proc/self/fd/%d", l.dir.Fd()), name)
 }
@@ -72,7 +74,8 @@
 }
 
 // Connect connects to the running process of the broker that listens at addr and uses the
-// same directory dir. It returns nil and no error if there is none.
+// same directory dir. It returns nil and no error if there is none. The caller closes the
+// Predecessor and its Listener.
 func Connect(dir, addr string) (*Predecessor, error) {
 	location, err := openLocation(dir, addr)
 	if err != nil {
@@ -98,8 +101,8 @@
 	return predecessor, nil
 }
 
-// errOtherUser reports that the other process belongs to another user. The directory may be
-// writable by all users, as one for temporary files is.
+// errOtherUser reports that the other process belongs to another user, which may have put a
+// socket of its own into the directory: one for temporary files is writable by all users.
 var errOtherUser = errors.New("the other process belongs to another user")
 
 // peerUID returns the user ID of the process at the other end. Tests replace it.
@@ -117,7 +120,7 @@
 	return uid, errors.Join(controlErr, err)
 }
 
-// checkSameUser returns an error if the other process does not run as this process's user.
+// checkSameUser returns errOtherUser if the other process does not run as this process's user.
 func checkSameUser(conn *net.UnixConn) error {
 	uid, err := peerUID(conn)
 	if err == nil && uid != uint32(os.Geteuid()) {
@@ -181,7 +184,7 @@
 }
 
 // NotifyReady tells the predecessor that this process accepts clients and waits for its
-// acknowledgement; afterwards the predecessor can be stopped safely. It returns an error if
+// acknowledgement; after that the predecessor can be stopped safely. It returns an error if
 // the predecessor has ended or does not acknowledge in time.
 func (p *Predecessor) NotifyReady() error {
 	if err := send(p.conn, message{Version: protocolVersion, Ready: true}, nil); err != nil {
@@ -253,24 +256,24 @@
 	wg       sync.WaitGroup
 
 	mu    sync.Mutex
-	conns map[*net.UnixConn]bool // true: the process accepts clients
+	conns map[*net.UnixConn]bool // connections to successors; true: the successor accepts clients
 }
 
 // ServerOptions configure a Server.
 type ServerOptions struct {
-	Dir      string // a directory that both processes can access
-	Addr     string // the address where the broker listens for clients
-	Name     string // the broker's name
-	Listener *net.TCPListener
-	Observer SiblingObserver
+	Dir      string           // a directory that both processes can access
+	Addr     string           // the address where the broker listens for clients
+	Name     string           // the broker's name
+	Listener *net.TCPListener // the listening socket for clients
+	Observer SiblingObserver  // must not be nil
 	Log      zerolog.Logger
 }
 
-// maxSuccessors bounds the processes that may be connected at once.
+// maxSuccessors bounds the number of successor processes that may be connected at once.
 const maxSuccessors = 4
 
-// NewServer opens the takeover socket, replacing that of a former process, and starts to
-// serve it. Close ends it.
+// NewServer opens the takeover socket, which replaces that of an earlier process, and starts
+// to serve it until Close.
 func NewServer(o ServerOptions) (*Server, error) {
 	location, err := openLocation(o.Dir, o.Addr)
 	if err != nil {
@@ -324,7 +327,8 @@
 	}
 }
 
-// serve sends the socket to a successor and reads its messages until it ends.
+// serve sends the listening socket to a successor and reads its messages until the connection
+// ends.
 func (s *Server) serve(conn *net.UnixConn) {
 	s.opts.Observer.SiblingRunning(true)
 	defer func() {
