--- a/admin/admin.go
+++ b/admin/admin.go
@@ -24,8 +24,10 @@
 	// maxConnections bounds the open connections: one more closes the oldest of them. A call
 	// takes milliseconds, so the oldest is one whose caller stalls.
 	maxConnections = 16
-	// callTimeout is how long a caller may take to send its call, and to read the response.
-	callTimeout    = 5 * time.Second
+	// callTimeout is how long a caller may take to send its call, and how long the response
+	// may take after that.
+	callTimeout = 5 * time.Second
+	// maxHeaderBytes bounds the size of a call's header.
 	maxHeaderBytes = 4 << 10
 	// metricPrefix begins the name of each metric.
 	metricPrefix = "edge_node."
@@ -43,7 +45,7 @@
 	ResumePath = "/-/resume"
 )
 
-// Metric is a named value.
+// Metric is a named value. The name has no metricPrefix.
 type Metric struct {
 	Name  string
 	Value int64
@@ -52,11 +54,11 @@
 // Broker is what the admin port reports on and controls. Its methods may be called
 // concurrently and must return within some 0.5 s.
 type Broker interface {
-	// Ready reports whether the process accepts clients.
+	// Ready reports whether the broker is ready for new clients.
 	Ready() bool
 	// Metrics returns the metrics in the order in which they are printed.
 	Metrics() []Metric
-	// SetDraining starts or ends an operator's drain. It is idempotent.
+	// SetDraining starts or ends an operator's drain. A repeated call changes nothing.
 	SetDraining(draining bool)
 }
 
@@ -98,7 +100,7 @@
 	<-s.done
 }
 
-// newHandler returns the handler of all paths.
+// newHandler returns the handler of all calls.
 func newHandler(broker Broker, logger zerolog.Logger) http.Handler {
 	drainHandler := func(name string, draining bool) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -124,7 +126,7 @@
 	return mux
 }
 
-// AppendMetrics appends the metrics to text, one per line.
+// AppendMetrics appends the metrics to text, a line "name=value" each, and returns the result.
 func AppendMetrics(text []byte, metrics []Metric) []byte {
 	for _, metric := range metrics {
 		text = append(text, metricPrefix...)
@@ -143,7 +145,7 @@
 	open []*trackedConn // oldest first
 }
 
-// trackedConn is a connection that leaves its listener's open ones when it is closed.
+// trackedConn is a connection that is removed from its listener's open ones when it is closed.
 type trackedConn struct {
 	net.Conn
 	listener *boundedListener
@@ -182,8 +184,8 @@
 	return c.Conn.Close()
 }
 
-// Call makes one call to the admin port at addr and returns the response body. A status that is
-// not 2xx is returned as a *StatusError.
+// Call makes one call to the admin port at addr and returns the response body. A response with
+// a status other than 2xx is returned as a *StatusError.
 func Call(ctx context.Context, addr, method, path string) (string, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
@@ -204,12 +206,13 @@
 	return string(body), nil
 }
 
-// StatusError is a response with a status that is not 2xx.
+// StatusError is a response with a status other than 2xx.
 type StatusError struct {
 	Status int
 	Body   string
 }
 
+// Error implements error.
 func (e *StatusError) Error() string {
 	return fmt.Sprintf("the broker responded with status %d: %s", e.Status, e.Body)
 }
--- a/cli/addresses.go
+++ b/cli/addresses.go
@@ -56,7 +56,8 @@
 	return cmd
 }
 
-// addresses returns a broker's view of the addresses of its nodes, by node id.
+// addressStatuses returns a broker's state of the addresses of its nodes with several, by node
+// ID.
 func (c *brokerClient) addressStatuses(ctx context.Context) (map[string][]reach.AddressStatus, error) {
 	addr, err := c.address()
 	if err != nil {
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -44,6 +44,7 @@
 	return root
 }
 
+// serveCmd returns the command that runs the broker.
 func serveCmd(configPath *string) *cobra.Command {
 	return &cobra.Command{
 		Use: "serve", Short: "Run the broker until SIGTERM or SIGINT", Args: cobra.NoArgs,
@@ -90,6 +91,7 @@
 	}
 }
 
+// versionCmd returns the command that prints the version and the revision of the build.
 func versionCmd() *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
@@ -110,6 +112,7 @@
 	}
 }
 
+// checkConfigCmd returns the command that validates a configuration file. Warnings are errors.
 func checkConfigCmd(configPath *string) *cobra.Command {
 	return &cobra.Command{
 		Use: "check-config", Short: "Validate the configuration file and report its errors", Args: cobra.NoArgs,
--- a/cli/log.go
+++ b/cli/log.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// maxBufferedLines is how many log lines wait for the log's reader; beyond it the oldest
-	// are dropped.
+	// maxBufferedLines is the number of log lines that may wait for the log's reader; beyond
+	// it the oldest are dropped.
 	maxBufferedLines = 1024
 	// logFlushTimeout is how long the program waits at its exit for that reader.
 	logFlushTimeout = 500 * time.Millisecond
--- a/cli/operate.go
+++ b/cli/operate.go
@@ -53,8 +53,8 @@
 	return cmds
 }
 
-// adminAddr returns the admin address to call: the flag's, else that of NODE_CONSOLE, else
-// the configuration's.
+// adminAddr returns the admin address to call: that of the flag --console, else that of
+// NODE_CONSOLE, else the configuration's.
 func adminAddr(flagValue, configPath string) (string, error) {
 	if addr := cmp.Or(flagValue, os.Getenv("NODE_CONSOLE")); addr != "" {
 		return addr, nil
--- a/cli/remote.go
+++ b/cli/remote.go
@@ -23,16 +23,18 @@
 	"onyxsail/daemon"
 )
 
-// requestTimeout is how long a command waits for a broker's answer to one action.
+// requestTimeout is how long a command waits for its result, including a retry at the leader.
+// Commands that read traces wait four times as long.
 const requestTimeout = 5 * time.Second
 
 // brokerClient holds the flags and settings by which a command reaches a broker's Flight
 // service.
 type brokerClient struct {
 	configPath *string
-	addr       string // the flag --addr, "" without it
+	addr       string // the flag --addr; "": not given
 }
 
+// addAddrFlag adds the flag --addr to cmd and returns cmd.
 func (c *brokerClient) addAddrFlag(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().StringVar(&c.addr, "addr", "", "the broker's Flight address (default: flight.listen of the configuration)")
 	return cmd
@@ -78,7 +80,8 @@
 	return nil
 }
 
-// doAction runs one Flight action at addr and returns its single result.
+// doAction runs one Flight action at addr and returns its single result. More than one result
+// is an error.
 func doAction(ctx context.Context, addr, action string, body []byte) ([]byte, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()), grpc.WithNoProxy())
 	if err != nil {
@@ -114,6 +117,7 @@
 	return ""
 }
 
+// statusCmd returns the command that prints a broker's status.
 func statusCmd(configPath *string) *cobra.Command {
 	client := &brokerClient{configPath: configPath}
 	return client.addAddrFlag(&cobra.Command{
@@ -122,6 +126,7 @@
 	})
 }
 
+// configCmd returns the command that reads and changes the replicated configuration.
 func configCmd(configPath *string) *cobra.Command {
 	cmd := &cobra.Command{Use: "config", Short: "Read or change the replicated configuration"}
 	getClient := &brokerClient{configPath: configPath}
@@ -155,7 +160,8 @@
 	return cmd
 }
 
-// parseFields turns FIELD=VALUE arguments into an object, whose fields the broker validates.
+// parseFields turns FIELD=VALUE arguments into an object, whose fields the broker validates. A
+// whole number becomes a number, any other value a string.
 func parseFields(args []string) (map[string]any, error) {
 	body := map[string]any{}
 	for _, arg := range args {
--- a/cli/soak_test.go
+++ b/cli/soak_test.go
@@ -53,7 +53,7 @@
 	err       error
 }
 
-// soakCall is a part that a node received, with the outcome that the node gave it.
+// receivedPart is a part that a node received, with the outcome that the node gave it.
 type receivedPart struct {
 	testkit.Part
 	node    *testkit.Node
--- a/cli/trace.go
+++ b/cli/trace.go
@@ -23,25 +23,25 @@
 	"onyxsail/tracing/view"
 )
 
-// traceSource is where the trace commands read traces, with the flags that select them: a
-// broker over Flight, or the spool directory of one that need not be running.
+// traceSource is the source from which a trace command reads, with the flags that select
+// traces: a broker over Flight, or the spool directory of one that need not be running.
 type traceSource struct {
 	brokerClient
-	spoolDir    string
-	includeOpen bool
+	spoolDir    string // empty: read from the broker
+	includeOpen bool   // with spoolDir: also read the open queries
 	class       string
-	reason      string
+	reason      string // names joined by +; empty: any
 	node        string
-	since       time.Duration
-	until       time.Duration
+	since       time.Duration // before now; 0: no bound
+	until       time.Duration // before now; 0: no bound
 	minDuration time.Duration
 	onlyBad     bool
 	limit       int
 	asJSON      bool
-	warnings    io.Writer
+	warnings    io.Writer // receives the traces that could not be read, a line each; set when the command runs
 }
 
-// addFilterFlags adds the flags that select traces, and --addr.
+// addFilterFlags adds the flags that select traces, --json and --addr to cmd and returns cmd.
 func (s *traceSource) addFilterFlags(cmd *cobra.Command) *cobra.Command {
 	s.brokerClient.addAddrFlag(cmd)
 	flags := cmd.Flags()
@@ -54,7 +54,8 @@
 	return cmd
 }
 
-// addRangeFlags adds the filter flags and those of the commands that read past traces.
+// addRangeFlags adds the filter flags and those of the commands that read past traces to cmd
+// and returns cmd. limit is the default of --limit.
 func (s *traceSource) addRangeFlags(cmd *cobra.Command, limit int) *cobra.Command {
 	s.addFilterFlags(cmd)
 	flags := cmd.Flags()
@@ -81,7 +82,9 @@
 	return filter, nil
 }
 
-// readTraces returns the traces that match the flags and, unless it is "", the id.
+// readTraces returns the traces that match the flags and, unless it is "", the ID: a prefix of
+// the trace's, or the query's. If the broker has not sent all of them in time, it returns those
+// that have arrived and no error.
 func (s *traceSource) readTraces(cmd *cobra.Command, id string) ([]*record.Trace, error) {
 	s.warnings = cmd.ErrOrStderr()
 	filter, err := s.filter(time.Now())
@@ -134,7 +137,8 @@
 	return traces, nil
 }
 
-// streamTraces runs a trace action and calls visit with each trace that it returns.
+// streamTraces runs a trace action and calls visit with each trace that it returns, until the
+// stream ends, ctx ends or visit fails. The end of ctx during the stream is no error.
 func (s *traceSource) streamTraces(ctx context.Context, action string, filter record.Filter, visit func(*record.Trace) error) error {
 	addr, err := s.address()
 	if err != nil {
@@ -176,7 +180,7 @@
 	}
 }
 
-// printJSON writes v to w as one line of JSON.
+// printJSON writes v to w as JSON on one line.
 func printJSON(w io.Writer, v any) error {
 	if err := json.NewEncoder(w).Encode(v); err != nil {
 		return fmt.Errorf("printing: %w", err)
@@ -184,12 +188,14 @@
 	return nil
 }
 
+// traceCmd returns the command that groups the trace commands.
 func traceCmd(configPath *string) *cobra.Command {
 	cmd := &cobra.Command{Use: "trace", Short: "Read the traces that a broker keeps"}
 	cmd.AddCommand(traceListCmd(configPath), traceShowCmd(configPath), traceWhyCmd(configPath), traceTailCmd(configPath))
 	return cmd
 }
 
+// traceListCmd returns the command that lists traces.
 func traceListCmd(configPath *string) *cobra.Command {
 	source := &traceSource{brokerClient: brokerClient{configPath: configPath}}
 	return source.addRangeFlags(&cobra.Command{
@@ -218,6 +224,7 @@
 	Path critical.Path `json:"critical_path"`
 }
 
+// traceShowCmd returns the command that shows one trace, or all with the same prefix.
 func traceShowCmd(configPath *string) *cobra.Command {
 	source := &traceSource{brokerClient: brokerClient{configPath: configPath}}
 	return source.addRangeFlags(&cobra.Command{
@@ -248,6 +255,7 @@
 	}, 10)
 }
 
+// traceWhyCmd returns the command that attributes the lost time of bad queries.
 func traceWhyCmd(configPath *string) *cobra.Command {
 	source := &traceSource{brokerClient: brokerClient{configPath: configPath}}
 	var rows int
@@ -269,6 +277,7 @@
 	return cmd
 }
 
+// traceTailCmd returns the command that follows new traces.
 func traceTailCmd(configPath *string) *cobra.Command {
 	source := &traceSource{brokerClient: brokerClient{configPath: configPath}}
 	return source.addFilterFlags(&cobra.Command{
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -25,12 +25,12 @@
 	"onyxsail/internal/flightwire"
 )
 
-// Query is a query as a client sends it. Key is its idempotency key.
+// Query is a query as a client sends it. Key is its idempotency key, empty for none.
 type Query struct {
 	Class, ID, Key string
 	Shards         []int
-	Timeout        time.Duration
-	Traceparent    []string // each value is sent as a separate header
+	Timeout        time.Duration // how long the client waits; it is also sent as the deadline
+	Traceparent    []string      // each value is sent as a separate header
 	Tracestate     string
 }
 
@@ -49,14 +49,14 @@
 
 // Reply is the result of a query as its client sees it.
 type Reply struct {
-	Err           error          // for Outcome "none": why there is no reply
-	NoReplyReason NoReplyReason  // for Outcome "none": Err as a class
+	Err           error          // for Outcome "none": why there is no reply (HTTP only)
+	NoReplyReason NoReplyReason  // for Outcome "none": the kind of Err (HTTP only)
 	ConnTrace     string         // for Outcome "none": timings of the connection (HTTP only)
 	Outcome       string         // "served", "refused", "failed", "expired", "invalid" or "none"
 	Complete      bool           // as the reply says; false for a partial result
 	Values        map[int]string // by shard
 	RetryAfter    time.Duration  // 0: not set by the reply
-	Latency       time.Duration
+	Latency       time.Duration  // until the reply was complete, or was given up
 }
 
 // requestBody returns the fields that the HTTP body and the Flight ticket have in common.
@@ -83,6 +83,7 @@
 	localAddr                               string        // of the last connection
 }
 
+// clientTrace returns the callbacks that record the events in t.
 func (t *connTrace) clientTrace() *httptrace.ClientTrace {
 	record := func(elapsed *time.Duration) {
 		t.mu.Lock()
@@ -122,6 +123,7 @@
 		t.connCount, t.localAddr, t.reused, t.connIdle, t.connAge, format(t.connAfter), format(t.requestAfter), format(t.firstByteAfter))
 }
 
+// connected reports whether the request obtained a connection.
 func (t *connTrace) connected() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -178,7 +180,7 @@
 	return reply
 }
 
-// readReply reads a complete HTTP response.
+// readReply reads an HTTP response to its end and returns it as a Reply without a Latency.
 func readReply(res *http.Response) Reply {
 	text, err := io.ReadAll(res.Body)
 	if err != nil {
--- a/internal/testkit/collector.go
+++ b/internal/testkit/collector.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The actions by which a Collector answers an export request.
+// The actions of a Collector at an export request.
 const (
 	Accept     = "accept" // store all spans
 	Hang       = "hang"   // send no response until the client disconnects
@@ -37,8 +37,8 @@
 // ScriptedResponse is the response to one export request.
 type ScriptedResponse struct {
 	Action     string // one of the actions above; "": respond with Status
-	Status     int
-	RetryAfter string
+	Status     int    // HTTP status
+	RetryAfter string // the header Retry-After, with Status only; empty: none
 }
 
 // NewCollector starts a collector that answers the first requests by the script, in order, and
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -33,7 +33,7 @@
 	ID         string
 	Shard      int
 	Key        string        // idempotency key
-	Query      string        // the query's text
+	Query      string        // the query's body, as the broker passes it on
 	Timeout    time.Duration // the time left for the part, as the broker states it
 	ReceivedAt time.Time
 	// The trace context headers; set on Flight only.
@@ -47,10 +47,10 @@
 	Full        = "full"   // refused: the node's queue is full
 	Disconnect  = "break"  // close the connection in the middle of the response
 	NeverAnswer = "silent" // do not respond; wait until the broker cancels the part
-	RawResponse = "raw:"   // prefix: write the rest of the string to the connection unchanged (frames only)
+	RawResponse = "raw:"   // as a prefix: write the rest of the string to the connection unchanged (frames only)
 )
 
-// Frame encodes one frame of the node protocol: the length, the type and the payload.
+// Frame encodes one frame of the node protocol: the length of the rest, the type and the payload.
 func Frame(frameType byte, payload string) string {
 	b := binary.BigEndian.AppendUint32(nil, uint32(len(payload)+1))
 	return string(append(append(b, frameType), payload...))
@@ -58,22 +58,23 @@
 
 // Node is a fake node that speaks either the frame protocol or Arrow Flight.
 type Node struct {
-	ID, Addr string
-	Addrs    []string // additional addresses
+	ID, Addr string   // Addr is in the form used in the discovery list
+	Addrs    []string // additional addresses, in the same form
 	Cell     int
 
 	mu             sync.Mutex
 	responder      func(Part) string // returns the response to a part; called without holding mu
 	parts          []Part
-	cancelled      []string // ids of cancelled parts
-	conns          map[net.Conn]bool
+	cancelled      []string          // IDs of cancelled parts
+	conns          map[net.Conn]bool // open connections
 	listener       net.Listener
 	extraListeners []net.Listener
 	grpcServer     *grpc.Server
 	changed        chan struct{} // closed and replaced on every change
 }
 
-// NewNode starts a node that responds to all parts with Done. It stops when the test ends.
+// NewNode starts a node that responds to all parts with Done, on Flight if useFlight is set and
+// on frames otherwise. It stops when the test ends.
 func NewNode(t testing.TB, id string, useFlight bool) *Node {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,7 +141,8 @@
 	return append([]Part(nil), n.parts...)
 }
 
-// Cancelled returns the ids of the parts that the broker has cancelled.
+// Cancelled returns the IDs of the parts that the broker has cancelled. On Flight these are the
+// parts whose stream ended before the node's response was complete, for whatever cause.
 func (n *Node) Cancelled() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -190,7 +192,8 @@
 	return responder(part)
 }
 
-// WaitFor waits until condition holds, which it checks on each change of the node.
+// WaitFor waits until condition holds, which it checks on each change of the node, and fails the
+// test if it does not within waitTimeout.
 func (n *Node) WaitFor(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	timeout := time.After(waitTimeout)
@@ -320,6 +323,7 @@
 	node *Node
 }
 
+// Accept implements net.Listener.
 func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
--- a/internal/testkit/rig.go
+++ b/internal/testkit/rig.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// waitTimeout bounds the wait of a test for a condition; only a failing test waits that long.
+// waitTimeout bounds how long a test waits for a condition; only a failing test waits that long.
 const waitTimeout = 20 * time.Second
 
 // ---- Discovery
@@ -41,15 +41,15 @@
 	updates      []Entry           // by version: the entry whose change produced it
 	changed      chan struct{}     // closed and replaced on every change
 	sentAt       map[int]time.Time // by version: when it was first sent to a broker
-	requests     []string
-	faults       []string
-	stallWatches bool
+	requests     []string          // URLs requested so far
+	faults       []string          // faults of the next responses, in order
+	stallWatches bool              // watches that are open, or are opened before the next Update, are stalled
 	// replacedVersion is the version at which the whole list was last replaced.
 	replacedVersion int
 	stalled         map[*http.Request]bool // watches that are never answered
 }
 
-// NewDiscovery starts a discovery agent with the given list as version 1. It is closed when
+// NewDiscovery starts a discovery agent that serves the given list as version 1. It is closed when
 // the test ends.
 func NewDiscovery(t testing.TB, entries ...Entry) *Discovery {
 	t.Helper()
@@ -195,7 +195,7 @@
 	return d.version
 }
 
-// SentAt returns when a version was first sent to a broker, or the zero time.
+// SentAt returns when a version was first sent to a broker; the zero time means not yet.
 func (d *Discovery) SentAt(version int) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -243,8 +243,8 @@
 	return settings
 }
 
-// Config encodes a broker's configuration file. known is the list of nodes at the start, and
-// extra adds or replaces top-level fields.
+// Config encodes a broker's configuration file. discovery is the discovery agent's address, known
+// the list of nodes at the start, and extra adds or replaces top-level fields.
 func Config(discovery string, known []Entry, settings map[string]any, extra map[string]any) []byte {
 	file := map[string]any{
 		"name": "n1", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "8c1f30d27a5be964",
@@ -272,7 +272,7 @@
 	return path
 }
 
-// Eventually waits until condition holds and fails the test if it does not within waitTimeout.
+// Eventually polls condition until it holds and fails the test if it does not within waitTimeout.
 func Eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
--- a/internal/testkit/way.go
+++ b/internal/testkit/way.go
@@ -13,11 +13,11 @@
 
 // The modes of a FaultProxy.
 const (
-	Forward           = "pass"
+	Forward           = "pass"   // forward all data
 	Refuse            = "refuse" // do not listen, so that connections are refused
 	Stall             = "stall"  // accept connections, but discard all data
 	ResetMidRequest   = "half"   // forward half of the next chunk from the client, then reset the connection
-	ResetAfterRequest = "full"   // forward the whole chunk, then reset the connection before a response can arrive
+	ResetAfterRequest = "full"   // forward the next chunk from the client, then reset the connection before a response can arrive
 )
 
 // FaultProxy is a proxy in front of one address of a node that can inject connection faults.
@@ -25,7 +25,7 @@
 	Addr string // in the form used in the discovery list
 
 	t                           testing.TB
-	network, listenAddr, target string
+	network, listenAddr, target string // of the proxy and of the node; addresses without a scheme
 	scheme                      string
 	reservedFD                  int // a bound socket that reserves the port while the proxy does not listen; -1: none
 	mu                          sync.Mutex
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// SetMode changes the mode, also for connections that are already open.
+// SetMode changes the mode, also for connections that are already open; Refuse resets these.
 func (p *FaultProxy) SetMode(mode string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,6 +152,7 @@
 	}
 }
 
+// currentMode returns the mode.
 func (p *FaultProxy) currentMode() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -46,7 +46,7 @@
 	return f
 }
 
-// integer returns the whole number at path, or fallback if it is absent or invalid.
+// integer returns the whole number at path, or fallback if it is absent or not a whole number.
 func (r *settingsReader) integer(path string, fallback int) int {
 	f := r.float(path, float64(fallback))
 	if f != float64(int(f)) {
@@ -56,8 +56,8 @@
 	return int(f)
 }
 
-// count returns the number of items at path. More items than there are settings cannot exist,
-// so a greater number is rejected before it costs memory.
+// count returns the number of items at path, 0 if it is absent or invalid. More items than there
+// are settings cannot exist, so a greater number is rejected before it costs memory.
 func (r *settingsReader) count(path string) int {
 	n := r.integer(path, 0)
 	if n < 0 || n > len(r.values) {
@@ -79,8 +79,8 @@
 	return false
 }
 
-// floats returns the n first numbers of the comma-separated list at path; a missing one is
-// fallback.
+// floats returns the first n numbers of the comma-separated list at path; a missing or invalid
+// one is fallback.
 func (r *settingsReader) floats(path string, n int, fallback float64) []float64 {
 	out := make([]float64, n)
 	var items []string
@@ -115,8 +115,9 @@
 	return 0
 }
 
-// ParseSettings parses the settings text of a BEGIN event, lines of path=value. Unknown settings
-// are ignored; an absent one means that the feature is off or the limit does not exist.
+// ParseSettings parses the settings text of a BEGIN event, lines of path=value, and returns the
+// first error. Unknown settings are ignored; an absent one means that the feature is off or the
+// limit does not exist, and a class without an effect is unsafe.
 func ParseSettings(text string) (decide.Settings, error) {
 	reader := &settingsReader{values: make(map[string]string)}
 	for i, line := range strings.Split(text, "\n") {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,15 +13,15 @@
 	"onyxsail/decide"
 )
 
-// Sizes of the parts of a frame, in bytes.
+// Sizes of the parts of a frame, in bytes but for two counts.
 const (
 	batchHeaderSize = 20
 	eventSize       = 56
 	replyHeaderSize = 12
 	actionSize      = 32
 	listEntrySize   = 24 // a node in the list of a CENSUS event
-	maxLoadValues   = 4  // the count of values in a load report, not bytes
-	listSlots       = 16 // the count of numbered lists, not bytes
+	maxLoadValues   = 4  // a count: the values in a load report
+	listSlots       = 16 // a count: the numbered slots for node lists
 )
 
 // The codes of the events, named as in the simulator's protocol.
@@ -61,7 +61,7 @@
 	Seed     uint64          // for OpStart
 }
 
-// Batch is one decoded frame.
+// Batch is one decoded frame: the events that occur at the same time, in order.
 type Batch struct {
 	Now   float64 // the simulator's clock, in milliseconds
 	Seq   uint32  // the number that the reply must repeat
@@ -80,9 +80,13 @@
 // NewDecoder returns a Decoder that reads from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
+// le is the byte order of all numbers in a frame.
 var le = binary.LittleEndian
 
+// readFloat64 reads a number of eight bytes.
 func readFloat64(b []byte) float64 { return math.Float64frombits(le.Uint64(b)) }
+
+// readFloat32 reads a number of four bytes.
 func readFloat32(b []byte) float64 { return float64(math.Float32frombits(le.Uint32(b))) }
 
 // readAddr reads an IPv4 address of four bytes and a port of two.
@@ -90,8 +94,9 @@
 	return decide.Addr(uint64(le.Uint32(b)) | uint64(le.Uint16(b[4:]))<<32)
 }
 
-// Next reads one batch into b, whose slices are reused. It returns io.EOF if the input ends
-// between two batches.
+// Next reads one batch into b, whose slice of items is reused. The load reports of its events
+// are valid until the next call. It returns io.EOF if the input ends between two batches; after
+// any other error b is incomplete.
 func (d *Decoder) Next(b *Batch) error {
 	d.buf.Reset()
 	if n, err := io.CopyN(&d.buf, d.r, batchHeaderSize); err != nil {
@@ -132,8 +137,8 @@
 	return fmt.Errorf("%s: %w", what, err)
 }
 
-// tailRange returns the part of the tail that the field gives, as an offset in bytes and a
-// length in units.
+// tailRange returns the part of the tail that the field gives: an offset in bytes and a length
+// in units of the given number of bytes.
 func tailRange(tail, field []byte, unit uint64) ([]byte, error) {
 	offset, length := uint64(le.Uint32(field)), uint64(le.Uint32(field[4:]))*unit
 	if offset+length > uint64(len(tail)) {
@@ -142,7 +147,7 @@
 	return tail[offset : offset+length], nil
 }
 
-// decodeRecord decodes one record and appends its item to b, unless it is a CENSUS.
+// decodeRecord decodes one record and appends its item to b; a CENSUS event gives no item.
 func (d *Decoder) decodeRecord(b *Batch, record, tail []byte) error {
 	item := Item{Root: le.Uint32(record[1:])}
 	event := &item.Event
@@ -281,7 +286,7 @@
 	return 0, fmt.Errorf("outcome code %d, want 200, 410, 499, 500, 502, 503, 504 or 598", code)
 }
 
-// appendLoad appends the values of a load report to d.loads and returns them.
+// appendLoad decodes a load report into d.loads and returns its values.
 func (d *Decoder) appendLoad(report []byte) ([]float64, error) {
 	n := int(report[0])
 	if n > maxLoadValues {
@@ -294,13 +299,14 @@
 	return d.loads[start:len(d.loads):len(d.loads)], nil
 }
 
-// Encoder builds one reply at a time. Bytes ends a reply, and the next Add begins another.
+// Encoder builds one reply at a time: Bytes ends a reply, and the next Add begins another. The
+// zero value is ready for use.
 type Encoder struct {
 	records, tail []byte
 	count         uint32
 }
 
-// actionCodes has the code of each kind of action.
+// actionCodes has the protocol's code of each kind of action.
 var actionCodes = [...]byte{
 	decide.Send:        65,
 	decide.Refuse:      66,
