--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -46,10 +46,10 @@
 	}
 	broker.ready.Store(true)
 	if _, err := call(http.MethodGet, ReadyPath); err != nil {
-		t.Errorf("broker that is ready: %v", err)
+		t.Errorf("broker that is ready: %v, want no error", err)
 	}
 	if text, err := call(http.MethodGet, MetricsPath); err != nil || text != "edge_node.fulfilled.screen=812\nedge_node.open_requests=14\n" {
-		t.Errorf("metrics: %q, %v", text, err)
+		t.Errorf("metrics: got %q, %v, want a line for each metric", text, err)
 	}
 	for _, draining := range []bool{true, true, false, false} {
 		path := ResumePath
@@ -57,7 +57,7 @@
 			path = DrainPath
 		}
 		if _, err := call(http.MethodPost, path); err != nil || broker.draining.Load() != draining {
-			t.Errorf("%s: draining %v, %v", path, broker.draining.Load(), err)
+			t.Errorf("after a call of %s: draining is %v, error %v", path, broker.draining.Load(), err)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		_, _ = io.WriteString(c, "GET /-/ready HTTP/1.1\r\n"[:i%20]) // fails if the server has closed the connection
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		if _, err := Call(ctx, addr, http.MethodGet, ReadyPath); err != nil {
-			t.Errorf("beside %d stalled callers: %v", i+1, err)
+			t.Errorf("a call beside %d stalled callers: %v", i+1, err)
 		}
 		cancel()
 	}
--- a/cli/ci_test.go
+++ b/cli/ci_test.go
@@ -39,7 +39,7 @@
 		cmd.Stdout, cmd.Stderr = &out, &errs
 		err := cmd.Run()
 		if out.String() != c.pattern || (err != nil) != (c.wantErr != "") || !strings.Contains(errs.String(), c.wantErr) {
-			t.Errorf("%s: %q, %v, %s", c.name, out.String(), err, errs.String())
+			t.Errorf("%s: got pattern %q, %v, printed %s", c.name, out.String(), err, errs.String())
 		}
 		if c.pattern != "" && !strings.Contains(errs.String(), "known red: TestKnownRedListIsValidated; go test -run TestKnownRedListIsValidated ./cli; 7; it was red; a cause in words") {
 			t.Errorf("%s: printed %q", c.name, errs.String())
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -44,20 +44,22 @@
 	log        bytes.Buffer
 }
 
+// Write appends output of the process to the log.
 func (p *process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.Write(b)
 }
 
+// output returns the captured output so far.
 func (p *process) output() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// launchCommand starts cmd with cfg as its configuration file. The output of the process is
-// captured unless cmd has its stderr set.
+// launchCommand starts cmd with cfg as its configuration file and the variables env, and kills it
+// when the test ends. The output of the process is captured unless cmd has its stderr set.
 func launchCommand(t *testing.T, cmd *exec.Cmd, cfg []byte, env ...string) *process {
 	t.Helper()
 	p := &process{cmd: cmd, configFile: testkit.WriteTempFile(t, cfg)}
@@ -75,7 +77,8 @@
 	return p
 }
 
-// startServing starts the program, waits until it serves and returns its listen address.
+// startServing starts the program, waits until it logs that it has started and returns its
+// listen address.
 func startServing(t *testing.T, cfg []byte, env ...string) (*process, string) {
 	t.Helper()
 	p, addr := launchCommand(t, exec.Command(program, "serve"), cfg, env...), ""
@@ -98,7 +101,7 @@
 		t.Fatal(err)
 	}
 	if err := p.wait(); err != nil {
-		t.Fatalf("exit: %v\n%s", err, p.output())
+		t.Fatalf("the process ended with %v, want exit status 0; its log:\n%s", err, p.output())
 	}
 }
 
@@ -121,7 +124,7 @@
 		map[string]any{"log_level": "info", "hand_over_ms": 300}))
 	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Timeout: 10 * time.Second}
 	if got := testkit.QueryHTTP(context.Background(), addr, q); got.Outcome != "served" || !got.Complete {
-		t.Fatalf("got %+v", got)
+		t.Fatalf("got %+v, want a complete answer", got)
 	}
 	release := make(chan struct{})
 	node.SetResponder(func(testkit.Part) string { <-release; return testkit.Done })
@@ -140,19 +143,19 @@
 	close(release)
 	q.ID = "c" // arrives after the signal, within the hand-over window
 	if got := testkit.QueryHTTP(context.Background(), addr, q); got.Outcome != "served" {
-		t.Errorf("query within the hand-over window: got %+v", got)
+		t.Errorf("query within the hand-over window: got %+v, want an answer", got)
 	}
 	if got := <-accepted; got.Outcome != "served" {
-		t.Errorf("query accepted before SIGTERM: got %+v", got)
+		t.Errorf("query accepted before SIGTERM: got %+v, want an answer", got)
 	}
 	if err := p.cmd.Wait(); err != nil || !strings.Contains(p.output(), `"event":"stopped"`) {
-		t.Fatalf("exit: %v\n%s", err, p.output())
+		t.Fatalf("the process ended with %v, want exit status 0 and an event stopped in its log:\n%s", err, p.output())
 	}
 }
 
-// At SIGHUP the program reloads its configuration file: a new discovery address replaces the
-// one of the start, also one from the environment, an invalid file changes nothing, and a
-// series of SIGHUPs does not prevent an orderly stop.
+// At SIGHUP the program must reload its configuration file: a new discovery address must replace
+// that of the start, even one from the environment, an invalid file must change nothing, and a
+// series of SIGHUPs must not prevent an orderly stop.
 func TestReloadFollowsNewDiscoveryAndKeepsConfigurationOnInvalidFile(t *testing.T) {
 	n1, n2 := testkit.NewNode(t, "s-1", false), testkit.NewNode(t, "s-2", false)
 	warm := n2.Entry()
@@ -177,7 +180,7 @@
 		t.Helper()
 		q := testkit.Query{Class: "screen", ID: id, Shards: []int{1, 2, 3, 4}, Timeout: 10 * time.Second}
 		if got := testkit.QueryHTTP(context.Background(), addr, q); got.Outcome != "served" {
-			t.Errorf("%s: got %+v", id, got)
+			t.Errorf("query %s: got %+v, want an answer", id, got)
 		}
 	}
 	ask("a")
@@ -206,13 +209,14 @@
 	}
 }
 
-// runCLI runs the command line in this process.
+// runCLI runs the command line in the test's own process and returns its exit status and output.
 func runCLI(args ...string) (code int, out, errs string) {
 	var stdout, stderr bytes.Buffer
 	code = cli.Main(args, &stdout, &stderr)
 	return code, stdout.String(), stderr.String()
 }
 
+// A command that fails must exit with status 1 and a message that names the cause.
 func TestCommandsReportErrorsByExitStatus(t *testing.T) {
 	good := testkit.WriteTempFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), nil))
 	bad := testkit.WriteTempFile(t, testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), map[string]any{"listen": "x"}))
@@ -230,7 +234,7 @@
 		{[]string{"dance"}, 1, "unknown command"},
 	} {
 		if code, out, errs := runCLI(c.args...); code != c.code || !strings.Contains(out+errs, c.wantOutput) {
-			t.Errorf("%q: exit %d, %s%s", c.args, code, out, errs)
+			t.Errorf("%q: exit status %d, or an output other than wanted: %s%s", c.args, code, out, errs)
 		}
 	}
 }
@@ -271,21 +275,21 @@
 	}
 	for _, c := range []struct{ arg, wantError string }{{"max_open=-1", "max_open"}, {"colour=red", "colour"}, {"log_level=loud", "log_level"}} {
 		if code, _, errs := runCLI("config", "set", "--addr", flightAddr(0), c.arg); code == 0 || !strings.Contains(errs, c.wantError) {
-			t.Errorf("%s: exit %d, %s", c.arg, code, errs)
+			t.Errorf("%s: exit status %d, want an error that names the field: %s", c.arg, code, errs)
 		}
 	}
 	if code, _, errs := runCLI("config", "set", "--if-version", "1", "--addr", flightAddr(0), "max_open=7"); code == 0 || !strings.Contains(errs, "version") {
-		t.Errorf("write with an outdated version: exit %d, %s", code, errs)
+		t.Errorf("write with an outdated version: exit status %d, want an error about the version: %s", code, errs)
 	}
 	processes[0].stop(t)
 	processes[0], _ = startServing(t, cfgs[0])
 	testkit.Eventually(t, "the configuration after a restart", has(0, `"max_open": 102`))
 	code, out, errs := runCLI("status", "--addr", flightAddr(0))
 	if code != 0 || !strings.Contains(out, `"leader": "n`) {
-		t.Errorf("status: exit %d, %s%s", code, out, errs)
+		t.Errorf("status: exit status %d, want 0 and a leader in the output: %s%s", code, out, errs)
 	}
 	if got := testkit.QueryFlight(context.Background(), flightAddr(0), testkit.Query{Class: "screen", ID: "f", Shards: []int{3}, Timeout: 5 * time.Second}); got.Outcome != "served" {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want an answer over Flight from the restarted broker", got)
 	}
 	for _, p := range processes {
 		p.stop(t)
--- a/cli/kill_test.go
+++ b/cli/kill_test.go
@@ -18,8 +18,8 @@
 	"onyxsail/internal/testkit"
 )
 
-// earliestKill is how soon SIGKILL may follow SIGTERM, by the longest deadline of the classes
-// (PROTOCOL, "Figures").
+// earliestKill returns how soon after SIGTERM the platform may send SIGKILL, given the longest
+// deadline of the classes (PROTOCOL, "Figures").
 func earliestKill(longest time.Duration) time.Duration {
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
@@ -41,8 +41,8 @@
 func TestAcceptedRequestsAreAnsweredBeforeTheEarliestKill(t *testing.T) {
 	for _, c := range []struct {
 		deadline  time.Duration
-		before    time.Duration // how long before SIGTERM the request is sent; below 0: after it
-		completed time.Duration // how long after SIGTERM the second half of another request is sent; 0: none
+		before    time.Duration // how long before SIGTERM the first request is sent; below 0: after SIGTERM
+		completed time.Duration // how long after SIGTERM the second half of another request is sent; 0: no other request
 	}{
 		{4 * time.Second, 20 * time.Millisecond, 0},
 		{4 * time.Second, -400 * time.Millisecond, 0},
@@ -95,7 +95,7 @@
 	reader *bufio.Reader
 }
 
-// newRawClient returns a client on the connection c.
+// newRawClient returns a client on the connection.
 func newRawClient(conn net.Conn) *rawClient { return &rawClient{conn, bufio.NewReader(conn)} }
 
 // openKeepAlive connects to addr and completes one request on the connection, which the broker
@@ -113,6 +113,7 @@
 	return client
 }
 
+// send writes a request, or a piece of one.
 func (c *rawClient) send(t *testing.T, text string) {
 	t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -136,7 +137,8 @@
 	return res
 }
 
-// queryRequest returns the text of a query's HTTP request with the given deadline.
+// queryRequest returns the text of the HTTP request of a query of the class screen, with two
+// parts and the given deadline.
 func queryRequest(id string, timeout time.Duration) string {
 	const body = `{"targets":[{"partition":1,"share":0.5},{"partition":2,"share":0.5}],"query":"c41e77d0"}`
 	return strings.Join([]string{
--- a/cli/operate_test.go
+++ b/cli/operate_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	status, body := callAdmin(console, http.MethodGet, "/-/metrics")
 	if status != http.StatusOK {
-		t.Fatalf("metrics: %d, %s", status, body)
+		t.Fatalf("metrics: status %d, want 200: %s", status, body)
 	}
 	all := map[string]int{}
 	for _, line := range strings.Split(strings.TrimSpace(body), "\n") {
@@ -61,13 +61,13 @@
 		if short, prefixed := strings.CutPrefix(name, "edge_node."); ok && prefixed && err == nil {
 			all[short] = n
 		} else {
-			t.Errorf("metrics: line %q", line)
+			t.Errorf("metrics: got line %q, want edge_node.NAME=NUMBER", line)
 		}
 	}
 	return all
 }
 
-// eventuallyWithin waits for ok and fails the test if it does not hold within the limit.
+// eventuallyWithin polls ok until it holds and fails the test if it does not in the time within.
 func eventuallyWithin(t *testing.T, within time.Duration, what string, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(10 * time.Millisecond) {
@@ -135,17 +135,17 @@
 		{"GET", "/", http.StatusNotFound}, {"POST", "/-/stop", http.StatusNotFound},
 	} {
 		if status, _ := callAdmin(console, c.method, c.path); status != c.status {
-			t.Errorf("%s %s: got %d, want %d", c.method, c.path, status, c.status)
+			t.Errorf("%s %s: got status %d, want %d", c.method, c.path, status, c.status)
 		}
 	}
 	for round := range 2 { // a repeated call changes nothing
 		if status, text := callAdmin(console, http.MethodPost, "/-/drain"); status/100 != 2 {
-			t.Fatalf("drain %d: %d, %s", round, status, text)
+			t.Fatalf("drain call %d: status %d, want 2xx: %s", round, status, text)
 		}
 	}
 	eventuallyWithin(t, metricsLag, "the readiness path reports the drain", func() bool { return !isReady(listen) })
 	if res := ask("c"); res.StatusCode != http.StatusOK || !res.Close {
-		t.Errorf("during the drain: status %d, closes the connection: %v", res.StatusCode, res.Close)
+		t.Errorf("during the drain: status %d, closes the connection: %v, want 200 and true", res.StatusCode, res.Close)
 	}
 	for name, c := range map[string]*rawClient{"idle": idle, "used": used} {
 		_ = c.SetReadDeadline(time.Now().Add(drainTimeout))
@@ -159,16 +159,16 @@
 		t.Errorf("a connection opened during the drain is still open: %v", err)
 	}
 	if status, text := callAdmin(console, http.MethodPost, "/-/resume"); status/100 != 2 {
-		t.Fatalf("resume: %d, %s", status, text)
+		t.Fatalf("resume: status %d, want 2xx: %s", status, text)
 	}
 	eventuallyWithin(t, resumeTimeout, "the readiness path reports ready", func() bool { return isReady(listen) })
 	back := openKeepAlive(t, listen)
 	back.send(t, queryRequest("d", 3*time.Second))
 	if res := back.readResponse(t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK || res.Close {
-		t.Errorf("after the drain: status %d, closes the connection: %v", res.StatusCode, res.Close)
+		t.Errorf("after the drain: status %d, closes the connection: %v, want 200 and false", res.StatusCode, res.Close)
 	}
 	if status, _ := callAdmin(console, http.MethodPost, "/-/drain"); status/100 != 2 { // a stop must work during a drain too
-		t.Errorf("drain before the stop: %d", status)
+		t.Errorf("drain before the stop: status %d, want 2xx", status)
 	}
 	p.stop(t)
 }
@@ -225,17 +225,17 @@
 	eventuallyWithin(t, reloadTimeout, "the file is accepted", func() bool { return readMetrics(t, console)["cfg_accepted"] == 1 })
 	close(release)
 	if res := inFlight.readResponse(t, time.Now().Add(3*time.Second)); res.StatusCode != http.StatusOK {
-		t.Errorf("the request in flight: status %d", res.StatusCode)
+		t.Errorf("the request in flight: status %d, want 200", res.StatusCode)
 	}
 	for class, want := range map[string]int{"bulk": http.StatusOK, "screen": http.StatusOK, "quote": http.StatusNotFound} {
 		if got := ask(class, "new-"+class); got != want {
-			t.Errorf("%s: %d, want %d", class, got, want)
+			t.Errorf("class %s: status %d, want %d", class, got, want)
 		}
 	}
 	got := readMetrics(t, console)
 	for name, want := range map[string]int{"fulfilled.quote": 1, "fulfilled.bulk": 1, "fulfilled.screen": 1} {
 		if got[name] != want {
-			t.Errorf("%s: %d, want %d", name, got[name], want)
+			t.Errorf("metric %s: %d, want %d", name, got[name], want)
 		}
 	}
 	n.SetResponse(testkit.Failed)
@@ -272,7 +272,7 @@
 			t.Errorf("%s: %d files accepted, want 1", name, got)
 		}
 		if got := ask("bulk", fmt.Sprint("still", count)); got != http.StatusOK {
-			t.Errorf("after %s: bulk %d", name, got)
+			t.Errorf("after the file %s: status %d for the class bulk, want 200", name, got)
 		}
 	}
 	p.stop(t)
@@ -335,7 +335,7 @@
 		began := time.Now()
 		next, _ := startWithAdmin(t, cfg, listen, "TMPDIR="+tempDir)
 		if took := time.Since(began); took > upgradeTimeout {
-			t.Errorf("the new process is ready after %v", took)
+			t.Errorf("the new process is ready after %v, want 6 s at most", took)
 		}
 		_, oldKB, oldFDs := old.resourceUsage(t)
 		_, newKB, newFDs := next.resourceUsage(t)
@@ -351,11 +351,11 @@
 		resting.send(t, queryRequest(fmt.Sprint("rested", i), time.Second))
 		for name, c := range map[string]*rawClient{"slow": slow, "resting": resting} {
 			if res := c.readResponse(t, time.Now().Add(3*time.Second)); res.StatusCode != http.StatusOK {
-				t.Errorf("the %s client: status %d", name, res.StatusCode)
+				t.Errorf("the %s client: status %d, want 200", name, res.StatusCode)
 			}
 		}
 		if err := old.wait(); err != nil {
-			t.Fatalf("exit: %v\n%s", err, old.output())
+			t.Fatalf("the replaced process ended with %v, want exit status 0; its log:\n%s", err, old.output())
 		}
 		old = next
 	}
@@ -363,7 +363,7 @@
 	close(done)
 	clients.Wait()
 	if served == 0 || len(lost) > 0 {
-		t.Errorf("%d served, %d lost: %v", served, len(lost), lost)
+		t.Errorf("%d queries served, want some; %d lost, want none: %v", served, len(lost), lost)
 	}
 	seen := map[string]bool{}
 	for _, part := range n.Parts() { // no part failed, so each is sent once
@@ -378,7 +378,8 @@
 	old.stop(t)
 }
 
-// queryOn sends a query on the connection, or on a new one if there is none.
+// queryOn sends a query on the connection, or on a new one if there is none, and reads the
+// response. closing reports that the connection cannot be used again.
 func queryOn(conn **rawClient, addr, id string) (status int, closing bool, err error) {
 	if *conn == nil {
 		c, err := net.Dial("tcp", addr)
--- a/cli/soak_test.go
+++ b/cli/soak_test.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	defaultSoakSeeds = 8 // in CI; SOAK_SEEDS sets another number, SOAK_FROM the first seed
+	defaultSoakSeeds = 8 // number of runs; SOAK_SEEDS sets another number, SOAK_FROM the first seed
 	soakNodes        = 4
 	soakRetryWindow  = 600 * time.Millisecond // in which a keyed request may be retried
-	// maxPause is how long the broker may be paused at any moment (0.15 s, as in the standing
-	// test), and how long a busy machine may delay the test's own processes. The packages' own
-	// tests check the exact limits, with fakes.
+	// maxPause is how long a test may pause the broker at any moment (0.15 s, as in the
+	// standing test), and how long a busy machine may delay the test's own processes. The
+	// packages' own tests check the exact limits, with fakes.
 	maxPause = 150 * time.Millisecond
 	// connectWindow is how long after SIGTERM clients still open connections.
 	connectWindow = 400 * time.Millisecond
@@ -66,7 +66,7 @@
 	rng            *rand.Rand
 	listen         string
 	deadline       time.Duration // the deadline of all classes
-	pauseAllowance time.Duration // how long the broker, or the test, may be delayed
+	pauseAllowance time.Duration // how long pauses may delay the broker or the test; added to the limits that audit checks
 
 	mu         sync.Mutex
 	requests   []*soakRequest
@@ -97,6 +97,8 @@
 	}
 }
 
+// run starts the broker, its nodes and clients, injects the faults that the seed selects, stops
+// the broker and audits the run.
 func (s *soakRun) run() {
 	deadlines := []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second, 4 * time.Second}
 	s.deadline = deadlines[s.rng.IntN(len(deadlines))]
@@ -184,7 +186,7 @@
 	case err := <-ended:
 		killed = time.Now()
 		if err != nil {
-			s.t.Errorf("the broker exited with %v\n%s", err, p.output())
+			s.t.Errorf("the broker exited with %v, want status 0; its log:\n%s", err, p.output())
 		}
 	case <-kill.C:
 		killed = time.Now()
@@ -234,8 +236,8 @@
 	}
 }
 
-// nodeBehavior returns a function that draws the outcome of each part of a node. Each kind of
-// fault has the share faultShare; at 1 all parts hang.
+// nodeBehavior returns a responder of a node, which draws the outcome of each part and records
+// both. Each kind of fault has the share faultShare; at 1 all parts hang.
 func (s *soakRun) nodeBehavior(n *testkit.Node, seed uint64, faultShare float64) func(testkit.Part) string {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -321,8 +323,9 @@
 	}
 }
 
-// audit checks the recorded requests and parts against the protocol's rules. The broker is
-// counted as knowing of the drain from drainKnown on.
+// audit checks the recorded requests and parts against the protocol's rules. The broker counts
+// as knowing of the drain of the node drained from drainKnown on. killed is when the broker's
+// process ended.
 func (s *soakRun) audit(drained *testkit.Node, drainKnown, killed time.Time) {
 	s.mu.Lock() // nodes may receive parts until they are stopped, after the test
 	parts := slices.Clone(s.parts)
--- a/cli/start_test.go
+++ b/cli/start_test.go
@@ -46,7 +46,7 @@
 	}
 	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Timeout: 10 * time.Second}
 	if got := testkit.QueryHTTP(context.Background(), listen, q); got.Outcome != "served" || !got.Complete {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want a complete answer while nobody reads the log", got)
 	}
 	p.stop(t)
 }
@@ -80,7 +80,7 @@
 		time.Sleep(got.RetryAfter)
 	}
 	if got.Outcome != "served" || !got.Complete || len(got.Values) != len(shards) {
-		t.Errorf("%s: got %+v", id, got)
+		t.Errorf("query %s: got %+v, want a complete answer", id, got)
 	}
 }
 
@@ -165,7 +165,7 @@
 	for i := range 40 {
 		checkServed(t, listen, fmt.Sprint("a", i), i%18, (i+5)%18, (i+9)%18)
 		if threads, _, fds := p.resourceUsage(t); threads > maxThreads || fds > sockets {
-			t.Fatalf("%d threads, %d descriptors of %d", threads, fds, sockets)
+			t.Fatalf("%d threads, want maxThreads at most; %d descriptors, want %d at most", threads, fds, sockets)
 		}
 	}
 	p.stop(t)
@@ -225,7 +225,7 @@
 	for _, p := range all {
 		_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has exited
 		if err := p.wait(); err != nil {
-			t.Errorf("exit: %v\n%s", err, p.output())
+			t.Errorf("a process ended with %v, want exit status 0; its log:\n%s", err, p.output())
 		}
 	}
 }
@@ -310,7 +310,7 @@
 					disconnected.Add(1)
 					return
 				default:
-					t.Errorf("%s, SIGTERM sent %v: got %+v", q.ID, after, got)
+					t.Errorf("query %s, begun after SIGTERM: %v: got %+v, want an answer, or after SIGTERM no connection", q.ID, after, got)
 					return
 				}
 			}
@@ -331,7 +331,7 @@
 	close(done)
 	clients.Wait()
 	if served.Load() < 240 || disconnected.Load() == 0 && !t.Failed() {
-		t.Errorf("%d served, %d clients found the listener closed", served.Load(), disconnected.Load())
+		t.Errorf("%d queries served, want 240 or more; %d clients found the listener closed, want 1 or more", served.Load(), disconnected.Load())
 	}
 }
 
@@ -366,11 +366,11 @@
 	p := startDeployed(t, testkit.Config(hung.Addr().String(), nil, testkit.Settings(nil), nil), listen)
 	testkit.Eventually(t, "the broker is ready", func() bool { return isReady(listen) })
 	if took := time.Since(started); took > 6*time.Second { // nine in ten restarted brokers must be ready within 10 s, or 6 s on short days
-		t.Errorf("ready after %v", took)
+		t.Errorf("ready after %v, want 6 s at most", took)
 	}
 	q := testkit.Query{Class: "screen", ID: "a", Shards: []int{1, 2}, Timeout: 3 * time.Second}
 	if got := testkit.QueryHTTP(context.Background(), listen, q); got.Outcome != "refused" || got.RetryAfter <= 0 || got.Latency > time.Second {
-		t.Errorf("got %+v", got)
+		t.Errorf("got %+v, want a refusal within 1 s, with a retry hint", got)
 	}
 	p.stop(t)
 }
@@ -480,7 +480,7 @@
 		}
 	}
 	if _, _, fds := p.resourceUsage(t); fds > sockets {
-		t.Fatalf("%d descriptors of %d", fds, sockets)
+		t.Fatalf("%d descriptors, want %d at most", fds, sockets)
 	}
 	proxy.SetMode(testkit.Forward)
 	restored := time.Now()
@@ -494,7 +494,7 @@
 		t.Errorf("served %v after discovery came back, want 6 s at most", took)
 	}
 	if _, _, fds := p.resourceUsage(t); fds > sockets {
-		t.Fatalf("%d descriptors of %d", fds, sockets)
+		t.Fatalf("%d descriptors, want %d at most", fds, sockets)
 	}
 	p.stop(t)
 }
--- a/cli/upgrade_test.go
+++ b/cli/upgrade_test.go
@@ -54,7 +54,7 @@
 	c := newRawClient(conn)
 	c.send(d.t, queryRequest(id, 3*time.Second))
 	if res := c.readResponse(d.t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK {
-		d.t.Errorf("%s: status %d", id, res.StatusCode)
+		d.t.Errorf("query %s: status %d, want 200", id, res.StatusCode)
 	}
 }
 
@@ -113,14 +113,14 @@
 	_ = second.cmd.Process.Signal(syscall.SIGTERM)
 	close(release)
 	if res := held.readResponse(t, time.Now().Add(4*time.Second)); res.StatusCode != http.StatusOK {
-		t.Errorf("the held query: status %d", res.StatusCode)
+		t.Errorf("the held query: status %d, want 200", res.StatusCode)
 	}
 	for i := range 20 {
 		d.checkServed(fmt.Sprint("third", i))
 	}
 	for name, p := range map[string]*process{"first": first, "second": second} {
 		if err := p.wait(); err != nil {
-			t.Errorf("the %s: %v\n%s", name, err, p.output())
+			t.Errorf("the %s process ended with %v, want exit status 0; its log:\n%s", name, err, p.output())
 		}
 	}
 	d.checkServed("alone")
@@ -163,7 +163,7 @@
 	select {
 	case err := <-ended:
 		if text := mistaken.output(); err == nil || !strings.Contains(text, `listen: the broker "n1" runs at `+d.listen) {
-			t.Errorf("%v, %s", err, text)
+			t.Errorf("the mistaken broker ended with %v, want an error that names the field listen and the broker n1: %s", err, text)
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("the mistaken broker still runs beside the other one")
@@ -211,7 +211,7 @@
 	repeat(func(i int) { callAdmin(console, http.MethodPost, []string{"/-/drain", "/-/resume"}[i%2]) })
 	repeat(func(int) {
 		if status, text := callAdmin(console, http.MethodGet, "/-/metrics"); status != http.StatusOK {
-			t.Errorf("metrics: %d, %s", status, text)
+			t.Errorf("metrics: status %d, want 200: %s", status, text)
 		}
 	})
 	repeat(func(i int) {
@@ -226,7 +226,7 @@
 	}
 	stop()
 	if status, text := callAdmin(console, http.MethodPost, "/-/drain"); status != http.StatusOK {
-		t.Errorf("drain: %d, %s", status, text)
+		t.Errorf("drain: status %d, want 200: %s", status, text)
 	}
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	callAdmin(console, http.MethodPost, "/-/resume") // must not undo the stop; fails if the port is closed
@@ -234,7 +234,7 @@
 		t.Error("the broker is ready while it stops")
 	}
 	if err := p.wait(); err != nil {
-		t.Errorf("exit: %v\n%s", err, p.output())
+		t.Errorf("the process ended with %v, want exit status 0; its log:\n%s", err, p.output())
 	}
 }
 
@@ -252,10 +252,10 @@
 			continue
 		}
 		if status, text := callAdmin(console, http.MethodGet, "/-/metrics"); status != http.StatusOK {
-			t.Errorf("beside %d clients: %d, %s", i, status, text)
+			t.Errorf("metrics beside %d idle clients: status %d, want 200: %s", i, status, text)
 		}
 		if _, kb, fds := p.resourceUsage(t); fds > sockets || kb > 32<<10 {
-			t.Fatalf("%d descriptors, %d KB", fds, kb)
+			t.Fatalf("%d descriptors, %d KB, more than the limits allow", fds, kb)
 		}
 	}
 	for name, args := range map[string][]string{
@@ -263,7 +263,7 @@
 		"drain": {"drain", "--console", console}, "resume": {"resume", "--console", console},
 	} {
 		if out, err := exec.Command(program, args...).CombinedOutput(); err != nil || len(out) == 0 {
-			t.Errorf("%s: %v, %s", name, err, out)
+			t.Errorf("command %s: %v, want output and exit status 0: %s", name, err, out)
 		}
 	}
 	if err := exec.Command(program, "ready", "--console", freeAddr(t)).Run(); err == nil {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -15,6 +15,8 @@
 // noEnv is a getenv without any variable set.
 func noEnv(string) string { return "" }
 
+// Guards against values of the platform's file being lost or converted to a wrong unit, and
+// against NODE_NAME not taking precedence over the file.
 func TestParsePlatformFile(t *testing.T) {
 	n := testkit.Entry{ID: "a", Addr: "127.0.0.1:9", Zone: "banqiao", Kind: "std-2c", State: "in_service", Weight: 1}
 	data := testkit.Config("127.0.0.1:1", []testkit.Entry{n}, testkit.Settings(nil), nil)
@@ -25,11 +27,11 @@
 	s := c.Settings
 	if c.Name != "n9" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.MemoryMB != 192 || c.StreamsPerConn != 32 ||
 		c.ConnectTimeout != 250*time.Millisecond || c.ConnIdle != 30*time.Second || len(c.Known.Nodes) != 1 || c.Known.Nodes[0].Zone != 1 {
-		t.Errorf("got %+v", c)
+		t.Errorf("got %+v, want the values of the file with the name of NODE_NAME", c)
 	}
 	if len(s.Classes) != 4 || s.Classes[1].Effect != decide.Keyed || s.Classes[3].MinShare != 0.5 || s.MaxAttempts != 3 ||
 		!s.AllowCopies || s.Shards != 18 || c.Classes[1].Name != "edit" || !c.Classes[1].Keyed || c.Classes[0].Keyed {
-		t.Errorf("settings %+v", s)
+		t.Errorf("got settings %+v, want those of the file", s)
 	}
 }
 
@@ -49,10 +51,10 @@
 		data := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), extra)
 		c, err := Parse(data, noEnv)
 		if err != nil || len(c.Warnings) != 1 || c.Warnings[0].Path != path || c.Settings.Classes[1].SecondStepParts != 0 {
-			t.Errorf("%s: got %+v, %v", path, c, err)
+			t.Errorf("%s: got %+v, %v, want one warning with this path", path, c, err)
 		}
 		if _, err := LoadStrict(testkit.WriteTempFile(t, data), noEnv); err == nil || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s, checked: got %v", path, err)
+			t.Errorf("%s: LoadStrict returned %v, want an error with this path", path, err)
 		}
 	}
 }
@@ -83,7 +85,7 @@
 	} {
 		c, err := Parse(testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), extra), noEnv)
 		if err != nil || len(c.Warnings) > 0 || c.ConnIdle <= 0 {
-			t.Errorf("%s: got %+v, %v", name, c, err)
+			t.Errorf("%s: got %+v, %v, want no error and no warning", name, c, err)
 		}
 		if extra["known"] != nil && (c == nil || c.Known == nil || len(c.Known.Nodes) != 1) {
 			t.Errorf("%s: the list in known was not read", name)
@@ -134,15 +136,15 @@
 	} {
 		_, err := Parse(testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), c.extra), noEnv)
 		if err == nil || !strings.Contains(err.Error(), c.field) {
-			t.Errorf("%s: got %v", c.field, err)
+			t.Errorf("%s: got %v, want an error that names this field", c.field, err)
 		}
 	}
 	if _, err := Load("", noEnv); err == nil || !strings.Contains(err.Error(), "NODE_CONFIG") {
-		t.Errorf("no file given: got %v", err)
+		t.Errorf("no file given: got %v, want an error that names NODE_CONFIG", err)
 	}
 	var f *FieldError
 	if _, err := Load("/nowhere/at/all", noEnv); !errors.As(err, &f) || !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a missing file: got %v", err)
+		t.Errorf("a missing file: got %v, want a FieldError for a file that does not exist", err)
 	}
 }
 
@@ -155,7 +157,7 @@
 		}
 		peers, err := json.Marshal(c.Store.Peers)
 		if err != nil || c.Name != name || c.Flight == nil || len(c.Store.Peers) != 3 || !strings.Contains(string(peers), c.Flight.Listen) {
-			t.Errorf("%s: %+v %v", name, c, err)
+			t.Errorf("the file of %s: got %+v, %v, want three peers, of which one has its Flight address", name, c, err)
 		}
 	}
 }
@@ -170,7 +172,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		c, err := Parse(data, noEnv)
 		if err == nil && (c.Name == "" || len(c.Classes) != len(c.Settings.Classes) || c.Limits.Sockets < 0 || c.Limits.MemoryMB < 0) {
-			t.Errorf("%q: got %+v", data, c)
+			t.Errorf("%q: accepted an inconsistent configuration: %+v", data, c)
 		}
 	})
 }
--- a/config/reload_test.go
+++ b/config/reload_test.go
@@ -39,7 +39,7 @@
 func TestReloadRejectsMissingKeysAndInvalidLimits(t *testing.T) {
 	old, data := configInUse(t, nil)
 	if _, err := reloadData(t, data, old); err != nil {
-		t.Fatalf("unchanged: %v", err)
+		t.Fatalf("an unchanged file: got %v, want no error", err)
 	}
 	firstClass := func(settings map[string]any) map[string]any {
 		return settings["classes"].([]any)[0].(map[string]any)
@@ -47,7 +47,7 @@
 	for _, name := range []string{"name", "listen", "discovery", "console", "seed", "limits", "known", "settings"} {
 		got, err := reloadData(t, editFile(t, data, func(file, _ map[string]any) { delete(file, name) }), old)
 		if err == nil || got != nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("without %s: %v", name, err)
+			t.Errorf("without %s: got %v, want an error that names it", name, err)
 		}
 	}
 	var all map[string]any
@@ -55,23 +55,23 @@
 	for name := range all["settings"].(map[string]any) {
 		_, err := reloadData(t, editFile(t, data, func(_, s map[string]any) { delete(s, name) }), old)
 		if err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("without settings.%s: %v", name, err)
+			t.Errorf("without settings.%s: got %v, want an error that names it", name, err)
 		}
 	}
 	for name := range firstClass(all["settings"].(map[string]any)) {
 		_, err := reloadData(t, editFile(t, data, func(_, s map[string]any) { delete(firstClass(s), name) }), old)
 		if err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("without settings.classes[].%s: %v", name, err)
+			t.Errorf("without settings.classes[].%s: got %v, want an error that names it", name, err)
 		}
 	}
 	for _, value := range []any{0, -1, "soon", "1000", nil, true, []any{1}, map[string]any{}} {
 		_, err := reloadData(t, editFile(t, data, func(_, s map[string]any) { firstClass(s)["deadlineMs"] = value }), old)
 		if err == nil || !strings.Contains(err.Error(), "deadlineMs") {
-			t.Errorf("a deadline of %v: %v", value, err)
+			t.Errorf("a deadline of %v: got %v, want an error that names deadlineMs", value, err)
 		}
 		_, err = reloadData(t, editFile(t, data, func(_, s map[string]any) { s["caps"].(map[string]any)["maxAttempts"] = value }), old)
 		if err == nil || !strings.Contains(err.Error(), "maxAttempts") {
-			t.Errorf("%v attempts: %v", value, err)
+			t.Errorf("a maximum of %v attempts: got %v, want an error that names maxAttempts", value, err)
 		}
 	}
 	withLogLevel := testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), map[string]any{"console": "127.0.0.1:2", "log_level": "debug"})
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	if _, err := reloadData(t, editFile(t, withLogLevel, func(file, _ map[string]any) { delete(file, "log_level") }), oldWithLogLevel); err != nil {
-		t.Errorf("without an operator's field: %v", err)
+		t.Errorf("without an operator's field: got %v, want no error", err)
 	}
 }
 
@@ -113,11 +113,11 @@
 	check := func(c *Config) {
 		t.Helper()
 		if len(c.Classes) != len(want) || len(c.Settings.Classes) != len(want) {
-			t.Fatalf("got %+v", c.Classes)
+			t.Fatalf("got %+v, want as many classes as expected so far", c.Classes)
 		}
 		for i, w := range want {
 			if got := c.Classes[i]; got.Name != w.name || got.Retired != w.retired || got.settings != c.Settings.Classes[i] {
-				t.Errorf("%d: got %+v, want %+v", i, got, w)
+				t.Errorf("class %d: got %+v, want %+v and the settings at its index", i, got, w)
 			}
 		}
 	}
@@ -145,12 +145,12 @@
 		next, err := reloadData(t, editFile(t, data, func(_, s map[string]any) { class(s, 0)["objectiveMs"] = 1 + i }), c)
 		if err != nil {
 			if len(c.Classes) < maxClasses-1 || !strings.Contains(err.Error(), "settings.classes") {
-				t.Errorf("after %d classes: %v", len(c.Classes), err)
+				t.Errorf("after %d classes: got %v, want an error about settings.classes, and only at maxClasses", len(c.Classes), err)
 			}
 			break
 		}
 		if c = next; len(c.Classes) > maxClasses {
-			t.Fatalf("%d classes", len(c.Classes))
+			t.Fatalf("%d classes, more than maxClasses", len(c.Classes))
 		}
 	}
 }
--- a/daemon/addresses_test.go
+++ b/daemon/addresses_test.go
@@ -48,14 +48,14 @@
 		return testkit.QueryHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: fmt.Sprintf("q%d", id), Shards: []int{1, 2}, Timeout: 3 * time.Second})
 	}
 	if r := ask(); r.Outcome != "served" || !r.Complete {
-		t.Fatalf("got %+v", r)
+		t.Fatalf("got %+v, want a complete answer", r)
 	}
 	var out, errs bytes.Buffer
 	if code := cli.Main([]string{"addresses", "--node", "s-0", "--addr", d.FlightAddr().String()}, &out, &errs); code != 0 || !strings.Contains(out.String(), socketAddr+"  last-good") {
-		t.Errorf("addresses: %s%s", out.String(), errs.String())
+		t.Errorf("the command addresses printed %s%s, want the socket as last-good", out.String(), errs.String())
 	}
 	if views := d.Status().Addresses["s-0"]; len(views) != 3 || views[0].Text != socketAddr || views[0].Reason != "last-good" {
-		t.Errorf("status %+v", views)
+		t.Errorf("status %+v, want three addresses, the socket first, as last-good", views)
 	}
 	for range 60 { // the budget for further attempts is a share of the recent queries
 		ask()
--- a/daemon/moves_test.go
+++ b/daemon/moves_test.go
@@ -54,7 +54,7 @@
 		t.Helper()
 		ids++
 		if got := testkit.QueryHTTP(context.Background(), d.Addr().String(), testkit.Query{Class: "screen", ID: fmt.Sprintf("q%d", ids), Shards: sixShards, Timeout: 3 * time.Second}); got.Outcome != "served" {
-			t.Fatalf("got %+v", got)
+			t.Fatalf("got %+v, want an answer", got)
 		}
 	}
 	testkit.Eventually(t, "the old discovery is watched", func() bool { return len(oldDiscovery.Requests()) > 1 })
--- a/daemon/rules_test.go
+++ b/daemon/rules_test.go
@@ -20,21 +20,21 @@
 	"onyxsail/internal/testkit"
 )
 
-// harness runs a broker with fake nodes and a fake discovery. Its queries go through one
-// kind of front.
+// harness is a running broker with fake nodes and a fake discovery. All its queries go through
+// the same kind of front.
 type harness struct {
 	broker    *daemon.Daemon
 	discovery *testkit.Discovery
 	nodes     []*testkit.Node
-	ask       func(context.Context, testkit.Query) testkit.Reply
-	lastID    atomic.Int64
+	ask       func(context.Context, testkit.Query) testkit.Reply // sets the ID, and a timeout of 3 s, where the query has none
+	lastID    atomic.Int64                                       // of the IDs that ask has set
 }
 
 // protocols are the combinations that the tests run on: the platform's protocols (HTTP
 // and frames), Flight on both sides, and HTTP queries whose parts go to both kinds of node.
 var protocols = []struct {
 	name   string
-	flight bool
+	flight bool             // whether queries go over Flight
 	node   func(i int) bool // reports whether node i speaks Flight
 }{
 	{"platform", false, func(int) bool { return false }},
@@ -87,14 +87,14 @@
 	}
 }
 
-// setAllNodes makes all nodes end every part in the given way.
+// setAllResponses makes all nodes respond to every part in the given way.
 func (h *harness) setAllResponses(response string) {
 	for _, n := range h.nodes {
 		n.SetResponse(response)
 	}
 }
 
-// allCalls returns the calls that all nodes have received.
+// allParts returns the parts that all nodes have received.
 func (h *harness) allParts() (all []testkit.Part) {
 	for _, n := range h.nodes {
 		all = append(all, n.Parts()...)
@@ -102,6 +102,7 @@
 	return all
 }
 
+// sixShards are some of the 18 shards of testkit.Settings.
 var sixShards = []int{0, 3, 5, 7, 11, 17}
 
 // Guards against an answer that lacks parts or has wrong values, against a query that is
@@ -112,20 +113,20 @@
 		for range 4 { // the decision module does not spread parts before the first answers
 			if got = h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Outcome != "served" ||
 				!got.Complete || len(got.Values) != len(sixShards) {
-				t.Fatalf("got %+v", got)
+				t.Fatalf("got %+v, want a complete answer with a value for each shard", got)
 			}
 		}
 		used := map[string]bool{}
 		for _, s := range sixShards {
 			if got.Values[s] != testkit.ShardValue(s) {
-				t.Errorf("shard %d: %q", s, got.Values[s])
+				t.Errorf("shard %d: got %q, want its own value", s, got.Values[s])
 			}
 		}
 		for _, n := range h.nodes {
 			for _, c := range n.Parts() {
 				used[n.ID] = true
 				if c.Query != "c41e77d0" || c.Timeout <= 0 || c.Timeout > 3*time.Second {
-					t.Errorf("call %+v", c)
+					t.Errorf("part %+v: want the query's body and a timeout of 3 s at most", c)
 				}
 			}
 		}
@@ -146,7 +147,7 @@
 			t.Fatalf("got %+v, want a final answer before the client's deadline", got)
 		}
 		if s := h.broker.Stats(); s.Queries != 1 || s.Refused+s.Failed+s.Expired != 1 {
-			t.Errorf("stats %+v", s)
+			t.Errorf("stats %+v, want one query, which is refused, failed or expired", s)
 		}
 	})
 }
@@ -156,7 +157,7 @@
 	forEachProtocol(t, 5, nil, func(t *testing.T, h *harness) {
 		h.setAllResponses(testkit.Failed)
 		if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{4}}); got.Outcome != "refused" {
-			t.Fatalf("got %+v", got)
+			t.Fatalf("got %+v, want a refusal after all attempts have failed", got)
 		}
 		if n := len(h.allParts()); n < 2 || n > 3 {
 			t.Errorf("%d attempts of one part, want 2 or 3", n)
@@ -188,7 +189,7 @@
 			}
 			for _, c := range parts {
 				if c.Key != "k1" {
-					t.Errorf("key %q", c.Key)
+					t.Errorf("a part was sent with the key %q, want k1", c.Key)
 				}
 			}
 		})
@@ -227,7 +228,7 @@
 		}
 		for i := range 4 {
 			if got := h.ask(context.Background(), testkit.Query{Class: "order", Shards: []int{i}}); got.Outcome != "served" {
-				t.Fatalf("got %+v", got)
+				t.Fatalf("got %+v, want an answer from the reachable node", got)
 			}
 		}
 	})
@@ -262,7 +263,7 @@
 		limit := h.discovery.SentAt(version).Add(500 * time.Millisecond)
 		for i := 0; i < 20 || time.Now().Before(limit.Add(100*time.Millisecond)); i++ {
 			if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Outcome != "served" {
-				t.Fatalf("got %+v", got)
+				t.Fatalf("got %+v, want an answer from the nodes in service", got)
 			}
 		}
 		for _, c := range h.nodes[0].Parts() {
@@ -282,7 +283,7 @@
 		ask := func() {
 			t.Helper()
 			if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Outcome != "served" {
-				t.Fatalf("got %+v", got)
+				t.Fatalf("got %+v, want an answer from the nodes that still run", got)
 			}
 		}
 		ask()
@@ -371,7 +372,7 @@
 			t.Fatalf("got %+v, want a refusal with a retry hint", got)
 		}
 		if s := h.broker.Stats(); s.Open != 0 {
-			t.Errorf("stats %+v", s)
+			t.Errorf("stats %+v, want no open query after the refusal", s)
 		}
 	})
 }
@@ -385,7 +386,7 @@
 		go func() { done <- h.ask(ctx, testkit.Query{Class: "screen", Shards: sixShards}) }()
 		testkit.Eventually(t, "the first query is open", func() bool { return h.broker.Stats().Open == 1 })
 		if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: []int{1}}); got.Outcome != "refused" {
-			t.Errorf("got %+v", got)
+			t.Errorf("got %+v, want a refusal at maxOpen", got)
 		}
 		cancel()
 		<-done
@@ -408,7 +409,7 @@
 			return len(h.nodes[0].Cancelled())+len(h.nodes[1].Cancelled()) >= 2
 		})
 		if s := h.broker.Stats(); s.Left != 1 || s.Open != 0 {
-			t.Errorf("stats %+v", s)
+			t.Errorf("stats %+v, want one query that its client left, and none open", s)
 		}
 	})
 }
@@ -423,7 +424,7 @@
 		h.nodes[0].SetResponse(testkit.NeverAnswer)
 		testkit.Eventually(t, "an attempt at the silent node is cancelled", func() bool {
 			if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Outcome == "none" {
-				t.Errorf("got %+v", got)
+				t.Errorf("got %+v, want any reply in time", got)
 			}
 			return len(h.nodes[0].Cancelled()) > 0
 		})
@@ -438,11 +439,11 @@
 			{Class: "screen", Shards: []int{1, 1}}, {Class: "edit", Shards: []int{1}}, {Class: "screen", ID: "a b", Shards: []int{1}},
 		} {
 			if got := h.ask(context.Background(), q); got.Outcome != "invalid" {
-				t.Errorf("%+v: got %+v", q, got)
+				t.Errorf("%+v: got %+v, want the outcome invalid", q, got)
 			}
 		}
 		if s := h.broker.Stats(); s.Queries != 0 {
-			t.Errorf("stats %+v", s)
+			t.Errorf("stats %+v, want no invalid query counted", s)
 		}
 	})
 }
@@ -469,7 +470,7 @@
 	}
 	testkit.Eventually(t, "the empty list is sent", func() bool { return len(discovery.Requests()) >= 2 })
 	if got := ready(); got != http.StatusServiceUnavailable {
-		t.Errorf("without a node: %d", got)
+		t.Errorf("/ready without a node: status %d, want 503", got)
 	}
 	discovery.Update(testkit.NewNode(t, "s-1", false).Entry())
 	testkit.Eventually(t, "the broker is ready", func() bool { return ready() == http.StatusOK })
@@ -520,12 +521,12 @@
 	forEachProtocol(t, 2, forbidCancel, func(t *testing.T, h *harness) {
 		h.setAllResponses(testkit.NeverAnswer)
 		if got := h.ask(context.Background(), testkit.Query{Class: "order", Shards: sixShards[:1], Timeout: 300 * time.Millisecond}); got.Outcome == "served" {
-			t.Errorf("got %+v", got)
+			t.Errorf("got %+v, want no answer from silent nodes", got)
 		}
 		h.setAllResponses(testkit.Done)
 		for range 3 { // on the same connections, so a cancel frame of the first query would have arrived
 			if got := h.ask(context.Background(), testkit.Query{Class: "screen", Shards: sixShards}); got.Outcome != "served" {
-				t.Errorf("got %+v", got)
+				t.Errorf("got %+v, want an answer", got)
 			}
 		}
 		for _, n := range h.nodes {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,7 +13,7 @@
 // hexZeros returns n zero bytes in hex.
 func hexZeros(n int) string { return strings.Repeat("00", n) }
 
-// fromHex decodes the parts, hex digits with spaces, to one slice.
+// fromHex decodes the parts, hex digits with spaces, into one slice.
 func fromHex(t *testing.T, parts ...string) []byte {
 	t.Helper()
 	b, err := hex.DecodeString(strings.ReplaceAll(strings.Join(parts, ""), " ", ""))
@@ -23,7 +23,8 @@
 	return b
 }
 
-// batchFrame returns a frame of records and a tail, both in hex, after a header for them.
+// batchFrame returns the frame of a batch: a header, and after it the given number of records
+// and a tail, both in hex. The clock and the sequence number are 0.
 func batchFrame(t *testing.T, records int, rest ...string) []byte {
 	t.Helper()
 	body := fromHex(t, rest...)
@@ -40,7 +41,7 @@
 	hangupRecord = "06 05000000 192b6f0e15020100"
 )
 
-// A batch follows the last one without a separator, so a wrong length would shift all that
+// A batch follows the previous one without a separator, so a wrong length would shift all that
 // follow. The fields of each record must arrive in its event, and the end of the input between
 // two batches must be io.EOF.
 func TestDecodeReadsConsecutiveBatches(t *testing.T) {
@@ -49,21 +50,21 @@
 	d := NewDecoder(bytes.NewReader(in))
 	var b Batch
 	if err := d.Next(&b); err != nil || len(b.Items) != 0 || b.Seq != 1 || b.Now != 8412.25 {
-		t.Fatalf("empty batch: %+v, %v", b, err)
+		t.Fatalf("empty batch: got %+v, %v, want batch 1 without items", b, err)
 	}
 	if err := d.Next(&b); err != nil || b.Seq != 12 || len(b.Items) != 3 {
-		t.Fatalf("second batch: %+v, %v", b, err)
+		t.Fatalf("second batch: got %+v, %v, want batch 12 with three items", b, err)
 	}
 	call := b.Items[0]
 	if e := call.Event; call.Root != 3 || e.Kind != decide.PartArrived || e.ID != 0x81fcb5d3a91c4 || e.Key != 0x91f03b7c55d20a64 ||
 		e.TimeLeftMs != 240 || e.EstimatedWorkMs != 12 || e.Number != 214 || e.Shard != 0 || e.Weight != 0.125 || !e.HasEstimate || e.Retry {
-		t.Errorf("call: %+v", call)
+		t.Errorf("call: got %+v, want the fields of callRecord", call)
 	}
 	if e := b.Items[1].Event; e.Kind != decide.TimerFired || e.Token != 77 {
-		t.Errorf("wakeup: %+v", e)
+		t.Errorf("wakeup: got %+v, want a timer with token 77", e)
 	}
 	if it := b.Items[2]; it.Root != 5 || it.Event.Kind != decide.ClientDisconnected || it.Event.ID != 0x102150e6f2b19 {
-		t.Errorf("hangup: %+v", it)
+		t.Errorf("hangup: got %+v, want a client of root 5 that disconnected", it)
 	}
 	if err := d.Next(&b); err != io.EOF {
 		t.Errorf("at the end of input: %v, want io.EOF", err)
@@ -81,12 +82,12 @@
 	e := b.Items[0].Event
 	if e.Kind != decide.AttemptDone || e.Attempt != 1 || e.Outcome != decide.Failed || e.ElapsedMs != 18.5 ||
 		len(e.Load) != 2 || e.Load[0] != 1 || e.Load[1] != 2 {
-		t.Errorf("settled: %+v", e)
+		t.Errorf("settled: got %+v, want attempt 1 as failed after 18.5 ms with the load values 1 and 2", e)
 	}
 }
 
-// A CENSUS event may refill a slot within the batch whose earlier LIST event refers to it: the earlier event
-// must keep the list that the slot had then.
+// A CENSUS event may refill a slot to which an earlier LIST event of the same batch refers: the
+// earlier event must keep the list that the slot had then.
 func TestRefillingAListSlotKeepsTheListOfEarlierEvents(t *testing.T) {
 	one := "0a124a07 5b1b 0000 00 0000 01 0000803f 0000000000000000"
 	two := "0a9011f2 841b 0100 02 0300 03 0000c03f 0000000000d4b740"
@@ -100,7 +101,7 @@
 	first, second := b.Items[0].Event.Members, b.Items[1].Event.Members
 	want := decide.Member{Addr: 0x1b84f211900a, Zone: 1, Kind: 2, Cell: 3, State: decide.Draining, Size: 1.5, ReadyAt: 6100}
 	if len(first) != 1 || first[0].Addr != 0x1b5b074a120a || len(second) != 1 || second[0] != want {
-		t.Errorf("lists: %+v and %+v", first, second)
+		t.Errorf("got the lists %+v and %+v, want that of the first CENSUS event and then that of the second", first, second)
 	}
 }
 
@@ -186,10 +187,10 @@
 	}
 	if len(s.Classes) != 2 || s.Classes[0].ObjectiveMs != 30 || s.Classes[0].Effect != decide.Keyed || s.Classes[0].CompleteShare != 0.75 ||
 		s.Classes[1].ObjectiveMs != 9 || s.Classes[1].Effect != decide.Unsafe || s.Classes[1].MinShare != 1 {
-		t.Errorf("classes: %+v", s.Classes)
+		t.Errorf("got classes %+v, want the given values and the defaults", s.Classes)
 	}
 	if !s.AllowCancel || s.AllowCopies || s.HasRetryBudget || s.Roots != 1 || s.Cells != 1 || len(s.LoadReportFields) != 2 {
-		t.Errorf("settings: %+v", s)
+		t.Errorf("got settings %+v, want the given values and the defaults", s)
 	}
 }
 
@@ -201,7 +202,7 @@
 		var b Batch
 		for d.Next(&b) == nil {
 			if len(b.Items) > len(in)/eventSize {
-				t.Fatalf("%d items from %d bytes", len(b.Items), len(in))
+				t.Fatalf("%d items from %d bytes, more than these have room for", len(b.Items), len(in))
 			}
 		}
 	})
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -38,6 +38,7 @@
 	index int // the instance that it belongs to
 }
 
+// write runs op, or returns the group's diskError instead.
 func (d failingDisk) write(op func() error) error {
 	if errno := d.group.diskError.Load(); errno != nil {
 		d.group.failedWrites.Add(1)
@@ -64,6 +65,7 @@
 	return d.write(func() error { return d.Disk.SetUint64(k, v) })
 }
 
+// newGroup starts the instances of a group. They are stopped when the test ends.
 func newGroup(t *testing.T) *group {
 	g := &group{t: t, stores: make([]*store.Store, 3)}
 	var listeners []net.Listener
@@ -89,7 +91,8 @@
 	return g
 }
 
-// start opens an instance, with l as its Raft listener if that is not nil.
+// start opens an instance, with l as its Raft listener if that is not nil, and with short
+// timeouts and a log that is compacted after a few entries.
 func (g *group) start(i int, l net.Listener) {
 	g.t.Helper()
 	s, err := store.Open(store.Options{
@@ -107,6 +110,7 @@
 	g.stores[i] = s
 }
 
+// stop closes an instance, if it runs.
 func (g *group) stop(i int) {
 	if g.stores[i] != nil {
 		if err := g.stores[i].Close(); err != nil {
@@ -148,7 +152,7 @@
 	return index
 }
 
-// setMaxOpen retries a change until the leader accepts it.
+// setMaxOpen retries a change until the leader accepts it and returns the new configuration.
 func (g *group) setMaxOpen(maxOpen int) (c store.Config) {
 	g.t.Helper()
 	testkit.Eventually(g.t, "the leader accepts a write", func() bool {
@@ -178,7 +182,7 @@
 	g := newGroup(t)
 	leader := g.leader()
 	if c := g.setMaxOpen(100); c.Version != 1 || c.MaxOpen != 100 || c.QueueLimit != store.Defaults().QueueLimit {
-		t.Errorf("got %+v", c)
+		t.Errorf("got %+v, want version 1 with max_open 100 and the default queue_limit", c)
 	}
 	g.waitForMaxOpen(100)
 	follower := g.stores[(leader+1)%3]
@@ -189,11 +193,11 @@
 	}
 	oldVersion, negative, unknownLevel := uint64(0), -1, "loud"
 	if _, err := g.stores[leader].SetConfig(store.Patch{MaxOpen: &maxOpen, IfVersion: &oldVersion}); !errors.Is(err, store.ErrConflict) {
-		t.Errorf("write with an old if_version: %v", err)
+		t.Errorf("write with an old if_version: got %v, want ErrConflict", err)
 	}
 	for _, p := range []store.Patch{{}, {MaxOpen: &negative}, {QueueLimit: &negative}, {HandOverMs: &negative}, {LogLevel: &unknownLevel}} {
 		if _, err := g.stores[leader].SetConfig(p); !errors.Is(err, store.ErrInvalid) {
-			t.Errorf("%+v: %v", p, err)
+			t.Errorf("%+v: got %v, want ErrInvalid", p, err)
 		}
 	}
 	g.stores[leader].RecordRoster(store.Roster{Version: 7, Nodes: []broker.Node{{ID: "s-1", Addr: "127.0.0.1:1"}}})
--- a/takeover/takeover_test.go
+++ b/takeover/takeover_test.go
@@ -17,8 +17,10 @@
 // siblingEvents records the calls of a SiblingObserver.
 type siblingEvents chan bool
 
+// SiblingRunning implements SiblingObserver.
 func (e siblingEvents) SiblingRunning(running bool) { e <- running }
 
+// expect waits for the next call and fails the test unless it has the value running.
 func (e siblingEvents) expect(t *testing.T, running bool) {
 	t.Helper()
 	select {
@@ -31,6 +33,8 @@
 	}
 }
 
+// clientAddr is the address for clients that both processes are configured with. Nothing listens
+// at it.
 const clientAddr = "127.0.0.1:8000"
 
 // startServer plays the part of a predecessor process in dir.
@@ -55,7 +59,7 @@
 	t.Helper()
 	p, err := Connect(dir, clientAddr)
 	if err != nil || p == nil {
-		t.Fatalf("connecting: got %v, %v", p, err)
+		t.Fatalf("connecting: got %v, %v, want a predecessor", p, err)
 	}
 	t.Cleanup(func() {
 		p.Close()
@@ -141,7 +145,7 @@
 	dir := t.TempDir()
 	startServer(t, dir)
 	if p, err := Connect(dir, clientAddr); p != nil || !errors.Is(err, errOtherUser) {
-		t.Errorf("got %v, %v", p, err)
+		t.Errorf("got %v, %v, want errOtherUser", p, err)
 	}
 }
 
@@ -150,7 +154,7 @@
 func TestConnectWithoutUsablePredecessor(t *testing.T) {
 	dir := t.TempDir()
 	if p, err := Connect(dir, clientAddr); p != nil || err != nil {
-		t.Errorf("an empty directory: got %v, %v", p, err)
+		t.Errorf("an empty directory: got %v, %v, want no predecessor and no error", p, err)
 	}
 	if _, err := Connect(filepath.Join(dir, "none"), clientAddr); err == nil {
 		t.Error("no directory: got no error")
@@ -158,7 +162,7 @@
 	s, _, _ := startServer(t, dir)
 	s.Close() // the socket file stays, as after a kill
 	if p, err := Connect(dir, clientAddr); p != nil || err != nil {
-		t.Errorf("a socket file without a listener: got %v, %v", p, err)
+		t.Errorf("a socket file without a listener: got %v, %v, want no predecessor and no error", p, err)
 	}
 	name := filepath.Join(dir, "gannetchute-127.0.0.1_8000.sock")
 	if err := os.Remove(name); err != nil {
@@ -184,7 +188,7 @@
 	}()
 	for _, text := range answers {
 		if p, err := Connect(dir, clientAddr); p != nil || err == nil {
-			t.Errorf("%q: got %v, %v", text, p, err)
+			t.Errorf("first message %q: got %v, %v, want an error", text, p, err)
 		}
 	}
 	if _, _, events := startServer(t, dir); events == nil { // replaces the socket file nevertheless
