--- a/cli/start_test.go
+++ b/cli/start_test.go
@@ -174,8 +174,8 @@
 // maxThreads bounds the threads of one broker on a machine whose processors are busy: eight at
 // rest (docs/sizes.md), and one for each goroutine that may block in a system call. Those are
 // the decision module, the periodic sweeps of the front and of the node client, the accepts,
-// the socket maintenance, one connection that is handed over, two connects, discovery, the
-// log and a file; only the completion of dials grows with load.
+// the socket maintenance, one connection that is being attached to the loop, two connects,
+// discovery, the log and a file; only the completion of dials grows with load.
 const maxThreads = 24
 
 // Many brokers start at once, half are killed and restarted, and all are stopped: each must
--- a/cli/trace.go
+++ b/cli/trace.go
@@ -60,7 +60,7 @@
 	s.addFilterFlags(cmd)
 	flags := cmd.Flags()
 	flags.StringVar(&s.spoolDir, "dir", "", "read this spool directory instead of calling a broker")
-	flags.BoolVar(&s.includeOpen, "open", false, "with --dir: also the open queries, or those that were open when the broker crashed, if none has started since")
+	flags.BoolVar(&s.includeOpen, "open", false, "with --dir: also the open queries, or those that were open when the broker crashed, if no broker has started there since")
 	flags.DurationVar(&s.since, "since", 0, "only queries that arrived at most this long ago")
 	flags.DurationVar(&s.until, "until", 0, "only queries that arrived at least this long ago")
 	flags.IntVar(&s.limit, "limit", limit, "at most this many traces, the latest ones")
--- a/config/config.go
+++ b/config/config.go
@@ -83,14 +83,14 @@
 	Kinds    []string // names by the kind's index
 	Classes  []Class  // by the index of Settings.Classes
 
-	StreamsPerConn int             // open attempts per connection to a node; 0 counts as 1
-	ConnectTimeout time.Duration   // 0: a default
-	ConnIdle       time.Duration   // after which nodes close idle connections; 0: they keep them
-	HandOverWindow time.Duration   // new connections are accepted this long after SIGTERM
-	LogLevel       string          // debug, info, warn or error; empty: info
-	Flight         *Flight         // nil: off
-	Store          *Store          // nil: off
-	Tracing        *tracing.Config // with defaults applied; nil: off
+	StreamsPerConn    int             // open attempts per connection to a node; 0 counts as 1
+	ConnectTimeout    time.Duration   // 0: a default
+	ServerIdleTimeout time.Duration   // after which nodes close idle connections; 0: they keep them
+	HandOverWindow    time.Duration   // new connections are accepted this long after SIGTERM
+	LogLevel          string          // debug, info, warn or error; empty: info
+	Flight            *Flight         // nil: off
+	Store             *Store          // nil: off
+	Tracing           *tracing.Config // with defaults applied; nil: off
 
 	// Warnings are the parts of the file that this broker ignores: unknown fields and
 	// values that it can do without, such as an invalid list in known.
@@ -202,8 +202,8 @@
 	compare("listen", old.Listen, reloaded.Listen)
 	compare("console", old.Console, reloaded.Console)
 	compare("limits.sockets", old.Limits.Sockets, reloaded.Limits.Sockets)
-	compare("settings", []any{a, old.Zones, old.Kinds, old.StreamsPerConn, old.ConnectTimeout, old.ConnIdle},
-		[]any{b, reloaded.Zones, reloaded.Kinds, reloaded.StreamsPerConn, reloaded.ConnectTimeout, reloaded.ConnIdle})
+	compare("settings", []any{a, old.Zones, old.Kinds, old.StreamsPerConn, old.ConnectTimeout, old.ServerIdleTimeout},
+		[]any{b, reloaded.Zones, reloaded.Kinds, reloaded.StreamsPerConn, reloaded.ConnectTimeout, reloaded.ServerIdleTimeout})
 	compare("flight", old.Flight, reloaded.Flight)
 	compare("store", old.Store, reloaded.Store)
 	compare("tracing", old.Tracing, reloaded.Tracing)
@@ -394,7 +394,7 @@
 	if len(c.Classes) == 0 {
 		return fieldErrorf("settings.classes", "missing")
 	}
-	for path, target := range map[string]*time.Duration{"caps.connectTimeoutMs": &c.ConnectTimeout, "caps.connIdleMs": &c.ConnIdle} {
+	for path, target := range map[string]*time.Duration{"caps.connectTimeoutMs": &c.ConnectTimeout, "caps.connIdleMs": &c.ServerIdleTimeout} {
 		ms, err := nonNegativeNumber(pairs, path)
 		if err != nil {
 			return err
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -26,7 +26,7 @@
 	}
 	s := c.Settings
 	if c.Name != "n9" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.MemoryMB != 192 || c.StreamsPerConn != 32 ||
-		c.ConnectTimeout != 250*time.Millisecond || c.ConnIdle != 30*time.Second || len(c.Known.Nodes) != 1 || c.Known.Nodes[0].Zone != 1 {
+		c.ConnectTimeout != 250*time.Millisecond || c.ServerIdleTimeout != 30*time.Second || len(c.Known.Nodes) != 1 || c.Known.Nodes[0].Zone != 1 {
 		t.Errorf("got %+v, want the values of the file with the name of NODE_NAME", c)
 	}
 	if len(s.Classes) != 4 || s.Classes[1].Effect != decide.Keyed || s.Classes[3].MinShare != 0.5 || s.MaxAttempts != 3 ||
@@ -84,7 +84,7 @@
 		})},
 	} {
 		c, err := Parse(testkit.Config("127.0.0.1:1", nil, testkit.Settings(nil), extra), noEnv)
-		if err != nil || len(c.Warnings) > 0 || c.ConnIdle <= 0 {
+		if err != nil || len(c.Warnings) > 0 || c.ServerIdleTimeout <= 0 {
 			t.Errorf("%s: got %+v, %v, want no error and no warning", name, c, err)
 		}
 		if extra["known"] != nil && (c == nil || c.Known == nil || len(c.Known.Nodes) != 1) {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -37,7 +37,7 @@
 const (
 	defaultMaxSockets   = 1024 // descriptors, where the platform gives no limit
 	smallSocketLimit    = 128  // descriptors, below which reservedDescriptors are subtracted first
-	reservedDescriptors = 16   // standard streams, pollers, listeners, discovery, one in transfer
+	reservedDescriptors = 16   // standard streams, pollers, listeners, discovery, one connection that Attach duplicates
 	// minMemoryLimit is the smallest memory limit in bytes that is set for the garbage
 	// collector. Below it the program's own tables would keep the collector running
 	// all the time.
@@ -70,7 +70,7 @@
 type Daemon struct {
 	cfg                           *config.Config
 	log                           zerolog.Logger
-	loop                          *netio.Loop
+	loop                          *netio.Loop // the sockets of the HTTP front and of the frame nodes
 	core                          *broker.Core
 	frameNodes                    *nodeclient.Client
 	flightNodes                   *flightnode.Client
@@ -117,13 +117,13 @@
 		}
 		debug.SetMemoryLimit(max(minMemoryLimit, memoryLimit))
 	}
-	debug.SetGCPercent(400) // the live heap is small compared to the limit
+	debug.SetGCPercent(400) // the live heap is small compared to the limit, so rarer collections fit into it
 }
 
 // splitSockets divides the descriptors and returns the limits of connections to HTTP clients
 // and to nodes that use the frame protocol. Not included are an eighth for nodes that use
 // Flight, an eighth for the Flight front, and a sixteenth for discovery, the log and
-// connections in transfer. Without a Flight front its share goes to the HTTP clients. A long
+// the duplicates of connections that are being attached to the loop. Without a Flight front its share goes to the HTTP clients. A long
 // cached list of nodes takes what it needs from the HTTP clients' share; nil is no list.
 func splitSockets(sockets int, flight bool, cached *discovery.List) (clients, frames int) {
 	if sockets < smallSocketLimit { // the process's own descriptors, about twelve, are a significant share here
@@ -190,11 +190,11 @@
 	dialer := netio.NewDialer()
 	d.frameNodes = nodeclient.New(nodeclient.Options{
 		Loop: loop, Dialer: dialer, Sink: sink, StreamsPerConn: cfg.StreamsPerConn, ConnectTimeout: cfg.ConnectTimeout,
-		ServerIdleTimeout: cfg.ConnIdle, MaxConns: frameConns, Observer: wireObserver,
+		ServerIdleTimeout: cfg.ServerIdleTimeout, MaxConns: frameConns, Observer: wireObserver,
 		ProbesSupported: cfg.Settings.AllowProbes, DisableCancel: !cfg.Settings.AllowCancel, Log: log,
 	})
 	d.flightNodes = flightnode.New(flightnode.Options{
-		Sink: sink, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ServerIdleTimeout: cfg.ConnIdle, MaxConns: sockets / 8, Observer: wireObserver, Log: log,
+		Sink: sink, Dialer: dialer, ConnectTimeout: cfg.ConnectTimeout, ServerIdleTimeout: cfg.ServerIdleTimeout, MaxConns: sockets / 8, Observer: wireObserver, Log: log,
 	})
 	d.core = broker.New(broker.Options{
 		Settings: cfg.Settings, Seed: cfg.Seed, Log: log,
@@ -259,7 +259,7 @@
 			select {
 			case <-d.listKnown:
 			case <-timer.C:
-				log.Warn().Str("event", "no-list").Dur("after", initialListTimeout).Msg("no list of nodes received in time; accepting clients and refusing their queries")
+				log.Warn().Str("event", "no-list").Dur("after", initialListTimeout).Msg("no list of nodes received in time; reporting ready and refusing queries until one arrives")
 			case <-listCtx.Done():
 				return
 			}
@@ -292,7 +292,7 @@
 // the new one receives its first answer. d.mu must be held.
 func (d *Daemon) watchDiscovery(addr string, version *int64) {
 	ctx, cancel := context.WithCancel(context.Background())
-	brokers := 0
+	brokers := 0 // discovery pushes the list, so its capacity is no concern
 	if d.cfg.Settings.MustSubscribe {
 		brokers = d.cfg.Settings.Roots
 	}
--- a/internal/testkit/nodes.go
+++ b/internal/testkit/nodes.go
@@ -251,7 +251,7 @@
 			return
 		}
 		switch payload := string(frame[1:]); frame[0] {
-		case 'H', 'M':
+		case 'H', 'M': // probes
 			send(frame[0], Done)
 		case 'C': // cancel
 			n.update(func() { n.cancelled = append(n.cancelled, payload) })
