--- a/cli/operate_test.go
+++ b/cli/operate_test.go
@@ -110,7 +110,7 @@
 		return used.readResponse(t, time.Now().Add(4*time.Second))
 	}
 	ask("a")
-	malformed := strings.Replace(queryRequest("b", time.Second), "/screen", "/part", 1) // malformed: the path and X-Class name different classes
+	malformed := strings.Replace(queryRequest("b", time.Second), "/screen", "/part", 1) // the path and X-Class name different classes
 	used.send(t, malformed)
 	used.readResponse(t, time.Now().Add(time.Second))
 	want := map[string]int{
--- a/config/reload.go
+++ b/config/reload.go
@@ -20,8 +20,8 @@
 // the start and cannot reflect a move. Otherwise the discovery address stays as in old.
 //
 // The whole file is rejected if it lacks a key of the platform's fields that the file in use
-// has, or if a deadline or the number of attempts is not a number above 0. In the result the classes keep their
-// indexes in old; classes that the file no longer has are retired.
+// has, or if a deadline or the number of attempts is not a number above 0. In the result the
+// classes keep their indexes in old; classes that the file no longer has are retired.
 func Reload(path string, getenv func(string) string, old *Config) (*Config, error) {
 	c, err := Load(path, getenv)
 	if err != nil {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -122,9 +122,10 @@
 
 // splitSockets divides the descriptors and returns the limits of connections to HTTP clients
 // and to nodes that use the frame protocol. Not included are an eighth for nodes that use
-// Flight, an eighth for the Flight front, and a sixteenth for discovery, the log and
-// the duplicates of connections that are being attached to the loop. Without a Flight front its share goes to the HTTP clients. A long
-// cached list of nodes takes what it needs from the HTTP clients' share; nil is no list.
+// Flight, an eighth for the Flight front, and a sixteenth for discovery, the log and the
+// duplicates of connections that are being attached to the loop. Without a Flight front its
+// share goes to the HTTP clients. A long cached list of nodes takes what it needs from the
+// HTTP clients' share; nil is no list.
 func splitSockets(sockets int, flight bool, cached *discovery.List) (clients, frames int) {
 	if sockets < smallSocketLimit { // the process's own descriptors, about twelve, are a significant share here
 		sockets = max(4, sockets-reservedDescriptors)
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -62,7 +62,7 @@
 	onFirstNodes func()                 // called once, with the first list that has nodes
 	once         sync.Once
 
-	mu           sync.Mutex
+	mu           sync.Mutex   // guards the fields below, nodes and the order of updates
 	current      rosterSource // its updates are forwarded
 	pending      rosterSource // becomes current with its first answer
 	lastSourceID int
--- a/daemon/rules_test.go
+++ b/daemon/rules_test.go
@@ -448,8 +448,8 @@
 	})
 }
 
-// Guards against a broker without nodes reporting ready, and against it not becoming ready
-// with the first list that has nodes.
+// Guards against a broker without nodes reporting ready while it waits for its first list, and
+// against it not becoming ready with the first list that has nodes.
 func TestBrokerWithoutNodesIsNotReady(t *testing.T) {
 	discovery := testkit.NewDiscovery(t)
 	cfg, err := config.Parse(testkit.Config(discovery.Addr, nil, testkit.Settings(nil), nil), func(string) string { return "" })
--- a/daemon/takeover.go
+++ b/daemon/takeover.go
@@ -157,7 +157,7 @@
 }
 
 // startTakeoverServer starts to wait for a successor process, unless the broker is stopping.
-// A failure is only logged, as the broker can serve clients without.
+// A failure is only logged, as the broker can serve clients without a takeover socket.
 func (d *Daemon) startTakeoverServer() {
 	if !takeoverPossible(d.cfg) {
 		return
--- a/store/patient.go
+++ b/store/patient.go
@@ -19,9 +19,9 @@
 var errDiskFailedAtClose = errors.New("the store's disk failed until the store was closed")
 
 // retryingDisk is a Disk that retries failed writes to Raft's stable store, which has its term
-// and votes, until they succeed or the store closes. Raft panics if it cannot save its term, so a disk that is full or has
-// I/O errors for a while would end the process. Writes to the log fail at once: Raft then
-// steps down and acknowledges nothing.
+// and votes, until they succeed or the store closes. Raft panics if it cannot save its term, so
+// a disk that is full or has I/O errors for a while would end the process. Writes to the log
+// fail at once: Raft then steps down and acknowledges nothing.
 type retryingDisk struct {
 	Disk
 	stop <-chan struct{} // closed when the store closes, which ends all retries
--- a/store/state.go
+++ b/store/state.go
@@ -46,8 +46,8 @@
 // ErrConflict is the error of a change whose IfVersion is not the current version.
 var ErrConflict = errors.New("the configuration has another version")
 
-// Validate checks the fields that the patch sets. Its errors wrap ErrInvalid: a
-// field is out of range, or none is set.
+// Validate checks the fields that the patch sets. Its errors wrap ErrInvalid: a field is out of
+// range, or none is set.
 func (p *Patch) Validate() error {
 	check := func(field string, v *int, low, high int) error {
 		if v != nil && (*v < low || *v > high) {
--- a/takeover/takeover.go
+++ b/takeover/takeover.go
@@ -29,7 +29,7 @@
 	// acknowledges that the successor is ready.
 	handshakeTimeout = time.Second
 	maxMessageBytes  = 4 << 10
-	socketNetwork    = "unixpacket" // keeps the bounds of messages
+	socketNetwork    = "unixpacket" // preserves message boundaries
 )
 
 // message is a packet between the two processes, encoded as JSON.
@@ -120,7 +120,8 @@
 	return uid, errors.Join(controlErr, err)
 }
 
-// checkSameUser returns errOtherUser if the other process does not run as this process's user.
+// checkSameUser returns errOtherUser if the other process does not run as this process's user,
+// and another error if its user cannot be found out.
 func checkSameUser(conn *net.UnixConn) error {
 	uid, err := peerUID(conn)
 	if err == nil && uid != uint32(os.Geteuid()) {
