--- a/cli/trace.go
+++ b/cli/trace.go
@@ -111,12 +111,12 @@
 	if _, err := os.Stat(s.spoolDir); err != nil {
 		return nil, fmt.Errorf("--dir: %w", err)
 	}
-	traces, damaged, err := tracing.ReadDir(s.spoolDir, filter)
+	traces, unreadable, err := tracing.ReadDir(s.spoolDir, filter)
 	if err != nil {
 		return nil, err
 	}
-	for _, damage := range damaged {
-		fmt.Fprintf(s.warnings, "%s: %v\n", damage.File, damage.Err)
+	for _, entry := range unreadable {
+		fmt.Fprintf(s.warnings, "%s: %v\n", entry.File, entry.Err)
 	}
 	if !s.includeOpen {
 		return traces, nil
--- a/config/config.go
+++ b/config/config.go
@@ -85,7 +85,7 @@
 
 	StreamsPerConn    int             // open attempts per connection to a node; 0 counts as 1
 	ConnectTimeout    time.Duration   // 0: a default
-	ServerIdleTimeout time.Duration   // after which nodes close idle connections; 0: they keep them
+	ServerIdleTimeout time.Duration   // after which nodes close idle connections; 0: they do not
 	HandOverWindow    time.Duration   // new connections are accepted this long after SIGTERM
 	LogLevel          string          // debug, info, warn or error; empty: info
 	Flight            *Flight         // nil: off
